--- /dev/null
+++ b/tests/wire_format_records_test.cpp
@@ -0,0 +1,266 @@
+// Forms of the records in the store, by kind of key; see wire_format.h.
+#include "wire_format.h"
+
+#include <gtest/gtest.h>
+
+namespace orchidlanding::test {
+namespace {
+
+JobSpec minimal_job() {
+    JobSpec job;
+    job.id = "req-1";
+    job.job_class = "c";
+    job.team = "t";
+    job.priority = Priority::low;
+    job.tasks = 1;
+    job.image = "i";
+    return job;
+}
+
+JobSpec full_job() {
+    JobSpec job;
+    job.id = "req-000412";
+    job.job_class = "train";
+    job.team = "vision";
+    job.kind = JobKind::gang;
+    job.priority = Priority::high;
+    job.tasks = 70000;
+    job.cpus = 8.5;
+    job.gpus = 2;
+    job.ram_gb = 64.25;
+    job.image = "img-07";
+    job.image_gb = 6.2;
+    job.types = {"g8", "c16"};
+    job.zone = "east";
+    job.one_zone = true;
+    job.spread = false;
+    job.spot = true;
+    job.estimate_s = 240.5;
+    job.checkpoint_s = 30.5;
+    job.save_s = 4.5;
+    job.deadline_s = 900.5;
+    return job;
+}
+
+JobSpec service_job() {
+    JobSpec job = minimal_job();
+    job.kind = JobKind::service;
+    job.priority = Priority::production;
+    job.spread = true;
+    job.types.emplace();
+    return job;
+}
+
+JobSpec normal_job() {
+    JobSpec job = minimal_job();
+    job.priority = Priority::normal;
+    job.zone = "";
+    job.deadline_s = 0;
+    return job;
+}
+
+// The fields that every version wrote, without those that may be missing.
+std::string job_without_optional_fields() {
+    return packed_map({{"uid", packed("req-1")},
+                       {"bloom", packed("c")},
+                       {"grower", packed("t")},
+                       {"habit", packed("batch")},
+                       {"rank", packed("idle")},
+                       {"petals", packed(1)},
+                       {"cpus", packed(0.0)},
+                       {"cards", packed(0.0)},
+                       {"ram_gb", packed(0.0)},
+                       {"bulb", packed("i")},
+                       {"pull_gb", packed(0.0)},
+                       {"one_zone", packed(false)},
+                       {"spread", packed(false)},
+                       {"cuttings", packed(false)},
+                       {"bloom_s", packed(0.0)},
+                       {"pot_s", packed(0.0)},
+                       {"repot_s", packed(0.0)}});
+}
+
+MachineType full_machine_type() {
+    MachineType type;
+    type.name = "g8";
+    type.cpus = 96;
+    type.gpus = 8;
+    type.ram_gb = 768.5;
+    type.cache_gb = 400;
+    type.fetch_gb_per_s = 1.25;
+    type.price = 12.5;
+    type.spot_price = 4.75;
+    type.boot_s = 45;
+    type.zones = {"east", "west"};
+    return type;
+}
+
+MachineType minimal_machine_type() {
+    MachineType type;
+    type.name = "c1";
+    type.cpus = 1;
+    type.ram_gb = 2;
+    return type;
+}
+
+std::string catalog_without_spot_price() {
+    std::string type = packed_map({{"sku", packed("c1")},
+                                   {"cpus", packed(1.0)},
+                                   {"cards", packed(0.0)},
+                                   {"ram_gb", packed(2.0)},
+                                   {"cache_gb", packed(0.0)},
+                                   {"pull_gb_per_s", packed(0.0)},
+                                   {"rate", packed(3.5)},
+                                   {"startup_s", packed(0.0)},
+                                   {"houses", packed_list({packed("east")})}});
+    return packed_map({{"benches", packed_list({type})}});
+}
+
+CatalogRecord catalog_with_spot_price_as_usual() {
+    MachineType type = minimal_machine_type();
+    type.price = 3.5;
+    type.spot_price = 3.5;
+    type.zones = {"east"};
+    return {{type}};
+}
+
+// Each stage, each reason to exit, and each combination of the flags.
+AccountRecord full_account() {
+    constexpr int kReasons = static_cast<int>(ExitWhy::unknown) + 1;
+    constexpr int kStages = static_cast<int>(TaskStage::exited) + 1;
+    AccountRecord account{9, 8, 77, 3, {}, {}, {{1ULL << 40, 2}, {5, 0}}};
+    for (int flags = 0; flags < 4; ++flags) {
+        account.shares.push_back(
+            {{flags + 1, 300 + flags}, (1ULL << 33) + flags, (flags & 1) != 0, (flags & 2) != 0});
+    }
+    for (int i = 0; i < kReasons; ++i) {
+        HeldTask held;
+        held.listed.task = {"req-000412", static_cast<std::uint32_t>(i)};
+        held.listed.attempt = (1ULL << 50) + i;
+        held.listed.stage = static_cast<TaskStage>(i % kStages);
+        held.listed.why = static_cast<ExitWhy>(i);
+        held.machine = "i-" + std::to_string(i);
+        held.zone = "east";
+        held.shape_unknown = (i & 1) != 0;
+        held.draining = (i & 2) != 0;
+        held.notice = (i & 4) != 0;
+        account.held.push_back(held);
+    }
+    return account;
+}
+
+// What is written is read back to a value that is written the same.
+WireForm record_form(const std::string& name, const std::string& key, const Record& record) {
+    return {"record/" + name, [=] { return stored_bytes(key, record); },
+            [=](const std::string& pinned) {
+                Record read = read_record(key, pinned);
+                EXPECT_EQ(read.index(), record.index());
+                expect_same_bytes(stored_bytes(key, read), pinned);
+            }};
+}
+
+// Written by another version only: read to the value expected.
+WireForm foreign_record_form(const std::string& name, const std::string& key,
+                             const std::string& bytes, const Record& expected) {
+    return {"record/" + name, [=] { return bytes; },
+            [=](const std::string& pinned) {
+                Record read = read_record(key, pinned);
+                EXPECT_EQ(read.index(), expected.index());
+                expect_same_bytes(stored_bytes(key, read), stored_bytes(key, expected));
+            }};
+}
+
+std::vector<WireForm> job_record_forms() {
+    const std::string key = "job/req-1";
+    const std::string progress_key = "done/req-1/0";
+    const std::vector<bool> bits{true,  false, false, true, true, false, true, true,
+                                 false, false, false, true, true, true,  true, true};
+    return {
+        record_form("job/open_minimal", key, JobRecord{Outcome::none, minimal_job()}),
+        record_form("job/open_full", key, JobRecord{Outcome::none, full_job()}),
+        record_form("job/open_service_production", key, JobRecord{Outcome::none, service_job()}),
+        record_form("job/open_array_normal", key, JobRecord{Outcome::none, normal_job()}),
+        record_form("job/done", key, JobRecord{Outcome::done, {}}),
+        record_form("job/cancelled", key, JobRecord{Outcome::cancelled, {}}),
+        record_form("job/cancelled_with_job", key, JobRecord{Outcome::cancelled, minimal_job()}),
+        foreign_record_form(
+            "job/open_without_optional_fields", key,
+            packed_map({{"outcome", packed("none")}, {"job", job_without_optional_fields()}}),
+            JobRecord{Outcome::none, minimal_job()}),
+        foreign_record_form("job/open_without_job", key, packed_map({{"outcome", packed("none")}}),
+                            Unreadable{}),
+        record_form("progress/empty", progress_key, ProgressRecord{}),
+        record_form("progress/full", progress_key, ProgressRecord{bits}),
+        // Padded to a whole digit.
+        record_form("progress/five_tasks", progress_key,
+                    ProgressRecord{{false, true, false, false, true}}),
+    };
+}
+
+std::vector<WireForm> partition_record_forms() {
+    return {
+        record_form("part/knows_shares", "part/1", PartRecord{"n1", true}),
+        record_form("part/knows_no_shares", "part/1", PartRecord{"n1", false}),
+        foreign_record_form("part/older", "part/1", packed_map({{"node", packed("n1")}}),
+                            PartRecord{"n1", false}),
+        foreign_record_form("part/newer", "part/1",
+                            packed_map({{"not_known", packed_list({packed(1)})},
+                                        {"knows_shares", packed(true)},
+                                        {"node", packed("n1")}}),
+                            PartRecord{"n1", true}),
+        record_form("part/home", "part/1/home", PartRecord{"n2", true}),
+        foreign_record_form("part/home_older", "part/1/home", packed_map({{"node", packed("n2")}}),
+                            PartRecord{"n2", false}),
+        record_form("part/shares", "part/1/shares", ShareRecord{{1, 0, 4, 127}}),
+        record_form("part/shares_empty", "part/1/shares", ShareRecord{}),
+        foreign_record_form("part/shares_holder_out_of_range", "part/1/shares",
+                            stored_bytes("part/1/shares", ShareRecord{{500}}), ShareRecord{{128}}),
+        foreign_record_form(
+            "part/shares_of_unknown_format", "part/1/shares",
+            packed_map({{"format", packed(2)}, {"holders", packed_list({packed(1)})}}),
+            Unreadable{}),
+        record_form("account/minimal", "account/1/2/0", AccountRecord{}),
+        record_form("account/full", "account/1/2/0", full_account()),
+    };
+}
+
+// Nil where the data should be: the whole reply counts as none.
+WireForm unreadable_record_form() {
+    return {"record/unreadable", [] { return stored_bytes("job/req-1", Unreadable{}); },
+            [](const std::string& pinned) {
+                std::string body = packed_map({{"data", pinned}, {"graft", packed(7)}});
+                CallReply reply = wire::decode_reply(1, Get{"job/req-1"}, 200, body);
+                EXPECT_EQ(reply.status, 0);
+                EXPECT_TRUE(reply.items.empty());
+            }};
+}
+
+std::vector<WireForm> cluster_record_forms() {
+    const std::string team_key = std::string("config/team/") + "red";
+    return {
+        record_form("machine/on_demand", "machine/0/i-1",
+                    MachineRecord{"10.0.0.9:9000", "g8", "east", false}),
+        record_form("machine/spot", "machine/0/i-1",
+                    MachineRecord{"10.0.0.9:9000", "g8", "east", true}),
+        record_form("catalog/empty", "catalog", CatalogRecord{}),
+        record_form("catalog/full", "catalog",
+                    CatalogRecord{{full_machine_type(), minimal_machine_type()}}),
+        foreign_record_form("catalog/without_spot_price", "catalog", catalog_without_spot_price(),
+                            catalog_with_spot_price_as_usual()),
+        record_form("team/minimal", team_key, TeamRecord{}),
+        record_form("team/full", team_key, TeamRecord{{"", 16, 24.5, 1, 2.5}}),
+        unreadable_record_form(),
+    };
+}
+
+} // namespace
+
+std::vector<WireForm> record_forms() {
+    std::vector<WireForm> forms = job_record_forms();
+    for (const auto& group : {partition_record_forms(), cluster_record_forms()}) {
+        forms.insert(forms.end(), group.begin(), group.end());
+    }
+    return forms;
+}
+
+} // namespace orchidlanding::test
