--- a/tests/wire_format_clients_test.cpp
+++ b/tests/wire_format_clients_test.cpp
@@ -60,7 +60,7 @@
     return packed_map({{"repot_s", kFloatOfFour},
                        {"pot_s", packed(0)},
                        {"bloom_s", packed(240)},
-                       {"cuttings", packed(false)},
+                       {"cuttings", packed(true)},
                        {"spread", packed(true)},
                        {"one_zone", packed(false)},
                        {"pull_gb", packed(6.5f)},
@@ -90,6 +90,7 @@
     job.image = "i";
     job.image_gb = 6.5;
     job.spread = true;
+    job.spot = true;
     job.estimate_s = 240;
     job.save_s = 4;
     return job;
--- a/tests/wire_format_peer_test.cpp
+++ b/tests/wire_format_peer_test.cpp
@@ -15,11 +15,7 @@
     want.kind = JobKind::gang;
     want.attempt = kLargeTerm + 77;
     want.members = {0, 2, 70000};
-    want.one_zone = true;
-    want.spread = false;
     want.gang_tasks = 70001;
-    want.preempt = true;
-    want.partial = false;
     want.count = 3;
     want.cpus = 8.5;
     want.gpus = 2.25;
@@ -28,28 +24,19 @@
     want.image_gb = 6.2;
     want.types = {"g8", "c16"};
     want.zone = "east";
-    want.spot = true;
     want.priority = Priority::production;
-    want.borrows = false;
-    want.longest = true;
-    want.kept = false;
     want.age_s = 12.5;
     want.due_s = 99.5;
     return want;
 }
 
-// The flags are those that the gang has not.
 Want service_want() {
     Want want;
     want.job = "req-2";
     want.kind = JobKind::service;
-    want.spread = true;
-    want.partial = true;
     want.count = 5;
     want.types.emplace();
     want.priority = Priority::low;
-    want.borrows = true;
-    want.kept = true;
     return want;
 }
 
@@ -59,6 +46,25 @@
     return want;
 }
 
+// Wants that differ in every flag: seen over all of them, no flag is set as another one is.
+std::vector<Want> wants_with_each_flag() {
+    std::vector<Want> wants{gang_want(), service_want(), minimal_want(Priority::high),
+                            minimal_want(Priority::normal)};
+    for (std::size_t i = 0; i < wants.size(); ++i) {
+        auto set_in_this_want = [i](int flag_number) { return ((flag_number >> i) & 1) != 0; };
+        Want& want = wants[i];
+        want.one_zone = set_in_this_want(1);
+        want.spread = set_in_this_want(2);
+        want.preempt = set_in_this_want(3);
+        want.partial = set_in_this_want(4);
+        want.spot = set_in_this_want(5);
+        want.borrows = set_in_this_want(6);
+        want.longest = set_in_this_want(7);
+        want.kept = set_in_this_want(8);
+    }
+    return wants;
+}
+
 Told full_told() {
     Told told;
     told.what = Told::What::shape;
@@ -89,8 +95,7 @@
     exchange.term = kLargeTerm + 5;
     exchange.number = 400;
     exchange.to = 127;
-    exchange.wants = {gang_want(), service_want(), minimal_want(Priority::high),
-                      minimal_want(Priority::normal)};
+    exchange.wants = wants_with_each_flag();
     exchange.most = 70000;
     exchange.told = {full_told(), minimal_told(Told::What::stop, JobKind::array),
                      minimal_told(Told::What::clear, JobKind::service),
@@ -171,7 +176,7 @@
     return held;
 }
 
-// Each stage and each reason to exit; draining is the flag that full_held() has not.
+// Each stage, each reason to exit, and each combination of the flags.
 std::vector<HeldTask> all_held() {
     std::vector<HeldTask> all{full_held()};
     constexpr int kReasons = static_cast<int>(ExitWhy::unknown) + 1;
@@ -181,7 +186,9 @@
         held.listed.task = {"req-1", static_cast<std::uint32_t>(i)};
         held.listed.stage = static_cast<TaskStage>(i % kStages);
         held.listed.why = static_cast<ExitWhy>(i);
-        held.draining = (i & 1) != 0;
+        held.shape_unknown = (i & 1) != 0;
+        held.draining = (i & 2) != 0;
+        held.notice = (i & 4) != 0;
         all.push_back(held);
     }
     return all;
@@ -224,9 +231,12 @@
     return reply;
 }
 
-ExchangeReply minimal_exchange_reply(bool clean) {
+// With the full reply, no flag is set as another one is.
+ExchangeReply clean_and_full_exchange_reply() {
     ExchangeReply reply;
-    reply.clean = clean;
+    reply.clean = true;
+    reply.full = true;
+    reply.shares.emplace();
     return reply;
 }
 
@@ -356,8 +366,8 @@
                           PeerCall{kPeer, exchange_in_range(1)}, decode_exchange),
         foreign_call_form("exchange/call_capacity_too_low", exchange_body(exchange_out_of_range(0)),
                           PeerCall{kPeer, exchange_in_range(0.01)}, decode_exchange),
-        reply_form("exchange/reply_minimal", PeerCall{}, minimal_exchange_reply(false)),
-        reply_form("exchange/reply_clean", PeerCall{}, minimal_exchange_reply(true)),
+        reply_form("exchange/reply_minimal", PeerCall{}, ExchangeReply{}),
+        reply_form("exchange/reply_clean_and_full", PeerCall{}, clean_and_full_exchange_reply()),
         reply_form("exchange/reply_full", PeerCall{}, full_exchange_reply()),
         foreign_reply_form("exchange/reply_older", PeerCall{}, older_exchange_reply(),
                            older_exchange_reply_expected()),
--- a/tests/wire_format_records_test.cpp
+++ b/tests/wire_format_records_test.cpp
@@ -47,6 +47,7 @@
     job.kind = JobKind::service;
     job.priority = Priority::production;
     job.spread = true;
+    job.spot = true; // with the full job, no flag is set as another one is
     job.types.emplace();
     return job;
 }
