--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -13,49 +13,49 @@
 #include "core/parts.h"
 #include "policy/defaults.h"
 
-namespace orchidlanding {
+namespace scheduler {
 namespace {
 
 constexpr double kCpus = 32;
 constexpr double kReportS = 6;
 constexpr std::uint32_t kTasksOfJob = 10000;
 
-Facts facts(const char* node, int home, int parts) {
-    Facts f;
-    f.node = node;
-    f.home = home;
-    for (int p = 0; p < parts; ++p) {
-        f.parts.push_back({"n" + std::to_string(p), "a"});
+ClusterSettings facts(const char* node, int home, int partitions) {
+    ClusterSettings settings;
+    settings.node = node;
+    settings.home_partition = home;
+    for (int p = 0; p < partitions; ++p) {
+        settings.partitions.push_back({"n" + std::to_string(p), "a"});
     }
-    f.zones = {"a"};
-    f.teams = {{"red", 1e9, 0, 0, 0}};
-    f.report_s = kReportS;
-    f.lease_s = 31;
-    f.cancel_s = 56;
-    f.state_rps = 1e9;
-    f.state_write_rps = 1e9;
-    f.value_kb = 8;
-    f.txn_ops = 12;
-    f.cloud_rps = 7;
-    f.list_lag_s = 8;
-    return f;
+    settings.zones = {"a"};
+    settings.teams = {{"red", 1e9, 0, 0, 0}};
+    settings.heartbeat_interval_s = kReportS;
+    settings.worker_lease_s = 31;
+    settings.cancel_s = 56;
+    settings.store_requests_per_s = 1e9;
+    settings.store_writes_per_s = 1e9;
+    settings.store_value_limit_kb = 8;
+    settings.store_transaction_limit = 12;
+    settings.cloud_requests_per_s = 7;
+    settings.list_lag_s = 8;
+    return settings;
 }
 
-MachineType type() { return {"m32", kCpus, 0, 256, 35, 0.2, 2.3, 0.5, 50, {"a"}}; }
+InstanceType type() { return {"m32", kCpus, 0, 256, 35, 0.2, 2.3, 0.5, 50, {"a"}}; }
 
 JobSpec job(int number, std::uint32_t tasks) {
-    JobSpec s;
-    s.id = "req-" + std::to_string(number);
-    s.job_class = "export";
-    s.team = "red";
-    s.tasks = tasks;
-    s.cpus = 4;
-    s.ram_gb = 16;
-    s.image = "img-" + std::to_string(number % 14);
-    s.image_gb = 1;
-    s.spot = true;
-    s.estimate_s = 25;
-    return s;
+    JobSpec spec;
+    spec.id = "req-" + std::to_string(number);
+    spec.job_class = "export";
+    spec.team = "red";
+    spec.tasks = tasks;
+    spec.cpus = 4;
+    spec.ram_gb = 16;
+    spec.image = "img-" + std::to_string(number % 14);
+    spec.image_gb = 1;
+    spec.spot = true;
+    spec.estimate_s = 25;
+    return spec;
 }
 
 // The state service as a map; nodes that call each other do so at once.
@@ -64,70 +64,70 @@
     explicit Region(int nodes) {
         for (int n = 0; n < nodes; ++n) {
             std::string name = "n" + std::to_string(n);
-            Facts f = facts(name.c_str(), n, nodes);
-            cores_.push_back(std::make_unique<Controller>(f, policy::defaults(f)));
+            ClusterSettings settings = facts(name.c_str(), n, nodes);
+            cores_.push_back(std::make_unique<Controller>(settings, policy::defaults(settings)));
         }
     }
-    void put(const std::string& key, Record record) {
+    void put(const std::string& key, StoredRecord record) {
         kv_[key] = {key, std::move(record), ++revision_};
     }
     Outputs input(int node, Input in) {
         Outputs out = cores_[node]->handle(now_, std::move(in));
-        for (auto& call : out.calls) {
-            calls_.emplace_back(node, std::move(call));
+        for (auto& call : out.requests) {
+            requests_.emplace_back(node, std::move(call));
         }
         return out;
     }
     // Answers calls until there are none left but watches.
     void settle() {
-        while (!calls_.empty()) {
-            auto [node, call] = std::move(calls_.front());
-            calls_.pop_front();
-            if (std::holds_alternative<Watch>(call.body)) {
+        while (!requests_.empty()) {
+            auto [node, call] = std::move(requests_.front());
+            requests_.pop_front();
+            if (std::holds_alternative<StoreWatch>(call.body)) {
                 watches_.emplace_back(node, std::move(call));
                 continue;
             }
-            if (const auto* peer = std::get_if<PeerCall>(&call.body)) {
+            if (const auto* peer = std::get_if<PeerSyncCall>(&call.body)) {
                 int to = std::atoi(peer->node.c_str() + 1);
-                Outputs out = input(to, PeerExchange{77, peer->exchange});
-                CallReply reply;
-                reply.call = call.id;
-                for (auto& a : out.answers) {
-                    if (auto* body = std::get_if<ExchangeReply>(&a.body)) {
-                        reply.status = a.status;
-                        reply.exchange = std::move(*body);
+                Outputs out = input(to, PeerSyncReceived{77, peer->sync});
+                OutboundResponse response;
+                response.request_id = call.id;
+                for (auto& a : out.responses) {
+                    if (auto* body = std::get_if<PeerSyncResponse>(&a.body)) {
+                        response.status = a.status;
+                        response.peer_sync = std::move(*body);
                     }
                 }
-                input(node, std::move(reply));
+                input(node, std::move(response));
                 continue;
             }
-            CallReply reply = serve(call);
-            reply.call = call.id;
-            input(node, std::move(reply));
+            OutboundResponse response = serve(call);
+            response.request_id = call.id;
+            input(node, std::move(response));
         }
     }
     void step(double seconds) {
         now_ += seconds;
         for (std::size_t n = 0; n < cores_.size(); ++n) {
-            input(static_cast<int>(n), Tick{});
+            input(static_cast<int>(n), TimerTick{});
         }
         settle();
     }
     // New jobs come by the watch.
     void tell(const std::vector<JobSpec>& specs) {
-        CallReply reply;
-        reply.status = 200;
-        for (const auto& s : specs) {
-            put("job/" + s.id, JobRecord{Outcome::none, s});
-            reply.items.push_back(kv_.at("job/" + s.id));
+        OutboundResponse response;
+        response.status = 200;
+        for (const auto& spec : specs) {
+            put("job/" + spec.id, JobRecord{Outcome::none, spec});
+            response.entries.push_back(kv_.at("job/" + spec.id));
         }
-        reply.revision = revision_;
+        response.revision = revision_;
         for (auto& [node, watch] : std::exchange(watches_, {})) {
-            CallReply mine = reply;
-            if (std::get<Watch>(watch.body).prefix != "job/") {
-                mine.items.clear();
+            OutboundResponse mine = response;
+            if (std::get<StoreWatch>(watch.body).prefix != "job/") {
+                mine.entries.clear();
             }
-            mine.call = watch.id;
+            mine.request_id = watch.id;
             input(node, std::move(mine));
         }
         settle();
@@ -139,41 +139,41 @@
         }
     }
     void advance(double seconds) { now_ += seconds; }
-    std::vector<std::pair<int, Orders>> orders; // direct commands of late
+    std::vector<std::pair<int, WorkerCommands>> orders; // direct commands of late
 
   private:
-    CallReply serve(const Call& call) {
-        CallReply r;
-        r.status = 200;
-        if (const auto* range = std::get_if<Range>(&call.body)) {
-            r.revision = revision_;
+    OutboundResponse serve(const OutboundRequest& call) {
+        OutboundResponse response;
+        response.status = 200;
+        if (const auto* range = std::get_if<StoreRange>(&call.body)) {
+            response.revision = revision_;
             auto it = range->after.empty() ? kv_.lower_bound(range->prefix)
                                            : kv_.upper_bound(range->after);
             for (; it != kv_.end() && it->first.starts_with(range->prefix); ++it) {
-                if (r.items.size() == 1000) {
-                    r.more = true;
+                if (response.entries.size() == 1000) {
+                    response.more = true;
                     break;
                 }
-                r.items.push_back(it->second);
+                response.entries.push_back(it->second);
             }
-        } else if (const auto* txn = std::get_if<Txn>(&call.body)) {
-            for (const auto& c : txn->then) {
-                if (c.put) {
-                    put(c.key, *c.put);
+        } else if (const auto* transaction = std::get_if<StoreTransaction>(&call.body)) {
+            for (const auto& c : transaction->writes) {
+                if (c.value) {
+                    put(c.key, *c.value);
                 } else {
                     kv_.erase(c.key);
                 }
             }
-            r.revision = revision_;
-        } else if (std::holds_alternative<GrantLease>(call.body)) {
-            r.lease = ++lease_;
-        } else if (std::holds_alternative<Catalog>(call.body)) {
-            r.types = {type()};
-        } else if (const auto* o = std::get_if<Orders>(&call.body)) {
-            r.status = 0;
+            response.revision = revision_;
+        } else if (std::holds_alternative<StoreLeaseGrant>(call.body)) {
+            response.lease = ++lease_;
+        } else if (std::holds_alternative<ListInstanceTypes>(call.body)) {
+            response.instance_types = {type()};
+        } else if (const auto* o = std::get_if<WorkerCommands>(&call.body)) {
+            response.status = 0;
             orders.emplace_back(0, *o);
         }
-        return r;
+        return response;
     }
 
     std::vector<std::unique_ptr<Controller>> cores_;
@@ -181,8 +181,8 @@
     std::uint64_t revision_ = 1;
     std::uint64_t lease_ = 0;
     Time now_ = 1000;
-    std::deque<std::pair<int, Call>> calls_;
-    std::vector<std::pair<int, Call>> watches_;
+    std::deque<std::pair<int, OutboundRequest>> requests_;
+    std::vector<std::pair<int, OutboundRequest>> watches_;
 };
 
 std::string name_of(int machine) {
@@ -194,36 +194,37 @@
 // Workers as far as the core sees them.
 struct Workers {
     explicit Workers(int count, int nodes) : reports(static_cast<std::size_t>(count)) {
-        Facts f = facts("n0", 0, nodes);
+        ClusterSettings settings = facts("n0", 0, nodes);
         for (int i = 0; i < count; ++i) {
-            Report& r = reports[static_cast<std::size_t>(i)];
-            r.machine = name_of(i);
-            r.endpoint = "10.0.0.1:9000";
-            r.type = "m32";
-            r.zone = "a";
-            r.spot = true;
-            r.session = 1;
-            owner.push_back(part_of_machine(f, r.machine, r.zone));
+            Heartbeat& heartbeat = reports[static_cast<std::size_t>(i)];
+            heartbeat.machine = name_of(i);
+            heartbeat.endpoint = "10.0.0.1:9000";
+            heartbeat.type = "m32";
+            heartbeat.zone = "a";
+            heartbeat.spot = true;
+            heartbeat.agent_epoch = 1;
+            owner.push_back(partition_of_machine(settings, heartbeat.machine, heartbeat.zone));
         }
     }
     // One report to the machine's owner; its commands are carried out.
     void report(Region& region, std::size_t i) {
-        Report& r = reports[i];
-        ++r.tick;
-        Outputs out = region.input(owner[i], WorkerReport{1, r});
-        for (const auto& a : out.answers) {
-            const auto* body = std::get_if<ReportAnswer>(&a.body);
+        Heartbeat& heartbeat = reports[i];
+        ++heartbeat.sequence;
+        Outputs out = region.input(owner[i], HeartbeatReceived{1, heartbeat});
+        for (const auto& a : out.responses) {
+            const auto* body = std::get_if<HeartbeatBody>(&a.body);
             if (!body) {
                 continue;
             }
-            r.token = std::max(r.token, body->token);
-            for (const auto& c : body->commands) {
-                if (c.op == Op::start) {
-                    r.tasks.push_back({c.task, c.attempt, TaskStage::running, ExitWhy::none});
+            heartbeat.fencing_token = std::max(heartbeat.fencing_token, body->fencing_token);
+            for (const auto& command : body->commands) {
+                if (command.type == CommandType::start) {
+                    heartbeat.tasks.push_back(
+                        {command.task, command.attempt, TaskStage::running, ExitReason::none});
                     ++starts;
-                } else if (c.op == Op::clear) {
-                    std::erase_if(r.tasks, [&](const ListedTask& t) {
-                        return t.task == c.task && t.attempt == c.attempt;
+                } else if (command.type == CommandType::clear) {
+                    std::erase_if(heartbeat.tasks, [&](const TaskStatus& status) {
+                        return status.task == command.task && status.attempt == command.attempt;
                     });
                 }
             }
@@ -238,7 +239,7 @@
             }
         }
     }
-    std::vector<Report> reports;
+    std::vector<Heartbeat> reports;
     std::vector<int> owner;
     std::uint64_t starts = 0;
 };
@@ -286,7 +287,7 @@
         for (auto& t : workers.reports[i].tasks) {
             if (t.stage == TaskStage::running) {
                 t.stage = TaskStage::exited;
-                t.why = ExitWhy::done;
+                t.exit_reason = ExitReason::done;
                 break;
             }
         }
@@ -391,7 +392,7 @@
                 r.tasks.push_back({{specs[task / kTasksOfJob].id, task % kTasksOfJob},
                                    make_attempt(1, task + 1, 0),
                                    TaskStage::running,
-                                   ExitWhy::none});
+                                   ExitReason::none});
             }
         }
         before = allocations;
@@ -415,6 +416,6 @@
     benchmark::kMillisecond);
 
 } // namespace
-} // namespace orchidlanding
+} // namespace scheduler
 
 BENCHMARK_MAIN();
--- a/bench/share_bench.cpp
+++ b/bench/share_bench.cpp
@@ -9,8 +9,8 @@
 #include "core/parts.h"
 #include "world.h"
 
-using namespace orchidlanding;
-using namespace orchidlanding::test;
+using namespace scheduler;
+using namespace scheduler::test;
 
 namespace {
 struct Line {
@@ -27,14 +27,14 @@
 }
 
 std::string share_in(const std::string& text) {
-    auto at = text.find("share=") + 6;
+    auto at = text.find("shard=") + 6;
     return text.substr(at, text.find(' ', at) - at);
 }
 
-std::size_t messages(const World& w) {
+std::size_t messages(const World& world) {
     std::size_t sum = 0;
     for (const char* kind : {"get", "range", "txn", "watch", "orders", "peer"}) {
-        sum += w.calls_of(kind);
+        sum += world.calls_of(kind);
     }
     return sum;
 }
@@ -48,46 +48,47 @@
     options.one_zone = true;
     options.state_rps = 350; // as at the larger of the two fleets
     options.state_write_rps = 150;
-    World w(options);
+    World world(options);
     std::vector<Line> log;
-    w.on_log = [&](Time at, int, const std::string& text) { log.push_back({at, text}); };
-    w.run_for(3);
-    JobSpec s = w.job("req-1", static_cast<std::uint32_t>(machines * 2), 4);
-    w.submit(0, s);
-    for (int k = 0; k < 100 && w.machines_up().size() < static_cast<std::size_t>(machines); ++k) {
-        w.run_for(5);
+    world.on_log = [&](Time at, int, const std::string& text) { log.push_back({at, text}); };
+    world.run_for(3);
+    JobSpec spec = world.job("req-1", static_cast<std::uint32_t>(machines * 2), 4);
+    world.submit(0, spec);
+    for (int k = 0; k < 100 && world.machines_up().size() < static_cast<std::size_t>(machines);
+         ++k) {
+        world.run_for(5);
     }
-    w.run_for(60);
-    std::printf("machines %zu, shares %zu\n", w.machines_up().size(),
-                all_shares(w.facts(0)).size());
+    world.run_for(60);
+    std::printf("machines %zu, shares %zu\n", world.machines_up().size(),
+                all_shards(world.facts(0)).size());
 
     // Moves: against the same time without.
     auto count = [&](double seconds) {
-        std::size_t m = messages(w);
-        std::size_t t = w.calls_of("txn");
-        double l = w.counts().listed;
-        w.run_for(seconds);
-        return std::array<double, 3>{static_cast<double>(messages(w) - m),
-                                     static_cast<double>(w.calls_of("txn") - t),
-                                     w.counts().listed - l};
+        std::size_t m = messages(world);
+        std::size_t t = world.calls_of("txn");
+        double l = world.counts().listed;
+        world.run_for(seconds);
+        return std::array<double, 3>{static_cast<double>(messages(world) - m),
+                                     static_cast<double>(world.calls_of("txn") - t),
+                                     world.counts().listed - l};
     };
     auto calm = count(20);
     log.clear();
     int moves = 0;
     for (int k = 0; k < 5; ++k) {
-        auto shares = w.shares(k);
-        moves += !shares.empty() && w.give(k, shares[0], (k + 1) % 5);
+        auto shards = world.shares(k);
+        moves += !shards.empty() && world.give(k, shards[0], (k + 1) % 5);
     }
     auto moved = count(20);
     std::map<std::string, Time> passing;
     std::vector<double> gave;
     std::vector<double> pause;
     for (const auto& line : log) {
-        if (line.text.starts_with("event=share_passing")) {
+        if (line.text.starts_with("event=shard_migration_started")) {
             passing[share_in(line.text)] = line.at;
-        } else if (line.text.starts_with("event=share_moved")) {
+        } else if (line.text.starts_with("event=shard_migrated")) {
             gave.push_back(line.at - passing[share_in(line.text)]);
-        } else if (line.text.starts_with("event=share_accounted")) {
+        } else if (line.text.starts_with("event=shard_reconciled")) {
             pause.push_back(line.at - passing[share_in(line.text)]);
         }
     }
@@ -101,22 +102,22 @@
 
     // The loss of a controller.
     log.clear();
-    Time lost = w.now();
-    w.crash(1, 1e6);
-    w.run_for(60);
+    Time lost = world.now();
+    world.crash(1, 1e6);
+    world.run_for(60);
     Time claimed = 0;
     Time last = 0;
     for (const auto& line : log) {
-        if (line.text.starts_with("event=part_claimed")) {
+        if (line.text.starts_with("event=leadership_acquired")) {
             claimed = claimed > 0 ? claimed : line.at;
-        } else if (line.text.starts_with("event=share_accounted") ||
-                   line.text.starts_with("event=part_settled")) {
+        } else if (line.text.starts_with("event=shard_reconciled") ||
+                   line.text.starts_with("event=partition_reconciled")) {
             last = line.at;
         }
     }
     std::map<int, double> load; // machines, by the node that answers for them
-    for (const auto& name : w.machines_up()) {
-        load[w.node_of(name)] += 1;
+    for (const auto& name : world.machines_up()) {
+        load[world.node_of(name)] += 1;
     }
     double most = 0;
     double all = 0;
@@ -127,8 +128,8 @@
     std::printf("loss of one of five: claimed after %.1f s, all machines give slots %.2f s later; "
                 "largest load of a survivor over the mean %.2f\n",
                 claimed - lost, last - claimed, most / (all / 4));
-    if (!w.broken.empty()) {
-        std::printf("broken: %s\n", w.broken.front().c_str());
+    if (!world.broken.empty()) {
+        std::printf("broken: %s\n", world.broken.front().c_str());
         return 1;
     }
     return 0;
--- a/src/cli/config_command.h
+++ b/src/cli/config_command.h
@@ -6,7 +6,7 @@
 
 #include "cli/settings.h"
 
-namespace orchidlanding::cli {
+namespace scheduler::cli {
 
 struct ConfigPut {
     std::string team;
@@ -23,4 +23,4 @@
 int config_get(const Settings& settings, const std::string& team);
 int config_list(const Settings& settings);
 
-} // namespace orchidlanding::cli
+} // namespace scheduler::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-using namespace orchidlanding;
+using namespace scheduler;
 
 constexpr char kVersion[] = "0.1.0";
 constexpr std::size_t kStackBytes = 256 * 1024;
@@ -46,35 +46,37 @@
 
 void write_log(const LogLine& line) {
     switch (line.level) {
-    case Level::error: spdlog::error("{}", line.text); break;
-    case Level::info: spdlog::info("{}", line.text); break;
-    case Level::debug: spdlog::debug("{}", line.text); break;
+    case LogLevel::error: spdlog::error("{}", line.text); break;
+    case LogLevel::info: spdlog::info("{}", line.text); break;
+    case LogLevel::debug: spdlog::debug("{}", line.text); break;
     }
 }
 
 int serve(const cli::Settings& settings) {
     set_up_process();
     set_up_log();
-    Controller core(settings.facts, policy::defaults(settings.facts));
+    Controller core(settings.cluster, policy::defaults(settings.cluster));
     net::EventLoop* loop_pointer = nullptr;
-    net::Clients clients({settings.state, settings.cloud, settings.peers, settings.facts.report_s,
-                          settings.facts.orders_at_once, settings.facts.state_rps,
-                          settings.state_threads},
-                         [&](CallReply reply) { loop_pointer->push(std::move(reply)); });
+    net::Clients clients(
+        {settings.store, settings.cloud, settings.peers, settings.cluster.heartbeat_interval_s,
+         settings.cluster.max_concurrent_commands, settings.cluster.store_requests_per_s,
+         settings.store_threads},
+        [&](OutboundResponse response) { loop_pointer->push(std::move(response)); });
     net::EventLoop loop(
-        core, [&](const Call& call) { clients.send(call); }, write_log);
+        core, [&](const OutboundRequest& call) { clients.send(call); }, write_log);
     loop_pointer = &loop;
-    net::Server server(loop, {settings.sockets, settings.facts.report_s});
-    net::Server back(loop, {settings.sockets, settings.facts.report_s}, net::Server::Side::back);
-    double patience_s = settings.facts.report_s;
+    net::Server server(loop, {settings.sockets, settings.cluster.heartbeat_interval_s});
+    net::Server back(loop, {settings.sockets, settings.cluster.heartbeat_interval_s},
+                     net::Server::Side::back);
+    double patience_s = settings.cluster.heartbeat_interval_s;
     if (!server.bind_within(settings.listen_host, settings.listen_port, patience_s) ||
         !back.bind_within(settings.back_host, settings.back_port, patience_s)) {
-        spdlog::error("event=cannot_listen listen={}:{} back={}:{}", settings.listen_host,
+        spdlog::error("event=listen_failed listen={}:{} back={}:{}", settings.listen_host,
                       settings.listen_port, settings.back_host, settings.back_port);
         return 1;
     }
-    spdlog::info("event=started node={} listen={}:{}", settings.facts.node, settings.listen_host,
-                 settings.listen_port);
+    spdlog::info("event=server_started node={} listen={}:{}", settings.cluster.node,
+                 settings.listen_host, settings.listen_port);
     std::thread acceptor([&] { server.run(); });
     std::thread back_acceptor([&] { back.run(); });
     loop.run();
@@ -128,7 +130,7 @@
     cli::Settings settings;
     try {
         settings = cli::read_settings(config);
-    } catch (const cli::BadSettings& bad) {
+    } catch (const cli::SettingsError& bad) {
         std::cerr << "orchidlanding: " << bad.what() << "\n";
         return 2;
     }
--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -5,7 +5,7 @@
 #include <sstream>
 #include <toml++/toml.h>
 
-namespace orchidlanding::cli {
+namespace scheduler::cli {
 
 namespace {
 
@@ -31,7 +31,7 @@
             out << ":" << node->source().begin.line;
         }
         out << ": " << key << ": " << why;
-        throw BadSettings(out.str());
+        throw SettingsError(out.str());
     }
     std::string text(const std::string& key) const {
         auto node = root_.at_path(key);
@@ -93,16 +93,16 @@
     } catch (const toml::parse_error& error) {
         std::ostringstream out;
         out << file << ":" << error.source().begin.line << ": " << error.description();
-        throw BadSettings(out.str());
+        throw SettingsError(out.str());
     }
     Reader r(file, root);
     Settings s;
-    s.facts.node = r.text("node");
+    s.cluster.node = r.text("node");
     r.address("listen", s.listen_host, s.listen_port);
     r.address("back", s.back_host, s.back_port);
-    s.facts.parts.push_back({s.facts.node, r.text("zone")});
+    s.cluster.partitions.push_back({s.cluster.node, r.text("zone")});
     s.cloud = r.text("external.cloud");
-    s.state = r.text("external.state");
+    s.store = r.text("external.state");
     if (const auto* siblings = r.list("siblings")) {
         for (const auto& node : *siblings) {
             const auto* t = node.as_table();
@@ -112,16 +112,17 @@
             if (!name || !zone || !address) {
                 r.fail("siblings", "node, zone or peer_addr is missing", &node);
             }
-            s.facts.parts.push_back({*name, *zone});
+            s.cluster.partitions.push_back({*name, *zone});
             s.peers[*name] = *address;
         }
     }
     // Every node must number the parts alike, so they go by name.
-    std::sort(s.facts.parts.begin(), s.facts.parts.end(),
-              [](const PartFacts& a, const PartFacts& b) { return a.node < b.node; });
-    for (std::size_t p = 0; p < s.facts.parts.size(); ++p) {
-        if (s.facts.parts[p].node == s.facts.node) {
-            s.facts.home = static_cast<int>(p);
+    std::sort(
+        s.cluster.partitions.begin(), s.cluster.partitions.end(),
+        [](const PartitionSettings& a, const PartitionSettings& b) { return a.node < b.node; });
+    for (std::size_t p = 0; p < s.cluster.partitions.size(); ++p) {
+        if (s.cluster.partitions[p].node == s.cluster.node) {
+            s.cluster.home_partition = static_cast<int>(p);
         }
     }
     if (const auto* zones = r.list("facts.zones")) {
@@ -130,7 +131,7 @@
             if (!name) {
                 r.fail("facts.zones", "not text", &zone);
             }
-            s.facts.zones.push_back(*name);
+            s.cluster.zones.push_back(*name);
         }
     }
     if (const auto* teams = r.list("facts.teams")) {
@@ -140,48 +141,49 @@
             if (!name) {
                 r.fail("facts.teams.name", "missing", &node);
             }
-            TeamFacts team;
-            team.name = *name;
-            team.cpus = r.number((*t)["cpus"], "facts.teams.cpus");
-            team.cpus_max = r.number((*t)["cpus_max"], "facts.teams.cpus_max");
-            team.gpus = r.number((*t)["gpus"], "facts.teams.gpus");
-            team.gpus_max = r.number((*t)["gpus_max"], "facts.teams.gpus_max");
-            s.facts.teams.push_back(std::move(team));
+            TeamQuota quota;
+            quota.name = *name;
+            quota.guaranteed_cpus = r.number((*t)["cpus"], "facts.teams.cpus");
+            quota.max_cpus = r.number((*t)["cpus_max"], "facts.teams.cpus_max");
+            quota.guaranteed_gpus = r.number((*t)["gpus"], "facts.teams.gpus");
+            quota.max_gpus = r.number((*t)["gpus_max"], "facts.teams.gpus_max");
+            s.cluster.teams.push_back(std::move(quota));
         }
     }
     if (const auto* objectives = r.list("facts.objectives")) {
         for (const auto& node : *objectives) {
             const auto* t = node.as_table();
             std::string kind = t ? (*t)["kind"].value_or<std::string>("") : "";
-            Objective o;
-            o.job_class = t ? (*t)["class"].value_or<std::string>("") : "";
+            ServiceLevelObjective objective;
+            objective.job_class = t ? (*t)["class"].value_or<std::string>("") : "";
             if (kind == "finished" || kind == "wait") {
-                o.kind = kind == "wait" ? Objective::Kind::wait : Objective::Kind::finished;
-                o.within_s = r.number((*t)["within_s"], "facts.objectives.within_s");
+                objective.kind = kind == "wait" ? ServiceLevelObjective::Kind::wait
+                                                : ServiceLevelObjective::Kind::finished;
+                objective.within_s = r.number((*t)["within_s"], "facts.objectives.within_s");
             } else if (kind == "deadline") {
-                o.kind = Objective::Kind::deadline;
-                o.times = (*t)["times"].value_or(1.0);
+                objective.kind = ServiceLevelObjective::Kind::deadline;
+                objective.times = (*t)["times"].value_or(1.0);
             } else {
                 continue; // not about one class of jobs
             }
-            s.facts.objectives.push_back(std::move(o));
+            s.cluster.objectives.push_back(std::move(objective));
         }
     }
-    s.facts.report_s = r.positive("facts.workers.report_s");
-    s.facts.lease_s = r.positive("facts.workers.lease_s");
-    s.facts.cancel_s = r.positive("facts.workers.cancel_s");
-    s.facts.gang_wait_s = r.positive("facts.workers.gang_wait_s");
-    s.facts.gang_peer_s = r.positive("facts.workers.gang_peer_s");
-    s.facts.state_rps = r.positive("facts.state.rps");
-    s.facts.state_write_rps = r.positive("facts.state.write_rps");
-    s.facts.value_kb = r.positive("facts.state.value_kb");
-    s.facts.txn_ops = static_cast<int>(r.positive("facts.state.txn_ops"));
-    s.facts.cloud_rps = r.positive("facts.cloud.rps");
-    s.facts.list_lag_s = r.number("facts.cloud.list_lag_s");
+    s.cluster.heartbeat_interval_s = r.positive("facts.workers.report_s");
+    s.cluster.worker_lease_s = r.positive("facts.workers.lease_s");
+    s.cluster.cancel_s = r.positive("facts.workers.cancel_s");
+    s.cluster.gang_start_timeout_s = r.positive("facts.workers.gang_wait_s");
+    s.cluster.gang_stop_timeout_s = r.positive("facts.workers.gang_peer_s");
+    s.cluster.store_requests_per_s = r.positive("facts.state.rps");
+    s.cluster.store_writes_per_s = r.positive("facts.state.write_rps");
+    s.cluster.store_value_limit_kb = r.positive("facts.state.value_kb");
+    s.cluster.store_transaction_limit = static_cast<int>(r.positive("facts.state.txn_ops"));
+    s.cluster.cloud_requests_per_s = r.positive("facts.cloud.rps");
+    s.cluster.list_lag_s = r.number("facts.cloud.list_lag_s");
     s.sockets = static_cast<int>(r.positive("facts.machine_limits.sockets"));
-    s.facts.orders_at_once = std::max(kLeastOrders, s.sockets / kSocketsAnOrder);
-    s.state_threads = std::max(kLeastStateCalls, s.sockets / kSocketsAStateCall);
+    s.cluster.max_concurrent_commands = std::max(kLeastOrders, s.sockets / kSocketsAnOrder);
+    s.store_threads = std::max(kLeastStateCalls, s.sockets / kSocketsAStateCall);
     return s;
 }
 
-} // namespace orchidlanding::cli
+} // namespace scheduler::cli
--- a/src/cli/settings.h
+++ b/src/cli/settings.h
@@ -6,26 +6,26 @@
 
 #include "core/types.h"
 
-namespace orchidlanding::cli {
+namespace scheduler::cli {
 
-struct BadSettings : std::runtime_error {
+struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 struct Settings {
-    Facts facts;
+    ClusterSettings cluster;
     std::string listen_host;
     int listen_port = 0;
     std::string back_host;
     int back_port = 0;
     std::map<std::string, std::string> peers; // node: address
     std::string cloud;
-    std::string state;
+    std::string store;
     int sockets = 0;
-    int state_threads = 0; // calls to the state service at once
+    int store_threads = 0; // calls to the state service at once
 };
 
 // Throws BadSettings, naming file, key and reason.
 Settings read_settings(const std::string& file);
 
-} // namespace orchidlanding::cli
+} // namespace scheduler::cli
--- a/src/core/accounts.cpp
+++ b/src/core/accounts.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 // A machine that lives answers a question, or comes by itself, within this many report times.
@@ -12,140 +12,147 @@
 constexpr int kProbes = 3;
 } // namespace
 
-Accounts::Accounts(const Claim& claim, const Facts& facts, MachineTable& machines, Calls& calls,
-                   Part& owner)
-    : claim_(claim), facts_(facts), machines_(machines), calls_(calls), owner_(owner) {}
+Reconciliation::Reconciliation(const Leadership& leadership, const ClusterSettings& settings,
+                               MachineTable& machines, OutboundRequests& requests,
+                               Delegate& delegate)
+    : leadership_(leadership), settings_(settings), machines_(machines), requests_(requests),
+      delegate_(delegate) {}
 
-void Accounts::seen(const Machine& machine) {
-    if (auto share = shares_.find(machine.share); share != shares_.end()) {
-        share->second.open.erase(machine.name);
+void Reconciliation::on_inventory(const Machine& machine) {
+    if (auto shard = shards_.find(machine.shard); shard != shards_.end()) {
+        shard->second.unreconciled.erase(machine.name);
     }
 }
 
-void Accounts::read(const ShareId& share) {
-    Share& s = shares_.at(share);
-    s.read = true;
-    for (const auto& name : s.open) {
-        to_ask_.push_back({name, kProbes});
+void Reconciliation::on_registry_read(const ShardId& shard) {
+    Shard& s = shards_.at(shard);
+    s.registry_read = true;
+    for (const auto& name : s.unreconciled) {
+        pending_probes_.push_back({name, kProbes});
     }
-    ask();
+    probe_due();
 }
 
-std::vector<ShareId> Accounts::look(Time now) {
-    std::vector<ShareId> news;
-    for (auto& [id, s] : shares_) {
-        if (s.done || !s.read) {
+std::vector<ShardId> Reconciliation::newly_reconciled(Time now) {
+    std::vector<ShardId> news;
+    for (auto& [id, s] : shards_) {
+        if (s.reconciled || !s.registry_read) {
             continue;
         }
-        if (now > s.since + machines_.lease_bound_s()) {
-            s.open.clear();
+        if (now > s.since + machines_.max_lease_s()) {
+            s.unreconciled.clear();
         }
-        s.done = s.open.empty();
-        if (s.done) {
+        s.reconciled = s.unreconciled.empty();
+        if (s.reconciled) {
             news.push_back(id);
         }
     }
     return news;
 }
 
-bool Accounts::done(const ShareId& share) const {
-    auto it = shares_.find(share);
-    return it != shares_.end() && it->second.done;
+bool Reconciliation::is_reconciled(const ShardId& shard) const {
+    auto it = shards_.find(shard);
+    return it != shards_.end() && it->second.reconciled;
 }
 
-bool Accounts::all_done() const {
-    return std::all_of(shares_.begin(), shares_.end(), [](const auto& s) { return s.second.done; });
+bool Reconciliation::all_reconciled() const {
+    return std::all_of(shards_.begin(), shards_.end(),
+                       [](const auto& s) { return s.second.reconciled; });
 }
 
-void Accounts::release_missing(Time now) {
+void Reconciliation::release_missing(Time now) {
     struct Group { // of shares that came at the same time
         std::size_t open = 0;
         std::size_t all = 0;
     };
     std::map<Time, Group> groups;
     std::size_t open = 0;
-    for (const auto& [id, s] : shares_) {
-        groups[s.since].open += s.open.size();
-        open += s.open.size();
+    for (const auto& [id, s] : shards_) {
+        groups[s.since].open += s.unreconciled.size();
+        open += s.unreconciled.size();
     }
     if (open == 0 || now < next_release_) {
         return;
     }
     std::size_t heard = 0;
     for (const auto& [name, m] : machines_.all()) {
-        heard += m.reported && now - m.last_report < kTakeoverReports * facts_.report_s;
-        if (auto share = shares_.find(m.share); share != shares_.end()) {
-            ++groups[share->second.since].all;
+        heard += m.reporting &&
+                 now - m.last_heartbeat < kTakeoverReports * settings_.heartbeat_interval_s;
+        if (auto shard = shards_.find(m.shard); shard != shards_.end()) {
+            ++groups[shard->second.since].all;
         }
     }
     if (open > heard) {
         return; // it is we who hear nothing
     }
     std::vector<std::string> missing;
-    for (const auto& [id, s] : shares_) {
+    for (const auto& [id, s] : shards_) {
         const Group& group = groups[s.since];
-        bool all = now - s.since > kTakeoverReports * facts_.report_s;
-        for (const auto& name : s.open) {
-            const Machine* m = machines_.find(name);
-            if (2 * group.open <= group.all && m && !m->reported && !m->releasing &&
-                (all || m->unanswered >= kProbes - 1)) {
+        bool all = now - s.since > kTakeoverReports * settings_.heartbeat_interval_s;
+        for (const auto& name : s.unreconciled) {
+            const Machine* machine = machines_.find(name);
+            if (2 * group.open <= group.all && machine && !machine->reporting &&
+                !machine->releasing && (all || machine->unanswered_commands >= kProbes - 1)) {
                 missing.push_back(name);
             }
         }
     }
     if (!missing.empty()) {
-        next_release_ = now + facts_.report_s / 6;
-        owner_.release(now, missing);
+        next_release_ = now + settings_.heartbeat_interval_s / 6;
+        delegate_.release_machines(now, missing);
     }
 }
 
-void Accounts::ask(const std::string& machine) {
-    to_ask_.push_back({machine, 1});
-    ask();
+void Reconciliation::probe_due(const std::string& machine) {
+    pending_probes_.push_back({machine, 1});
+    probe_due();
 }
 
 // No more than may be under way at once: a question that has to wait in this process would look as
 // if the machine did not answer.
-void Accounts::ask() {
-    while (asking_ < facts_.orders_at_once && !to_ask_.empty()) {
-        Question question = std::move(to_ask_.front());
-        to_ask_.pop_front();
+void Reconciliation::probe_due() {
+    while (probes_in_flight_ < settings_.max_concurrent_commands && !pending_probes_.empty()) {
+        Probe question = std::move(pending_probes_.front());
+        pending_probes_.pop_front();
         probe(question);
     }
 }
 
 // An empty direct command under our token: its answer is a listing, and nothing that carries an
 // older token can come after it. The first answer may only tell the session.
-void Accounts::probe(const Question& question) {
-    Machine* m = machines_.find(question.machine);
-    if (!m || m->fenced || m->releasing || m->endpoint.empty()) {
+void Reconciliation::probe(const Probe& question) {
+    Machine* target = machines_.find(question.machine);
+    if (!target || target->fenced || target->releasing || target->endpoint.empty()) {
         return;
     }
-    ++asking_;
-    calls_.send(Orders{m->name, m->endpoint, m->token(), m->session, {}},
-                [this, question](Time at, CallReply& reply) {
-                    --asking_;
-                    Machine* machine = machines_.find(question.machine);
-                    if (!machine || !claim_.usable(at)) {
-                        return;
-                    }
-                    if (reply.unsent) { // says nothing of the machine: asked again at the next tick
-                        to_ask_.push_back(question);
-                        return;
-                    }
-                    machine->unanswered = reply.status == 0 ? machine->unanswered + 1 : 0;
-                    if (reply.report && reply.report->machine == question.machine) {
-                        if (reply.report->session > machine->lapsed_session) {
-                            machine->last_report = at;
-                        }
-                        owner_.apply(at, *machine, *reply.report, reply.call);
-                    }
-                    owner_.settle(at);
-                    if (question.tries > 1) {
-                        to_ask_.push_back({question.machine, question.tries - 1});
-                    }
-                    ask();
-                });
+    ++probes_in_flight_;
+    requests_.send(
+        WorkerCommands{
+            target->name, target->endpoint, target->fencing_token(), target->agent_epoch, {}},
+        [this, question](Time at, OutboundResponse& response) {
+            --probes_in_flight_;
+            Machine* machine = machines_.find(question.machine);
+            if (!machine || !leadership_.is_active(at)) {
+                return;
+            }
+            if (response.never_sent) { // says nothing of the machine: asked again at the next tick
+                pending_probes_.push_back(question);
+                return;
+            }
+            machine->unanswered_commands =
+                response.status == 0 ? machine->unanswered_commands + 1 : 0;
+            if (response.heartbeat && response.heartbeat->machine == question.machine) {
+                if (response.heartbeat->agent_epoch > machine->expired_epoch) {
+                    machine->last_heartbeat = at;
+                }
+                delegate_.apply_heartbeat(at, *machine, *response.heartbeat, response.request_id);
+            }
+            delegate_.try_reconcile(at);
+            if (question.attempts_left > 1) {
+                pending_probes_.push_back({question.machine, question.attempts_left - 1});
+            }
+            probe_due();
+        });
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/accounts.h
+++ b/src/core/accounts.h
@@ -9,41 +9,44 @@
 #include "core/claim.h"
 #include "core/machine_table.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Accounts {
+class Reconciliation {
   public:
-    struct Part { // what it needs of the part it works for
-        virtual ~Part() = default;
+    struct Delegate { // what it needs of the part it works for
+        virtual ~Delegate() = default;
         // The machine's own answer to a direct command.
-        virtual void apply(Time now, Machine& machine, const Report& report, CallId orders) = 0;
-        virtual void settle(Time now) = 0;
-        virtual void release(Time now, std::vector<std::string> machines) = 0;
+        virtual void apply_heartbeat(Time now, Machine& machine, const Heartbeat& heartbeat,
+                                     OutboundRequestId orders) = 0;
+        virtual void try_reconcile(Time now) = 0;
+        virtual void release_machines(Time now, std::vector<std::string> machines) = 0;
     };
-    Accounts(const Claim& claim, const Facts& facts, MachineTable& machines, Calls& calls,
-             Part& owner);
+    Reconciliation(const Leadership& leadership, const ClusterSettings& settings,
+                   MachineTable& machines, OutboundRequests& requests, Delegate& delegate);
 
-    void begin(Time now, const ShareId& share) { shares_[share] = {now, false, false, {}}; }
-    void end(const ShareId& share) { shares_.erase(share); }
+    void begin(Time now, const ShardId& shard) { shards_[shard] = {now, false, false, {}}; }
+    void end(const ShardId& shard) { shards_.erase(shard); }
     // The machine may carry tasks that are not known.
-    void expect(const Machine& machine) { shares_.at(machine.share).open.insert(machine.name); }
+    void expect(const Machine& machine) {
+        shards_.at(machine.shard).unreconciled.insert(machine.name);
+    }
     // So may one of the share that is not known by more than its name.
-    void expect(const ShareId& share, const std::string& name) {
-        shares_.at(share).open.insert(name);
+    void expect(const ShardId& shard, const std::string& name) {
+        shards_.at(shard).unreconciled.insert(name);
     }
     // From here on its listings are all there is; or it is gone.
-    void seen(const Machine& machine);
+    void on_inventory(const Machine& machine);
     // The share's roster has been read: its machines are asked.
-    void read(const ShareId& share);
+    void on_registry_read(const ShardId& shard);
     // Asks those whose turn it is.
-    void ask();
+    void probe_due();
     // A listing of this machine is waited for.
-    void ask(const std::string& machine);
-    bool is_read(const ShareId& share) const { return shares_.at(share).read; }
+    void probe_due(const std::string& machine);
+    bool is_registry_read(const ShardId& shard) const { return shards_.at(shard).registry_read; }
     // Shares that are accounted for from now on.
-    std::vector<ShareId> look(Time now);
-    bool done(const ShareId& share) const;
-    bool all_done() const;
+    std::vector<ShardId> newly_reconciled(Time now);
+    bool is_reconciled(const ShardId& shard) const;
+    bool all_reconciled() const;
     // The few machines that neither answer nor come to this owner while the rest do are most likely
     // gone. A release makes that certain long before their leases run out, and until it is certain
     // no older task can be placed. Few, that is of those that came to us at the same time: if most
@@ -51,27 +54,27 @@
     void release_missing(Time now);
 
   private:
-    struct Question {
+    struct Probe {
         std::string machine;
-        int tries = 0; // that are left
+        int attempts_left = 0; // that are left
     };
-    void probe(const Question& question);
+    void probe(const Probe& question);
 
-    const Claim& claim_;
-    const Facts& facts_;
+    const Leadership& leadership_;
+    const ClusterSettings& settings_;
     MachineTable& machines_;
-    Calls& calls_;
-    Part& owner_;
-    struct Share {
+    OutboundRequests& requests_;
+    Delegate& delegate_;
+    struct Shard {
         Time since = 0;
-        bool read = false;
-        bool done = false;
-        std::set<std::string> open;
+        bool registry_read = false;
+        bool reconciled = false;
+        std::set<std::string> unreconciled;
     };
-    std::map<ShareId, Share> shares_;
-    std::deque<Question> to_ask_;
-    int asking_ = 0;
+    std::map<ShardId, Shard> shards_;
+    std::deque<Probe> pending_probes_;
+    int probes_in_flight_ = 0;
     Time next_release_ = 0;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/authority.cpp
+++ b/src/core/authority.cpp
@@ -2,27 +2,27 @@
 
 #include <algorithm>
 
-namespace orchidlanding {
+namespace scheduler {
 
-void Authority::granted(std::uint64_t lease, Time sent) {
-    lease_ = lease;
-    valid_until_ = sent + ttl_s_ * (1 - kDrift);
+void LeadershipLease::on_granted(std::uint64_t lease, Time sent) {
+    store_lease_ = lease;
+    valid_until_ = sent + ttl_s_ * (1 - kMaxClockDrift);
 }
 
-void Authority::renewed(Time sent) {
-    valid_until_ = std::max(valid_until_, sent + ttl_s_ * (1 - kDrift));
+void LeadershipLease::on_renewed(Time sent) {
+    valid_until_ = std::max(valid_until_, sent + ttl_s_ * (1 - kMaxClockDrift));
 }
 
-void Authority::lost() {
-    lease_ = 0;
+void LeadershipLease::on_lost() {
+    store_lease_ = 0;
     valid_until_ = 0;
-    promised_until_ = 0;
+    extended_until_ = 0;
     terms_.clear();
 }
 
-void Authority::promised(int part, Time until) {
-    promised_part_ = part;
-    promised_until_ = until;
+void LeadershipLease::extend(int partition, Time until) {
+    extended_partition_ = partition;
+    extended_until_ = until;
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/authority.h
+++ b/src/core/authority.h
@@ -4,55 +4,55 @@
 
 #include "core/types.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 // The drift that two steady clocks may show against each other, doubled for safety. A safety
 // bound, so neither a setting nor a policy.
-inline constexpr double kDrift = 0.001;
+inline constexpr double kMaxClockDrift = 0.001;
 
-class Authority {
+class LeadershipLease {
   public:
-    explicit Authority(double ttl_s) : ttl_s_(ttl_s) {}
+    explicit LeadershipLease(double ttl_s) : ttl_s_(ttl_s) {}
 
     double ttl_s() const { return ttl_s_; }
-    std::uint64_t lease() const { return lease_; }
-    bool has_lease() const { return lease_ != 0; }
+    std::uint64_t store_lease() const { return store_lease_; }
+    bool has_store_lease() const { return store_lease_ != 0; }
     // Does the node's lease hold?
-    bool valid(Time now) const { return lease_ != 0 && now < valid_until_; }
+    bool is_valid(Time now) const { return store_lease_ != 0 && now < valid_until_; }
     // May commands and new answers go out now for a part that is held? Under the lease, or under
     // the promises of all siblings, which cover one part only.
-    bool valid(Time now, int part) const {
-        return valid(now) ||
-               (lease_ != 0 && part == promised_part_ && holds(part) && now < promised_until_);
+    bool is_valid(Time now, int partition) const {
+        return is_valid(now) || (store_lease_ != 0 && partition == extended_partition_ &&
+                                 leads(partition) && now < extended_until_);
     }
 
-    void granted(std::uint64_t lease, Time sent);
+    void on_granted(std::uint64_t lease, Time sent);
     // Counted from the sending of the renewal: the lease cannot end earlier than that.
-    void renewed(Time sent);
-    void lost();
+    void on_renewed(Time sent);
+    void on_lost();
     // No sibling claims the part before then, by this node's clock.
-    void promised(int part, Time until);
+    void extend(int partition, Time until);
 
-    bool holds(int part) const { return terms_.contains(part); }
-    std::uint64_t term(int part) const { return terms_.at(part); }
-    void claimed(int part, std::uint64_t term) { terms_[part] = term; }
-    void dropped(int part) { terms_.erase(part); }
+    bool leads(int partition) const { return terms_.contains(partition); }
+    std::uint64_t term(int partition) const { return terms_.at(partition); }
+    void on_elected(int partition, std::uint64_t term) { terms_[partition] = term; }
+    void on_resigned(int partition) { terms_.erase(partition); }
 
   private:
     double ttl_s_;
-    std::uint64_t lease_ = 0;
+    std::uint64_t store_lease_ = 0;
     Time valid_until_ = 0;
-    int promised_part_ = -1;
-    Time promised_until_ = 0;
+    int extended_partition_ = -1;
+    Time extended_until_ = 0;
     std::map<int, std::uint64_t> terms_;
 };
 
 // A worker token: the term of the machine's share in the upper bits, below it a sequence that the
 // holder raises to fence.
 inline constexpr int kSequenceBits = 20;
-inline std::uint64_t make_token(std::uint64_t term, std::uint64_t sequence) {
+inline std::uint64_t make_fencing_token(std::uint64_t term, std::uint64_t sequence) {
     return (term << kSequenceBits) | sequence;
 }
-inline std::uint64_t term_of_token(std::uint64_t token) { return token >> kSequenceBits; }
+inline std::uint64_t term_of_fencing_token(std::uint64_t token) { return token >> kSequenceBits; }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/balance.cpp
+++ b/src/core/balance.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr double kLeastCapacity = 0.1;
@@ -17,10 +17,11 @@
 constexpr double kHour = 3600;
 } // namespace
 
-Capacity::Capacity(const Facts& facts, double tick_s)
-    : report_s_(facts.report_s), lease_s_(facts.lease_s), tick_s_(tick_s) {}
+CpuHeadroom::CpuHeadroom(const ClusterSettings& settings, double tick_s)
+    : heartbeat_interval_s_(settings.heartbeat_interval_s), lease_s_(settings.worker_lease_s),
+      tick_s_(tick_s) {}
 
-void Capacity::tick(Time now) {
+void CpuHeadroom::tick(Time now) {
     if (last_ < 0) {
         last_ = now;
         window_since_ = now;
@@ -30,10 +31,10 @@
     late_s_ += std::max(0.0, now - last_ - tick_s_);
     ++ticks_;
     last_ = now;
-    if (now - window_since_ < report_s_) {
+    if (now - window_since_ < heartbeat_interval_s_) {
         return;
     }
-    if (late_s_ / ticks_ > kLate * report_s_) {
+    if (late_s_ / ticks_ > kLate * heartbeat_interval_s_) {
         value_ = std::max(kLeastCapacity, value_ * kFall);
         raise_at_ = now + lease_s_;
     } else if (now >= raise_at_) {
@@ -45,47 +46,53 @@
     ticks_ = 0;
 }
 
-Balance::Balance(const Facts& facts)
-    : report_s_(facts.report_s), most_an_hour_(kHourly * shares_at(facts, facts.home)),
-      left_(shares_at(facts, facts.home)) {}
+ShardBalancer::ShardBalancer(const ClusterSettings& settings)
+    : heartbeat_interval_s_(settings.heartbeat_interval_s),
+      max_moves_per_hour_(kHourly * shards_per_home(settings, settings.home_partition)),
+      moves_left_(shards_per_home(settings, settings.home_partition)) {}
 
-void Balance::began(Time now) {
-    left_ -= 1;
-    next_ = now + kPauseReports * report_s_;
+void ShardBalancer::on_migration_started(Time now) {
+    moves_left_ -= 1;
+    next_ = now + kPauseReports * heartbeat_interval_s_;
 }
 
-std::optional<MoveChoice> Balance::choose(Time now, int self, const std::vector<PartLoad>& parts,
-                                          const std::vector<ShareLoad>& shares,
-                                          double machine_slots) {
-    left_ = std::min(most_an_hour_ / kHourly, left_ + (now - left_at_) * most_an_hour_ / kHour);
-    left_at_ = now;
+std::optional<ShardMove> ShardBalancer::choose(Time now, int self,
+                                               const std::vector<PartitionLoad>& partitions,
+                                               const std::vector<ShardLoad>& shards,
+                                               double machine_slots) {
+    moves_left_ = std::min(max_moves_per_hour_ / kHourly,
+                           moves_left_ + (now - moves_left_at_) * max_moves_per_hour_ / kHour);
+    moves_left_at_ = now;
     double total = 0;
-    const PartLoad* mine = nullptr;
-    const PartLoad* least = nullptr;
-    auto load = [](const PartLoad& p) { return p.slots / p.capacity; };
-    for (const auto& p : parts) {
+    const PartitionLoad* mine = nullptr;
+    const PartitionLoad* least = nullptr;
+    auto load = [](const PartitionLoad& p) { return p.slots / p.cpu_headroom; };
+    for (const auto& p : partitions) {
         total += p.slots;
-        if (p.part == self) {
+        if (p.partition == self) {
             mine = &p;
-        } else if (p.takes && (!least || load(p) < load(*least))) {
+        } else if (p.accepts_shards && (!least || load(p) < load(*least))) {
             least = &p;
         }
     }
-    if (!mine || !least || total < kMachines * machine_slots * static_cast<double>(parts.size())) {
+    if (!mine || !least ||
+        total < kMachines * machine_slots * static_cast<double>(partitions.size())) {
         return std::nullopt;
     }
-    double bound = giving_ ? kEnd : kBegin;
-    giving_ = load(*mine) > bound * load(*least);
-    if (!giving_ || now < next_ || left_ < 1) {
+    double bound = rebalancing_ ? kEnd : kBegin;
+    rebalancing_ = load(*mine) > bound * load(*least);
+    if (!rebalancing_ || now < next_ || moves_left_ < 1) {
         return std::nullopt;
     }
     // The largest share after which the giver is not below the taker; of equals the one that goes
     // home.
-    const ShareLoad* best = nullptr;
-    auto rank = [&](const ShareLoad& s) { return std::pair(s.slots, s.share.home == least->part); };
-    for (const auto& s : shares) {
-        bool fits = s.settled && (mine->slots - s.slots) / mine->capacity >=
-                                     (least->slots + s.slots) / least->capacity;
+    const ShardLoad* best = nullptr;
+    auto rank = [&](const ShardLoad& s) {
+        return std::pair(s.slots, s.shard.home_partition == least->partition);
+    };
+    for (const auto& s : shards) {
+        bool fits = s.movable && (mine->slots - s.slots) / mine->cpu_headroom >=
+                                     (least->slots + s.slots) / least->cpu_headroom;
         if (fits && (!best || rank(s) > rank(*best))) {
             best = &s;
         }
@@ -93,7 +100,7 @@
     if (!best || best->slots <= 0) {
         return std::nullopt;
     }
-    return MoveChoice{best->share, least->part};
+    return ShardMove{best->shard, least->partition};
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/balance.h
+++ b/src/core/balance.h
@@ -4,20 +4,20 @@
 
 #include "core/shares.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 // How much of its work a node's processor keeps up with, reckoned by the node itself: from a tenth
 // to one. It falls by a part in each report time in which the timer came late, and rises by a step
 // in each lease time in which it did not.
-class Capacity {
+class CpuHeadroom {
   public:
-    Capacity(const Facts& facts, double tick_s);
+    CpuHeadroom(const ClusterSettings& settings, double tick_s);
     // The timer has come.
     void tick(Time now);
     double value() const { return value_; }
 
   private:
-    double report_s_;
+    double heartbeat_interval_s_;
     double lease_s_;
     double tick_s_;
     double value_ = 1;
@@ -29,39 +29,40 @@
 };
 
 // What an owner knows of the machines of a part, its own included.
-struct PartLoad {
-    int part = 0;
+struct PartitionLoad {
+    int partition = 0;
     double slots = 0; // of usable machines
-    double capacity = 1;
-    bool takes = false; // heard of lately, by its home node: it can be given shares
+    double cpu_headroom = 1;
+    bool accepts_shards = false; // heard of lately, by its home node: it can be given shares
 };
 // A share that its holder could give.
-struct ShareLoad {
-    ShareId share;
+struct ShardLoad {
+    ShardId shard;
     double slots = 0;
-    bool settled = false; // nothing is in the way of a move
+    bool movable = false; // nothing is in the way of a move
 };
-struct MoveChoice {
-    ShareId share;
-    int to = 0;
+struct ShardMove {
+    ShardId shard;
+    int to_partition = 0;
 };
 
-class Balance {
+class ShardBalancer {
   public:
-    explicit Balance(const Facts& facts);
+    explicit ShardBalancer(const ClusterSettings& settings);
     // What `self` should give now, if anything. `machine_slots`: of the largest type.
-    std::optional<MoveChoice> choose(Time now, int self, const std::vector<PartLoad>& parts,
-                                     const std::vector<ShareLoad>& shares, double machine_slots);
+    std::optional<ShardMove> choose(Time now, int self,
+                                    const std::vector<PartitionLoad>& partitions,
+                                    const std::vector<ShardLoad>& shards, double machine_slots);
     // A move has begun.
-    void began(Time now);
+    void on_migration_started(Time now);
 
   private:
-    double report_s_;
-    double most_an_hour_;
-    double left_; // moves that the hour's bound leaves
-    Time left_at_ = 0;
+    double heartbeat_interval_s_;
+    double max_moves_per_hour_;
+    double moves_left_; // moves that the hour's bound leaves
+    Time moves_left_at_ = 0;
     Time next_ = 0;
-    bool giving_ = false; // the difference has been large, and is not small yet
+    bool rebalancing_ = false; // the difference has been large, and is not small yet
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/borrowing.cpp
+++ b/src/core/borrowing.cpp
@@ -4,7 +4,7 @@
 #include <tuple>
 #include <utility>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr double kMostBatch = 64;
@@ -12,96 +12,100 @@
 constexpr std::size_t kMostTold = 256; // words on tasks, and machines bought, in a call
 } // namespace
 
-Borrowing::Borrowing(Claim& claim, const Facts& facts, const Policy& policy, const PartTable& table,
-                     const Holdings& holdings, JobStore& jobs, Teams& teams, Gangs& gangs,
-                     WaitingOrder& order, DemandBook& demand, Calls& calls, Part& owner)
-    : claim_(claim), facts_(facts), policy_(policy), table_(table), holdings_(holdings),
-      jobs_(jobs), teams_(teams), gangs_(gangs), order_(order), demand_(demand), calls_(calls),
-      owner_(owner) {
-    for (int p = 0; p < static_cast<int>(facts_.parts.size()); ++p) {
-        if (p != claim_.part()) {
-            peers_[p].batch = policy_.steal_batch;
+SlotBorrower::SlotBorrower(Leadership& leadership, const ClusterSettings& settings,
+                           const SchedulingPolicy& policy, const PartitionMap& partition_map,
+                           const OwnedShards& owned_shards, JobStore& jobs, QuotaLedger& quotas,
+                           GangTracker& gangs, PendingQueue& queue, DemandTracker& demand,
+                           OutboundRequests& requests, Delegate& delegate)
+    : leadership_(leadership), settings_(settings), policy_(policy), partition_map_(partition_map),
+      owned_shards_(owned_shards), jobs_(jobs), quotas_(quotas), gangs_(gangs), queue_(queue),
+      demand_(demand), requests_(requests), delegate_(delegate) {
+    for (int p = 0; p < static_cast<int>(settings_.partitions.size()); ++p) {
+        if (p != leadership_.partition()) {
+            peers_[p].batch = policy_.initial_steal_batch;
         }
     }
 }
 
-void Borrowing::call(Time now) {
-    if (!claim_.usable(now)) {
+void SlotBorrower::sync_due_peers(Time now) {
+    if (!leadership_.is_active(now)) {
         return;
     }
-    for (auto& [part, peer] : peers_) {
-        if (!peer.in_flight && now >= peer.next && !table_.at(part).node.empty()) {
-            call_peer(now, part, peer);
+    for (auto& [partition, peer] : peers_) {
+        if (!peer.in_flight && now >= peer.next && !partition_map_.at(partition).leader.empty()) {
+            sync_peer(now, partition, peer);
         }
     }
 }
 
-void Borrowing::call_soon() {
-    for (auto& [part, peer] : peers_) {
+void SlotBorrower::sync_soon() {
+    for (auto& [partition, peer] : peers_) {
         peer.next = 0;
     }
 }
 
-std::vector<Want> Borrowing::wants_for(Time now, int part, const Peer& peer) {
+std::vector<SlotRequest> SlotBorrower::slot_requests_for(Time now, int partition,
+                                                         const Peer& peer) {
     auto nth = static_cast<std::uint64_t>(
-        std::distance(peers_.begin(), peers_.find(part))); // of the peers
-    std::vector<Want> wants;
+        std::distance(peers_.begin(), peers_.find(partition))); // of the peers
+    std::vector<SlotRequest> wants;
     // One slot for a job to begin with, of one peer at a time, each in turn for a report time.
     auto begins = [&](const Job* job) {
-        auto turn = hash_of(job->spec.id) + static_cast<std::uint64_t>(now / facts_.report_s);
-        return job->to_begin && turn % peers_.size() == nth;
+        auto turn = stable_hash(job->spec.id) +
+                    static_cast<std::uint64_t>(now / settings_.heartbeat_interval_s);
+        return job->awaits_first_task && turn % peers_.size() == nth;
     };
-    auto first = [&](const Job* job) { return begins(job) || order_.kept(job->spec); };
+    auto first = [&](const Job* job) { return begins(job) || queue_.is_starving(job->spec); };
     std::vector<const Job*> waiting;
     for (const auto& [id, job] : jobs_.all()) {
-        if (owner_.waits(now, *job)) {
+        if (delegate_.has_schedulable_tasks(now, *job)) {
             waiting.push_back(job.get());
         }
     }
     std::sort(waiting.begin(), waiting.end(), [&](const Job* a, const Job* b) {
-        return std::tuple(!first(a), a->spec.priority, !order_.longest(a->spec.team), a->due,
-                          a->known_since) < std::tuple(!first(b), b->spec.priority,
-                                                       !order_.longest(b->spec.team), b->due,
-                                                       b->known_since);
+        return std::tuple(!first(a), a->spec.priority, !queue_.is_bottleneck(a->spec.team), a->due,
+                          a->first_seen) < std::tuple(!first(b), b->spec.priority,
+                                                      !queue_.is_bottleneck(b->spec.team), b->due,
+                                                      b->first_seen);
     });
     // Many jobs, so that the peer can choose by image; it gives no more than the batch in all.
-    Teams room = teams_; // so that slots are not asked for beyond a team's limit
+    QuotaLedger room = quotas_; // so that slots are not asked for beyond a team's limit
     for (const Job* job : waiting) {
-        const JobSpec& s = job->spec;
-        Want w;
-        w.job = s.id;
-        w.kind = s.kind;
-        w.cpus = s.cpus;
-        w.gpus = s.gpus;
-        w.ram_gb = s.ram_gb;
-        w.image = s.image;
-        w.image_gb = s.image_gb;
-        w.types = s.types;
-        w.zone = s.zone;
-        w.spot = s.spot;
-        w.priority = WaitingOrder::rank(*job, begins(job));
-        w.longest = order_.longest(s.team);
-        w.kept = first(job);
-        w.borrows = !teams_.within_guarantee(s.team, s.cpus, s.gpus);
-        w.preempt = job->wants_room;
-        w.age_s = now - job->known_since;
-        w.due_s = std::max(0.0, job->due - now);
-        if (s.kind == JobKind::gang) {
+        const JobSpec& spec = job->spec;
+        SlotRequest request;
+        request.job = spec.id;
+        request.kind = spec.kind;
+        request.cpus = spec.cpus;
+        request.gpus = spec.gpus;
+        request.ram_gb = spec.ram_gb;
+        request.image = spec.image;
+        request.image_gb = spec.image_gb;
+        request.types = spec.types;
+        request.zone = spec.zone;
+        request.spot = spec.spot;
+        request.priority = PendingQueue::rank(*job, begins(job));
+        request.bottleneck_team = queue_.is_bottleneck(spec.team);
+        request.starving = first(job);
+        request.over_guarantee = !quotas_.within_guarantee(spec.team, spec.cpus, spec.gpus);
+        request.preempt = job->needs_preemption;
+        request.age_s = now - job->first_seen;
+        request.due_s = std::max(0.0, job->due - now);
+        if (spec.kind == JobKind::gang) {
             auto n = static_cast<double>(job->waiting.size());
-            if (!room.fits(s.team, n * s.cpus, n * s.gpus) ||
-                !owner_.want_gang(*job, peer.calls % 2 == 1, w)) {
+            if (!room.fits(spec.team, n * spec.cpus, n * spec.gpus) ||
+                !delegate_.request_gang_slots(*job, peer.calls % 2 == 1, request)) {
                 continue;
             }
-            room.use(s.team, n * s.cpus, n * s.gpus);
+            room.add_usage(spec.team, n * spec.cpus, n * spec.gpus);
         }
         std::size_t most = begins(job) ? 1 : job->waiting.size(); // then it stands in line again
-        while (s.kind != JobKind::gang && w.count < peer.batch && w.count < most &&
-               room.fits(s.team, s.cpus, s.gpus)) {
-            room.use(s.team, s.cpus, s.gpus);
-            ++w.count;
+        while (spec.kind != JobKind::gang && request.count < peer.batch && request.count < most &&
+               room.fits(spec.team, spec.cpus, spec.gpus)) {
+            room.add_usage(spec.team, spec.cpus, spec.gpus);
+            ++request.count;
         }
-        if (w.count > 0) {
-            wants.push_back(std::move(w));
+        if (request.count > 0) {
+            wants.push_back(std::move(request));
         }
         if (wants.size() == kMostWants) {
             break;
@@ -110,164 +114,173 @@
     return wants;
 }
 
-void Borrowing::call_peer(Time now, int part, Peer& peer) {
-    tell_ended(peer);
-    Exchange out;
-    out.from = claim_.part();
-    out.term = claim_.term();
-    out.to = part;
-    order_.get(now); // due times
-    out.number = ++peer.calls;
-    if (now >= peer.want_again) {
-        out.wants = wants_for(now, part, peer);
-    }
-    std::vector<Peer::Where> told;
-    for (const auto& [where, t] : peer.told) {
+void SlotBorrower::sync_peer(Time now, int partition, Peer& peer) {
+    queue_clears(peer);
+    PeerSyncRequest out;
+    out.from_partition = leadership_.partition();
+    out.term = leadership_.term();
+    out.to_partition = partition;
+    queue_.ordered(now); // due times
+    out.sequence = ++peer.calls;
+    if (now >= peer.request_again_at) {
+        out.slot_requests = slot_requests_for(now, partition, peer);
+    }
+    std::vector<Peer::RemoteLaunch> told;
+    for (const auto& [where, t] : peer.commands) {
         if (told.size() == kMostTold) {
             break;
         }
         told.push_back(where);
-        out.told.push_back(t);
+        out.commands.push_back(t);
     }
     std::vector<std::string> bought;
-    for (const auto& [name, b] : demand_.bought()) {
-        if (table_.holder(share_of_machine(facts_, name, b.first.zone)) == part &&
+    for (const auto& [name, b] : demand_.provisioned()) {
+        if (partition_map_.holder(shard_of_machine(settings_, name, b.first.zone)) == partition &&
             bought.size() < kMostTold) {
             bought.push_back(name);
-            out.bought.push_back({name, b.first.type, b.first.zone, b.first.spot});
+            out.provisioned.push_back({name, b.first.type, b.first.zone, b.first.spot});
         }
     }
-    out.given = peer.given;
-    out.seen_term = peer.seen_term;
-    out.seen = peer.anew == peer.anew_answered ? peer.seen : 0;
-    out.demand = demand_.standing(now).demand;
-    out.fleet = demand_.standing(now).fleet;
+    out.transfers = peer.transfers;
+    out.acked_term = peer.acked_term;
+    out.acked_version = peer.resyncs_requested == peer.resyncs_answered ? peer.acked_version : 0;
+    out.demand = demand_.current(now).demand;
+    out.capacity = demand_.current(now).capacity;
     std::uint32_t asked = 0;
     std::uint32_t gang = 0; // the largest
-    for (const auto& w : out.wants) {
+    for (const auto& w : out.slot_requests) {
         asked += w.count;
         gang = std::max(gang, w.kind == JobKind::gang ? w.count : 0);
     }
     asked = std::min(asked, std::max(gang, static_cast<std::uint32_t>(peer.batch)));
-    out.most = asked;
-    bool busy = asked > 0 || peer.tasks > 0 || !owner_.settled();
-    peer.next = now + (busy ? policy_.exchange_s : facts_.report_s / 3);
+    out.max_slots = asked;
+    bool busy = asked > 0 || peer.tasks > 0 || !delegate_.reconciled();
+    peer.next = now + (busy ? policy_.peer_sync_interval_s : settings_.heartbeat_interval_s / 3);
     peer.in_flight = true;
-    calls_.send(PeerCall{table_.at(part).node, std::move(out)},
-                [this, part, asked, told, bought, given = peer.given.size(),
-                 anew = peer.anew](Time at, CallReply& reply) {
-                    Peer& p = peers_.at(part);
-                    p.in_flight = false;
-                    if (reply.status != 200 || !reply.exchange || !claim_.usable(at)) {
-                        return;
-                    }
-                    p.anew_answered = anew;
-                    for (const auto& where : told) {
-                        p.told.erase(where);
-                    }
-                    p.given.erase(p.given.begin(),
-                                  p.given.begin() + static_cast<std::ptrdiff_t>(given));
-                    for (const auto& name : bought) {
-                        demand_.passed_on(name); // its owner counts it now, in this very reply
-                    }
-                    answered(at, part, asked, *reply.exchange);
-                });
+    requests_.send(
+        PeerSyncCall{partition_map_.at(partition).leader, std::move(out)},
+        [this, partition, asked, told, bought, given = peer.transfers.size(),
+         anew = peer.resyncs_requested](Time at, OutboundResponse& response) {
+            Peer& p = peers_.at(partition);
+            p.in_flight = false;
+            if (response.status != 200 || !response.peer_sync || !leadership_.is_active(at)) {
+                return;
+            }
+            p.resyncs_answered = anew;
+            for (const auto& where : told) {
+                p.commands.erase(where);
+            }
+            p.transfers.erase(p.transfers.begin(),
+                              p.transfers.begin() + static_cast<std::ptrdiff_t>(given));
+            for (const auto& name : bought) {
+                demand_.remove_provisioned(name); // its owner counts it now, in this very reply
+            }
+            on_response(at, partition, asked, *response.peer_sync);
+        });
 }
 
-void Borrowing::answered(Time at, int part, std::uint32_t asked, const ExchangeReply& reply) {
-    Peer& p = peers_.at(part);
-    heard(at, part, p, reply);
+void SlotBorrower::on_response(Time at, int partition, std::uint32_t asked,
+                               const PeerSyncResponse& response) {
+    Peer& p = peers_.at(partition);
+    apply_response(at, partition, p, response);
     // The first batch is small; while everything asked for is given, the next is twice as large and
     // follows at once.
-    if (asked > 0 && reply.grants.size() >= asked) {
+    if (asked > 0 && response.grants.size() >= asked) {
         p.batch = std::min(kMostBatch, p.batch * 2);
         p.next = at;
     } else {
-        p.batch = std::max(policy_.steal_batch, p.batch / 2);
+        p.batch = std::max(policy_.initial_steal_batch, p.batch / 2);
     }
-    if (std::any_of(p.told.begin(), p.told.end(),
-                    [](const auto& t) { return t.second.what == Told::What::back; })) {
+    if (std::any_of(p.commands.begin(), p.commands.end(), [](const auto& t) {
+            return t.second.type == RemoteTaskCommand::Type::return_slot;
+        })) {
         // The slots go back at once, but asked for again at once they would come and go as fast as
         // calls do.
         p.next = at;
-        p.want_again = at + policy_.exchange_s;
+        p.request_again_at = at + policy_.peer_sync_interval_s;
     }
-    owner_.after_reply(at);
+    delegate_.on_peer_response(at);
 }
 
 // Tasks of ours that ended there: their machine may forget them once that is durable here.
-void Borrowing::tell_ended(Peer& peer) {
-    std::erase_if(peer.ended, [&](const auto& e) {
-        const HeldTask& h = e.second;
-        if (!owner_.end_is_durable(h.listed)) {
+void SlotBorrower::queue_clears(Peer& peer) {
+    std::erase_if(peer.exited, [&](const auto& e) {
+        const RemoteTaskStatus& remote_task = e.second;
+        if (!delegate_.end_is_durable(remote_task.status)) {
             return false;
         }
-        peer.told[e.first] = {Told::What::clear, h.machine, e.first.first};
+        peer.commands[e.first] = {RemoteTaskCommand::Type::clear, remote_task.machine,
+                                  e.first.first};
         return true;
     });
 }
 
 // A word that does not wait for the next regular call.
-void Borrowing::tell(Peer& peer, Told told) {
-    Peer::Where where{told.id, told.machine};
-    peer.told[where] = std::move(told);
+void SlotBorrower::queue_command(Peer& peer, RemoteTaskCommand command) {
+    Peer::RemoteLaunch where{command.launch, command.machine};
+    peer.commands[where] = std::move(command);
     peer.next = 0;
 }
 
-void Borrowing::heard(Time now, int part, Peer& peer, const ExchangeReply& reply) {
-    if (reply.term < peer.heard_term) {
+void SlotBorrower::apply_response(Time now, int partition, Peer& peer,
+                                  const PeerSyncResponse& response) {
+    if (response.term < peer.heard_term) {
         return;
     }
-    peer.heard_term = reply.term;
-    peer.answered_term = reply.term;
-    demand_.heard(now, part, reply.demand, reply.fleet);
-    reconcile(now, part, peer, reply);
-    std::map<std::uint64_t, std::vector<Grant>> gangs;
-    for (const auto& grant : reply.grants) {
-        ShareId share = share_of_machine(facts_, grant.machine, grant.zone);
-        if (term_of_token(grant.token) < heard_[share]) {
-            give_back(part, grant); // its share has passed on since: the start would be refused
-        } else if ((grant.id.attempt & kGangBit) != 0) {
-            gangs[grant.id.attempt].push_back(grant);
+    peer.heard_term = response.term;
+    peer.answered_term = response.term;
+    demand_.on_peer_demand(now, partition, response.demand, response.capacity);
+    reconcile(now, partition, peer, response);
+    std::map<std::uint64_t, std::vector<SlotGrant>> gangs;
+    for (const auto& grant : response.grants) {
+        ShardId shard = shard_of_machine(settings_, grant.machine, grant.zone);
+        if (term_of_fencing_token(grant.fencing_token) < shard_terms_[shard]) {
+            return_grant(partition,
+                         grant); // its share has passed on since: the start would be refused
+        } else if ((grant.launch.attempt & kGangBit) != 0) {
+            gangs[grant.launch.attempt].push_back(grant);
         } else {
-            use_grant(now, part, peer, grant);
+            use_grant(now, partition, peer, grant);
         }
     }
     for (const auto& [attempt, grants] : gangs) {
-        owner_.use_gang_grants(now, part, grants);
+        delegate_.on_gang_grants(now, partition, grants);
     }
 }
 
-void Borrowing::take_posted(Time now, int part, const ExchangeReply& reply) {
-    Peer& peer = peers_.at(part);
-    if (reply.term >= peer.heard_term && reply.term != peer.answered_term) {
-        peer.heard_term = reply.term;
-        reconcile(now, part, peer, reply);
+void SlotBorrower::apply_posted_inventory(Time now, int partition,
+                                          const PeerSyncResponse& response) {
+    Peer& peer = peers_.at(partition);
+    if (response.term >= peer.heard_term && response.term != peer.answered_term) {
+        peer.heard_term = response.term;
+        reconcile(now, partition, peer, response);
     }
 }
 
 // What a reply says counts by share: only under the latest term that we know of, and not for shares
 // that we hold ourselves. `complete`: nothing has to be listed again.
-Borrowing::Listings Borrowing::current(int part, const ExchangeReply& reply, bool& complete) {
-    std::vector<ShareListing> listed;
-    if (reply.shares) {
-        listed = *reply.shares;
+SlotBorrower::ShardInventories
+SlotBorrower::current_inventories(int partition, const PeerSyncResponse& response, bool& complete) {
+    std::vector<ShardInventory> listed;
+    if (response.shards) {
+        listed = *response.shards;
     } else { // a node of the version before: it holds what is at home there
-        for (int number = 0; number < shares_at(facts_, part); ++number) {
-            listed.push_back({{part, number}, reply.term, reply.settled, reply.full});
+        for (int number = 0; number < shards_per_home(settings_, partition); ++number) {
+            listed.push_back(
+                {{partition, number}, response.term, response.reconciled, response.complete});
         }
     }
-    Listings out;
+    ShardInventories out;
     for (const auto& l : listed) {
-        if (const Holdings::Share* own = holdings_.find(l.share)) {
+        if (const OwnedShards::Shard* own = owned_shards_.find(l.shard)) {
             // A later holder than we are: we gave it away and have not heard that it is done.
             complete = complete && l.term < own->term;
             continue;
         }
-        std::uint64_t& heard = heard_[l.share];
+        std::uint64_t& heard = shard_terms_[l.shard];
         if (l.term >= heard) {
             heard = l.term;
-            out.emplace(l.share, l);
+            out.emplace(l.shard, l);
         }
     }
     return out;
@@ -276,296 +289,329 @@
 // For each share that it covers, the reply lists every task of ours there and every slot whose
 // start has not shown. A task of ours that is in neither is not on that machine, once all of the
 // share's machines are accounted for and the share has been listed whole, of late or before.
-void Borrowing::reconcile(Time now, int part, Peer& peer, const ExchangeReply& reply) {
-    bool complete = reply.clean;
-    Listings listings = current(part, reply, complete);
-    for (const auto& held : reply.held) {
-        auto l = listings.find(share_of_machine(facts_, held.machine, held.zone));
+void SlotBorrower::reconcile(Time now, int partition, Peer& peer,
+                             const PeerSyncResponse& response) {
+    bool complete = response.no_stale_grants;
+    ShardInventories listings = current_inventories(partition, response, complete);
+    for (const auto& remote_task : response.tasks) {
+        auto l = listings.find(shard_of_machine(settings_, remote_task.machine, remote_task.zone));
         if (l != listings.end()) {
-            take_held(now, part, peer, held, l->second.term);
+            apply_task_status(now, partition, peer, remote_task, l->second.term);
         }
     }
-    take_absent(now, reply, listings);
+    apply_absent(now, response, listings);
     if (complete) { // from here on, changes will do
-        peer.seen_term = reply.term;
-        peer.seen = reply.version;
+        peer.acked_term = response.term;
+        peer.acked_version = response.version;
     }
     std::size_t before = inventoried_.size();
-    for (const auto& [share, l] : listings) {
-        if (l.accounted && reply.clean) {
-            inventoried_.insert(share);
+    for (const auto& [shard, l] : listings) {
+        if (l.reconciled && response.no_stale_grants) {
+            inventoried_.insert(shard);
         }
     }
     if (inventoried_.size() > before) {
-        owner_.settle(now);
+        delegate_.try_reconcile(now);
     }
 }
 
-void Borrowing::take_held(Time now, int part, Peer& peer, const HeldTask& h, std::uint64_t term) {
-    const ListedTask& t = h.listed;
-    StartId id = start_id(t.attempt, t.task.index);
-    Job* job = jobs_.find(t.task.job);
-    bool ours = job && t.task.index < job->spec.tasks;
-    auto it = remote_.find(t.task);
-    bool same =
-        it != remote_.end() && it->second.attempt == t.attempt && it->second.machine == h.machine;
+void SlotBorrower::apply_task_status(Time now, int partition, Peer& peer,
+                                     const RemoteTaskStatus& remote_task, std::uint64_t term) {
+    const TaskStatus& status = remote_task.status;
+    LaunchId id = launch_id(status.attempt, status.task.index);
+    Job* job = jobs_.find(status.task.job);
+    bool ours = job && status.task.index < job->spec.tasks;
+    auto it = remote_tasks_.find(status.task);
+    bool same = it != remote_tasks_.end() && it->second.attempt == status.attempt &&
+                it->second.machine == remote_task.machine;
     if (same) {
-        rehome(it->second, id, part, term);
+        update_location(it->second, id, partition, term);
     }
-    bool waits = ours && job->tasks[t.task.index] == TaskState::waiting;
-    if (t.stage == TaskStage::exited) {
+    bool waits = ours && job->tasks[status.task.index] == TaskState::waiting;
+    if (status.stage == TaskStage::exited) {
         if (same) {
-            gone(now, t.task, t.why);
-        } else if (waits && t.why == ExitWhy::done && job->open()) {
-            owner_.found_done(now, *job, t.task.index);
+            on_task_gone(now, status.task, status.exit_reason);
+        } else if (waits && status.exit_reason == ExitReason::done && job->open()) {
+            delegate_.on_found_done(now, *job, status.task.index);
         }
-        peer.ended[{id, h.machine}] = h;
+        peer.exited[{id, remote_task.machine}] = remote_task;
         return;
     }
     bool gang = ours && job->spec.kind == JobKind::gang;
-    if (waits && (!gang || gangs_.adopt(now, t.task.job, t.attempt))) {
+    if (waits && (!gang || gangs_.adopt(now, status.task.job, status.attempt))) {
         // started by an owner of this part before us
-        jobs_.place(*job, t.task.index, h.zone);
-        teams_.use(job->spec.team, job->spec.cpus, job->spec.gpus);
-        placed(t.task, {t.attempt, part, h.machine, h.zone,
-                        share_of_machine(facts_, h.machine, h.zone), term});
+        jobs_.mark_placed(*job, status.task.index, remote_task.zone);
+        quotas_.add_usage(job->spec.team, job->spec.cpus, job->spec.gpus);
+        on_placed(status.task,
+                  {status.attempt, partition, remote_task.machine, remote_task.zone,
+                   shard_of_machine(settings_, remote_task.machine, remote_task.zone), term});
         same = true;
     }
-    bool moves = h.draining && ours && job->spec.kind == JobKind::service;
+    bool moves = remote_task.draining && ours && job->spec.kind == JobKind::service;
     // The word that ends an attempt may have gone to who held the share before.
-    const Gangs::Attempt* attempt = gang ? gangs_.find(t.task.job) : nullptr;
+    const GangTracker::Attempt* attempt = gang ? gangs_.find(status.task.job) : nullptr;
     bool ends = attempt && attempt->ending;
     if (!same || !job->open() || moves || ends) {
-        double grace_s = same && ends && attempt->saves ? kSaveTimes * job->spec.save_s : 0;
-        peer.told[{id, h.machine}] = {Told::What::stop, h.machine, id, grace_s};
+        double grace_s = same && ends && attempt->saves ? kSaveGraceFactor * job->spec.save_s : 0;
+        peer.commands[{id, remote_task.machine}] = {RemoteTaskCommand::Type::stop,
+                                                    remote_task.machine, id, grace_s};
         return;
     }
-    if (h.shape_unknown) {
-        const JobSpec& s = job->spec;
-        peer.told[{id, h.machine}] = {
-            Told::What::shape, h.machine, id,        0, s.kind, s.cpus, s.gpus,
-            s.ram_gb,          s.image,   s.image_gb};
-    }
-    if (gang && t.stage == TaskStage::running) {
-        gangs_.runs(t.task.job);
-    }
-    if (gang && h.notice) {
-        owner_.end_attempt(now, t.task.job, true);
+    if (remote_task.resources_unknown) {
+        const JobSpec& spec = job->spec;
+        peer.commands[{id, remote_task.machine}] = {RemoteTaskCommand::Type::describe,
+                                                    remote_task.machine,
+                                                    id,
+                                                    0,
+                                                    spec.kind,
+                                                    spec.cpus,
+                                                    spec.gpus,
+                                                    spec.ram_gb,
+                                                    spec.image,
+                                                    spec.image_gb};
+    }
+    if (gang && status.stage == TaskStage::running) {
+        gangs_.on_running(status.task.job);
+    }
+    if (gang && remote_task.preemption_notice) {
+        delegate_.end_attempt(now, status.task.job, true);
     }
 }
 
-void Borrowing::take_absent(Time now, const ExchangeReply& reply, const Listings& listings) {
-    std::set<StartId> open(reply.open.begin(), reply.open.end());
-    std::set<Peer::Where> present;
-    for (const auto& h : reply.held) {
-        present.insert({start_id(h.listed.attempt, h.listed.task.index), h.machine});
+void SlotBorrower::apply_absent(Time now, const PeerSyncResponse& response,
+                                const ShardInventories& listings) {
+    std::set<LaunchId> open(response.pending_launches.begin(), response.pending_launches.end());
+    std::set<Peer::RemoteLaunch> present;
+    for (const auto& remote_task : response.tasks) {
+        present.insert({launch_id(remote_task.status.attempt, remote_task.status.task.index),
+                        remote_task.machine});
     }
-    std::set<TaskRef> absent;
-    auto look = [&](const std::set<TaskRef>& tasks, bool whole) {
+    std::set<TaskId> absent;
+    auto look = [&](const std::set<TaskId>& tasks, bool whole) {
         for (const auto& task : tasks) {
-            const Remote& r = remote_.at(task);
-            auto l = listings.find(r.share);
-            if (l == listings.end() || !l->second.accounted || r.term > l->second.term ||
-                (whole && !l->second.whole)) {
+            const RemoteTask& remote = remote_tasks_.at(task);
+            auto l = listings.find(remote.shard);
+            if (l == listings.end() || !l->second.reconciled || remote.term > l->second.term ||
+                (whole && !l->second.complete)) {
                 continue;
             }
-            StartId id = start_id(r.attempt, task.index);
-            if (!open.contains(id) && !present.contains({id, r.machine})) {
+            LaunchId id = launch_id(remote.attempt, task.index);
+            if (!open.contains(id) && !present.contains({id, remote.machine})) {
                 absent.insert(task);
             }
         }
     };
     if (std::any_of(listings.begin(), listings.end(),
-                    [](const auto& l) { return l.second.whole; })) {
-        for (const auto& [machine, tasks] : tasks_) {
+                    [](const auto& l) { return l.second.complete; })) {
+        for (const auto& [machine, tasks] : tasks_by_machine_) {
             look(tasks, true);
         }
     }
-    for (const auto& machine : reply.machines) {
-        if (auto there = tasks_.find(machine); there != tasks_.end()) {
+    for (const auto& machine : response.machines) {
+        if (auto there = tasks_by_machine_.find(machine); there != tasks_by_machine_.end()) {
             look(there->second, false);
         }
     }
     for (const auto& task : absent) {
-        gone(now, task, ExitWhy::none);
+        on_task_gone(now, task, ExitReason::none);
     }
 }
 
 // Its share is listed by another part than before, or by the same under a later term: what was said
 // of it goes there.
-void Borrowing::rehome(Remote& r, const StartId& id, int part, std::uint64_t term) {
-    r.term = std::max(r.term, term);
-    if (r.part == part) {
+void SlotBorrower::update_location(RemoteTask& remote, const LaunchId& id, int partition,
+                                   std::uint64_t term) {
+    remote.term = std::max(remote.term, term);
+    if (remote.partition == partition) {
         return;
     }
-    Peer& from = peers_.at(r.part);
-    Peer& to = peers_.at(part);
-    if (auto told = from.told.extract({id, r.machine}); !told.empty()) {
-        to.told.insert(std::move(told));
+    Peer& from = peers_.at(remote.partition);
+    Peer& to = peers_.at(partition);
+    if (auto told = from.commands.extract({id, remote.machine}); !told.empty()) {
+        to.commands.insert(std::move(told));
     }
     --from.tasks;
     ++to.tasks;
-    r.part = part;
+    remote.partition = partition;
 }
 
-void Borrowing::placed(const TaskRef& task, Remote remote) {
-    tasks_[remote.machine].insert(task);
-    ++peers_.at(remote.part).tasks;
-    remote_[task] = std::move(remote);
+void SlotBorrower::on_placed(const TaskId& task, RemoteTask remote) {
+    tasks_by_machine_[remote.machine].insert(task);
+    ++peers_.at(remote.partition).tasks;
+    remote_tasks_[task] = std::move(remote);
 }
 
-Borrowing::Remote Borrowing::remove(const TaskRef& task) {
-    auto it = remote_.find(task);
-    Remote r = std::move(it->second);
-    remote_.erase(it);
-    --peers_.at(r.part).tasks;
-    auto there = tasks_.find(r.machine);
+SlotBorrower::RemoteTask SlotBorrower::remove(const TaskId& task) {
+    auto it = remote_tasks_.find(task);
+    RemoteTask remote = std::move(it->second);
+    remote_tasks_.erase(it);
+    --peers_.at(remote.partition).tasks;
+    auto there = tasks_by_machine_.find(remote.machine);
     there->second.erase(task);
     if (there->second.empty()) {
-        tasks_.erase(there);
+        tasks_by_machine_.erase(there);
     }
-    return r;
+    return remote;
 }
 
-void Borrowing::gone(Time now, const TaskRef& task, ExitWhy why) {
-    Remote r = remove(task);
-    owner_.ended_there(now, task, why, r.zone);
+void SlotBorrower::on_task_gone(Time now, const TaskId& task, ExitReason why) {
+    RemoteTask remote = remove(task);
+    delegate_.on_remote_exit(now, task, why, remote.zone);
 }
 
 // ---- Moves of shares ----
 
-void Borrowing::tell_given(int part, const Given& given) {
-    peers_.at(part).given.push_back(given);
-    peers_.at(part).next = 0;
+void SlotBorrower::announce_transfer(int partition, const ShardTransfer& transfer) {
+    peers_.at(partition).transfers.push_back(transfer);
+    peers_.at(partition).next = 0;
 }
 
-void Borrowing::sent_away(const TaskRef& task, Remote remote) {
-    std::uint64_t& heard = heard_[remote.share];
+void SlotBorrower::migrated_out(const TaskId& task, RemoteTask remote) {
+    std::uint64_t& heard = shard_terms_[remote.shard];
     heard = std::max(heard, remote.term);
-    placed(task, std::move(remote));
+    on_placed(task, std::move(remote));
 }
 
-void Borrowing::came_home(const ShareId& share, std::uint64_t term) { heard_[share] = term; }
+void SlotBorrower::migrated_in(const ShardId& shard, std::uint64_t term) {
+    shard_terms_[shard] = term;
+}
 
-bool Borrowing::take_home(const TaskRef& task, std::uint64_t attempt, const std::string& machine) {
-    auto it = remote_.find(task);
-    if (it == remote_.end() || it->second.attempt != attempt || it->second.machine != machine) {
+bool SlotBorrower::adopt_local(const TaskId& task, std::uint64_t attempt,
+                               const std::string& machine) {
+    auto it = remote_tasks_.find(task);
+    if (it == remote_tasks_.end() || it->second.attempt != attempt ||
+        it->second.machine != machine) {
         return false;
     }
     remove(task);
     return true;
 }
 
-void Borrowing::gone_with(Time now, const std::string& machine) {
-    auto there = tasks_.find(machine);
-    if (there == tasks_.end()) {
+void SlotBorrower::on_inventory_complete(Time now, const std::string& machine) {
+    auto there = tasks_by_machine_.find(machine);
+    if (there == tasks_by_machine_.end()) {
         return;
     }
-    std::set<TaskRef> tasks = there->second;
+    std::set<TaskId> tasks = there->second;
     for (const auto& task : tasks) {
-        gone(now, task, ExitWhy::none);
+        on_task_gone(now, task, ExitReason::none);
     }
 }
 
-void Borrowing::gone_with(Time now, const ShareId& share) {
-    std::vector<TaskRef> tasks;
-    for (const auto& [task, r] : remote_) {
-        if (r.share == share) {
+void SlotBorrower::on_inventory_complete(Time now, const ShardId& shard) {
+    std::vector<TaskId> tasks;
+    for (const auto& [task, r] : remote_tasks_) {
+        if (r.shard == shard) {
             tasks.push_back(task);
         }
     }
     for (const auto& task : tasks) {
-        gone(now, task, ExitWhy::none);
+        on_task_gone(now, task, ExitReason::none);
     }
 }
 
 // ---- Slots handed over ----
 
-bool Borrowing::grant_suits(const Job& job, const Grant& g) const {
-    const JobSpec& s = job.spec;
-    return s.cpus <= g.cpus && s.gpus <= g.gpus && s.ram_gb <= g.ram_gb && (s.spot || !g.spot) &&
-           s.allows_type(g.type) && job.allows_zone(g.zone) && teams_.fits(s.team, s.cpus, s.gpus);
+bool SlotBorrower::grant_suits(const Job& job, const SlotGrant& grant) const {
+    const JobSpec& spec = job.spec;
+    return spec.cpus <= grant.cpus && spec.gpus <= grant.gpus && spec.ram_gb <= grant.ram_gb &&
+           (spec.spot || !grant.spot) && spec.allows_type(grant.type) &&
+           job.allows_zone(grant.zone) && quotas_.fits(spec.team, spec.cpus, spec.gpus);
 }
 
-void Borrowing::use_grant(Time now, int part, Peer& peer, const Grant& g) {
+void SlotBorrower::use_grant(Time now, int partition, Peer& peer, const SlotGrant& grant) {
     auto suits = [&](const Job& job) {
-        return job.spec.kind != JobKind::gang && owner_.waits(now, job) && grant_suits(job, g);
+        return job.spec.kind != JobKind::gang && delegate_.has_schedulable_tasks(now, job) &&
+               grant_suits(job, grant);
     };
-    Job* job = jobs_.find(g.job);
+    Job* job = jobs_.find(grant.job);
     if (!job || !suits(*job)) { // its tasks found slots meanwhile; another job may use these
         job = nullptr;
         for (const auto& [id, other] : jobs_.all()) {
-            if (suits(*other) && (!job || std::tie(other->spec.priority, other->known_since) <
-                                              std::tie(job->spec.priority, job->known_since))) {
+            if (suits(*other) && (!job || std::tie(other->spec.priority, other->first_seen) <
+                                              std::tie(job->spec.priority, job->first_seen))) {
                 job = other.get();
             }
         }
     }
-    if (!job || !claim_.usable(now)) {
-        tell(peer, {Told::What::back, g.machine, g.id});
+    if (!job || !leadership_.is_active(now)) {
+        queue_command(peer, {RemoteTaskCommand::Type::return_slot, grant.machine, grant.launch});
         return;
     }
-    start(part, g, *job, job->waiting.first());
+    launch(partition, grant, *job, job->waiting.first());
 }
 
 // Sends the start of a task of ours to slots that another owner has handed over.
-void Borrowing::start(int part, const Grant& g, Job& job, std::uint32_t index) {
-    TaskRef task{job.spec.id, index};
-    jobs_.place(job, index, g.zone);
-    teams_.use(job.spec.team, job.spec.cpus, job.spec.gpus);
-    placed(task,
-           {g.id.attempt, part, g.machine, g.zone, share_of_machine(facts_, g.machine, g.zone),
-            term_of_token(g.token), g.endpoint, g.session, g.token});
-    Orders orders{g.machine, g.endpoint, g.token, g.session, {{Op::start, task, g.id.attempt, 0}}};
-    calls_.send(std::move(orders), [this, task, part, machine = g.machine,
-                                    id = g.id](Time at, CallReply& reply) {
-        auto it = remote_.find(task);
-        if ((reply.status != 409 && !reply.unsent) || it == remote_.end() ||
+void SlotBorrower::launch(int partition, const SlotGrant& grant, Job& job, std::uint32_t index) {
+    TaskId task{job.spec.id, index};
+    jobs_.mark_placed(job, index, grant.zone);
+    quotas_.add_usage(job.spec.team, job.spec.cpus, job.spec.gpus);
+    on_placed(task, {grant.launch.attempt, partition, grant.machine, grant.zone,
+                     shard_of_machine(settings_, grant.machine, grant.zone),
+                     term_of_fencing_token(grant.fencing_token), grant.endpoint, grant.agent_epoch,
+                     grant.fencing_token});
+    WorkerCommands orders{grant.machine,
+                          grant.endpoint,
+                          grant.fencing_token,
+                          grant.agent_epoch,
+                          {{CommandType::start, task, grant.launch.attempt, 0}}};
+    requests_.send(std::move(orders), [this, task, partition, machine = grant.machine,
+                                       id = grant.launch](Time at, OutboundResponse& response) {
+        auto it = remote_tasks_.find(task);
+        if ((response.status != 409 && !response.never_sent) || it == remote_tasks_.end() ||
             it->second.attempt != id.attempt || it->second.machine != machine) {
             return; // executed, or in doubt until the machine's owner lists it or has fenced it
         }
         // Refused or never sent, so it never will be executed: the slots go back.
-        tell(peers_.at(part), {Told::What::back, machine, id});
-        gone(at, task, ExitWhy::none);
+        queue_command(peers_.at(partition), {RemoteTaskCommand::Type::return_slot, machine, id});
+        on_task_gone(at, task, ExitReason::none);
     });
 }
 
-void Borrowing::give_back(int part, const Grant& g) {
-    auto used = remote_.find({g.job, g.id.index});
-    if ((g.id.attempt & kGangBit) != 0 && used != remote_.end() &&
-        used->second.attempt == g.id.attempt && used->second.machine == g.machine) {
+void SlotBorrower::return_grant(int partition, const SlotGrant& grant) {
+    auto used = remote_tasks_.find({grant.job, grant.launch.index});
+    if ((grant.launch.attempt & kGangBit) != 0 && used != remote_tasks_.end() &&
+        used->second.attempt == grant.launch.attempt && used->second.machine == grant.machine) {
         return; // the very slot that the task was started on
     }
-    tell(peers_.at(part), {Told::What::back, g.machine, g.id});
+    queue_command(peers_.at(partition),
+                  {RemoteTaskCommand::Type::return_slot, grant.machine, grant.launch});
 }
 
-void Borrowing::stop_job(const std::string& id, double grace_s) {
-    for (auto it = remote_.lower_bound({id, 0}); it != remote_.end() && it->first.job == id; ++it) {
+void SlotBorrower::stop_job(const std::string& id, double grace_s) {
+    for (auto it = remote_tasks_.lower_bound({id, 0});
+         it != remote_tasks_.end() && it->first.job == id; ++it) {
         stop_task(it->first, grace_s);
     }
 }
 
-void Borrowing::stop_task(const TaskRef& task, double grace_s) {
-    if (auto it = remote_.find(task); it != remote_.end()) {
-        const Remote& r = it->second;
-        tell(peers_.at(r.part),
-             {Told::What::stop, r.machine, start_id(r.attempt, task.index), grace_s});
+void SlotBorrower::stop_task(const TaskId& task, double grace_s) {
+    if (auto it = remote_tasks_.find(task); it != remote_tasks_.end()) {
+        const RemoteTask& remote = it->second;
+        queue_command(peers_.at(remote.partition),
+                      {RemoteTaskCommand::Type::stop, remote.machine,
+                       launch_id(remote.attempt, task.index), grace_s});
     }
 }
 
-bool Borrowing::stop_untold(const TaskRef& task, double grace_s) {
-    auto it = remote_.find(task);
-    if (it == remote_.end() || it->second.endpoint.empty()) {
+bool SlotBorrower::stop_directly(const TaskId& task, double grace_s) {
+    auto it = remote_tasks_.find(task);
+    if (it == remote_tasks_.end() || it->second.endpoint.empty()) {
         return false;
     }
-    const Remote& r = it->second;
-    if (!peers_.at(r.part).told.contains({start_id(r.attempt, task.index), r.machine})) {
+    const RemoteTask& remote = it->second;
+    if (!peers_.at(remote.partition)
+             .commands.contains({launch_id(remote.attempt, task.index), remote.machine})) {
         return false;
     }
-    calls_.send(
-        Orders{r.machine, r.endpoint, r.token, r.session, {{Op::stop, task, r.attempt, grace_s}}},
-        [](Time, CallReply&) {}); // that it is gone, only its machine's owner can say
+    requests_.send(
+        WorkerCommands{remote.machine,
+                       remote.endpoint,
+                       remote.fencing_token,
+                       remote.agent_epoch,
+                       {{CommandType::stop, task, remote.attempt, grace_s}}},
+        [](Time, OutboundResponse&) {}); // that it is gone, only its machine's owner can say
     return true;
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/borrowing.h
+++ b/src/core/borrowing.h
@@ -8,87 +8,90 @@
 #include "core/holdings.h"
 #include "core/waiting_order.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Borrowing {
+class SlotBorrower {
   public:
-    struct Part { // what it needs of the part it works for
-        virtual ~Part() = default;
-        virtual bool waits(Time now, const Job& job) const = 0;
+    struct Delegate { // what it needs of the part it works for
+        virtual ~Delegate() = default;
+        virtual bool has_schedulable_tasks(Time now, const Job& job) const = 0;
         // All tasks of older jobs are accounted for.
-        virtual bool settled() const = 0;
+        virtual bool reconciled() const = 0;
         // May the worker forget this exited task of ours?
-        virtual bool end_is_durable(const ListedTask& task) = 0;
+        virtual bool end_is_durable(const TaskStatus& task) = 0;
         // A task on a machine of another part is on none any more.
-        virtual void ended_there(Time now, const TaskRef& task, ExitWhy why,
-                                 const std::string& zone) = 0;
+        virtual void on_remote_exit(Time now, const TaskId& task, ExitReason why,
+                                    const std::string& zone) = 0;
         // A task that an owner before us had started there was done.
-        virtual void found_done(Time now, Job& job, std::uint32_t task) = 0;
+        virtual void on_found_done(Time now, Job& job, std::uint32_t task) = 0;
         // What is wanted for a gang from one peer; false: nothing now. `rest`: see
         // gang_placing.cpp.
-        virtual bool want_gang(const Job& job, bool rest, Want& want) = 0;
-        virtual void use_gang_grants(Time now, int part, const std::vector<Grant>& grants) = 0;
+        virtual bool request_gang_slots(const Job& job, bool rest, SlotRequest& request) = 0;
+        virtual void on_gang_grants(Time now, int partition,
+                                    const std::vector<SlotGrant>& grants) = 0;
         virtual void end_attempt(Time now, const std::string& job, bool saves) = 0;
         // Another part has accounted for our tasks on the machines of some more shares.
-        virtual void settle(Time now) = 0;
+        virtual void try_reconcile(Time now) = 0;
         // A peer has answered: slots may have become free, or wants may have to be asked anew.
-        virtual void after_reply(Time now) = 0;
+        virtual void on_peer_response(Time now) = 0;
     };
-    struct Remote { // a task of ours on a machine of another part
+    struct RemoteTask { // a task of ours on a machine of another part
         std::uint64_t attempt = 0;
-        int part = 0;
+        int partition = 0;
         std::string machine;
         std::string zone;
-        ShareId share;
+        ShardId shard;
         std::uint64_t term = 0; // of the share, when the slot was given or the task last listed
         // As the slot was given to this owner; no endpoint: by one before, or it moved.
         std::string endpoint;
-        std::uint64_t session = 0;
-        std::uint64_t token = 0;
+        std::uint64_t agent_epoch = 0;
+        std::uint64_t fencing_token = 0;
     };
-    Borrowing(Claim& claim, const Facts& facts, const Policy& policy, const PartTable& table,
-              const Holdings& holdings, JobStore& jobs, Teams& teams, Gangs& gangs,
-              WaitingOrder& order, DemandBook& demand, Calls& calls, Part& owner);
+    SlotBorrower(Leadership& leadership, const ClusterSettings& settings,
+                 const SchedulingPolicy& policy, const PartitionMap& partition_map,
+                 const OwnedShards& owned_shards, JobStore& jobs, QuotaLedger& quotas,
+                 GangTracker& gangs, PendingQueue& queue, DemandTracker& demand,
+                 OutboundRequests& requests, Delegate& delegate);
 
     // Calls to the peers that are due.
-    void call(Time now);
+    void sync_due_peers(Time now);
     // All peers are to be called at once: one may have slots where we have none.
-    void call_soon();
+    void sync_soon();
     // A listing of another part's owner that came by another way than a call. It counts only until
     // a call of ours was answered: it may be older than the slots that came with the answer.
-    void take_posted(Time now, int part, const ExchangeReply& reply);
+    void apply_posted_inventory(Time now, int partition, const PeerSyncResponse& response);
     // Its holder has accounted for our tasks on the machines of the share.
-    bool inventoried(const ShareId& share) const { return inventoried_.contains(share); }
-    bool grant_suits(const Job& job, const Grant& grant) const;
+    bool is_inventoried(const ShardId& shard) const { return inventoried_.contains(shard); }
+    bool grant_suits(const Job& job, const SlotGrant& grant) const;
     // Sends the start of a task of ours to slots that another owner has handed over.
-    void start(int part, const Grant& grant, Job& job, std::uint32_t index);
+    void launch(int partition, const SlotGrant& grant, Job& job, std::uint32_t index);
     // A slot of the part that was kept for a while is used now. Its owner may have listed its
     // machine as gone meanwhile and will not do so again, so it is asked to list everything once.
-    void list_anew(int part) { ++peers_.at(part).anew; }
-    void give_back(int part, const Grant& grant);
+    void request_full_resync(int partition) { ++peers_.at(partition).resyncs_requested; }
+    void return_grant(int partition, const SlotGrant& grant);
     // The job's tasks on other parts' machines are stopped by the owners of these.
     void stop_job(const std::string& job, double grace_s);
-    void stop_task(const TaskRef& task, double grace_s);
+    void stop_task(const TaskId& task, double grace_s);
     // The machine's owner has not taken the word to stop the task: the worker is told as it was
     // told of the start. An owner that has fenced the machine since is the only one that it hears.
     // False: there is no need, or no way.
-    bool stop_untold(const TaskRef& task, double grace_s);
+    bool stop_directly(const TaskId& task, double grace_s);
     // Tasks of ours on other parts' machines.
-    const std::map<TaskRef, Remote>& remote() const { return remote_; }
+    const std::map<TaskId, RemoteTask>& remote_tasks() const { return remote_tasks_; }
     // ---- Moves of shares ----
     // Tells the owner of the part that we gave it a share, until it has heard.
-    void tell_given(int part, const Given& given);
+    void announce_transfer(int partition, const ShardTransfer& transfer);
     // A placed task of ours goes to another part with its machine's share.
-    void sent_away(const TaskRef& task, Remote remote);
+    void migrated_out(const TaskId& task, RemoteTask remote);
     // The share is ours now: no listing of an earlier holder counts any more.
-    void came_home(const ShareId& share, std::uint64_t term);
+    void migrated_in(const ShardId& shard, std::uint64_t term);
     // The task runs on a machine that is ours now: it is borrowed no more. False: it was not, or is
     // another start.
-    bool take_home(const TaskRef& task, std::uint64_t attempt, const std::string& machine);
+    bool adopt_local(const TaskId& task, std::uint64_t attempt, const std::string& machine);
     // Tasks that are borrowed still on a machine of ours that does not list them, or of a share
     // that is accounted for, are gone.
-    void gone_with(Time now, const std::string& machine);
-    void gone_with(Time now, const ShareId& share);
+    void on_inventory_complete(Time now, const std::string& machine);
+    void on_inventory_complete(Time now, const ShardId& shard);
 
   private:
     struct Peer {
@@ -99,51 +102,56 @@
         std::size_t tasks = 0;           // of ours, there
         double batch = 0;
         std::uint64_t calls = 0;
-        Time want_again = 0; // slots that it gave us went back: nothing is asked for until then
-        using Where = std::pair<StartId, std::string>; // a start and its machine
-        std::map<Where, Told> told;                    // until a call is answered
-        std::vector<Given> given;                      // as well
-        std::map<Where, HeldTask> ended;               // exited there, not durable here yet
-        std::uint64_t seen_term = 0;                   // of the listing taken in
-        std::uint64_t seen = 0;
-        std::uint64_t anew = 0; // times that a whole listing was wanted, and of these answered
-        std::uint64_t anew_answered = 0;
+        Time request_again_at =
+            0; // slots that it gave us went back: nothing is asked for until then
+        using RemoteLaunch = std::pair<LaunchId, std::string>; // a start and its machine
+        std::map<RemoteLaunch, RemoteTaskCommand> commands;    // until a call is answered
+        std::vector<ShardTransfer> transfers;                  // as well
+        std::map<RemoteLaunch, RemoteTaskStatus> exited;       // exited there, not durable here yet
+        std::uint64_t acked_term = 0;                          // of the listing taken in
+        std::uint64_t acked_version = 0;
+        std::uint64_t resyncs_requested =
+            0; // times that a whole listing was wanted, and of these answered
+        std::uint64_t resyncs_answered = 0;
     };
-    void call_peer(Time now, int part, Peer& peer);
-    void answered(Time now, int part, std::uint32_t asked, const ExchangeReply& reply);
-    std::vector<Want> wants_for(Time now, int part, const Peer& peer);
-    void heard(Time now, int part, Peer& peer, const ExchangeReply& reply);
+    void sync_peer(Time now, int partition, Peer& peer);
+    void on_response(Time now, int partition, std::uint32_t asked,
+                     const PeerSyncResponse& response);
+    std::vector<SlotRequest> slot_requests_for(Time now, int partition, const Peer& peer);
+    void apply_response(Time now, int partition, Peer& peer, const PeerSyncResponse& response);
     // The shares of a reply whose listing counts now.
-    using Listings = std::map<ShareId, ShareListing>;
-    Listings current(int part, const ExchangeReply& reply, bool& complete);
-    void reconcile(Time now, int part, Peer& peer, const ExchangeReply& reply);
-    void take_held(Time now, int part, Peer& peer, const HeldTask& held, std::uint64_t term);
-    void take_absent(Time now, const ExchangeReply& reply, const Listings& listings);
-    void rehome(Remote& remote, const StartId& id, int part, std::uint64_t term);
-    void use_grant(Time now, int part, Peer& peer, const Grant& grant);
-    void tell(Peer& peer, Told told);
-    void tell_ended(Peer& peer);
-    void placed(const TaskRef& task, Remote remote);
-    Remote remove(const TaskRef& task);
-    void gone(Time now, const TaskRef& task, ExitWhy why);
+    using ShardInventories = std::map<ShardId, ShardInventory>;
+    ShardInventories current_inventories(int partition, const PeerSyncResponse& response,
+                                         bool& complete);
+    void reconcile(Time now, int partition, Peer& peer, const PeerSyncResponse& response);
+    void apply_task_status(Time now, int partition, Peer& peer, const RemoteTaskStatus& remote_task,
+                           std::uint64_t term);
+    void apply_absent(Time now, const PeerSyncResponse& response, const ShardInventories& listings);
+    void update_location(RemoteTask& remote, const LaunchId& id, int partition, std::uint64_t term);
+    void use_grant(Time now, int partition, Peer& peer, const SlotGrant& grant);
+    void queue_command(Peer& peer, RemoteTaskCommand command);
+    void queue_clears(Peer& peer);
+    void on_placed(const TaskId& task, RemoteTask remote);
+    RemoteTask remove(const TaskId& task);
+    void on_task_gone(Time now, const TaskId& task, ExitReason why);
 
-    Claim& claim_;
-    const Facts& facts_;
-    const Policy& policy_;
-    const PartTable& table_;
-    const Holdings& holdings_;
+    Leadership& leadership_;
+    const ClusterSettings& settings_;
+    const SchedulingPolicy& policy_;
+    const PartitionMap& partition_map_;
+    const OwnedShards& owned_shards_;
     JobStore& jobs_;
-    Teams& teams_;
-    Gangs& gangs_;
-    WaitingOrder& order_;
-    DemandBook& demand_;
-    Calls& calls_;
-    Part& owner_;
+    QuotaLedger& quotas_;
+    GangTracker& gangs_;
+    PendingQueue& queue_;
+    DemandTracker& demand_;
+    OutboundRequests& requests_;
+    Delegate& delegate_;
     std::map<int, Peer> peers_;
-    std::map<TaskRef, Remote> remote_;
-    std::map<std::string, std::set<TaskRef>> tasks_; // by machine
-    std::map<ShareId, std::uint64_t> heard_;         // the latest term listed, or held by us
-    std::set<ShareId> inventoried_;
+    std::map<TaskId, RemoteTask> remote_tasks_;
+    std::map<std::string, std::set<TaskId>> tasks_by_machine_; // by machine
+    std::map<ShardId, std::uint64_t> shard_terms_; // the latest term listed, or held by us
+    std::set<ShardId> inventoried_;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/calls.cpp
+++ b/src/core/calls.cpp
@@ -4,62 +4,66 @@
 #include <iterator>
 #include <utility>
 
-namespace orchidlanding {
+namespace scheduler {
 
-CallId Calls::send(CallBody body, Then then) {
-    CallId id = next_++;
-    if (const auto* orders = std::get_if<Orders>(&body)) {
-        then = [this, machine = orders->machine, then = std::move(then)](Time at,
-                                                                         CallReply& reply) {
-            if (reply.status != 0) {
-                unanswered_.clear();
-            } else if (!reply.unsent) {
-                unanswered_.insert(machine);
+OutboundRequestId OutboundRequests::send(OutboundBody body, OnResponse then) {
+    OutboundRequestId id = next_++;
+    if (const auto* orders = std::get_if<WorkerCommands>(&body)) {
+        then = [this, machine = orders->machine,
+                then = std::move(then)](Time at, OutboundResponse& response) {
+            if (response.status != 0) {
+                unresponsive_workers_.clear();
+            } else if (!response.never_sent) {
+                unresponsive_workers_.insert(machine);
             }
-            then(at, reply);
+            then(at, response);
         };
     }
-    waiting_.emplace(id, std::move(then));
-    out_.calls.push_back({id, std::move(body)});
+    pending_.emplace(id, std::move(then));
+    out_.requests.push_back({id, std::move(body)});
     return id;
 }
 
-bool Calls::send_state(Time now, StateBudget::Use use, CallBody body, Then then) {
-    const auto* txn = std::get_if<Txn>(&body);
-    if (!budget_.take(now, use, txn ? static_cast<int>(txn->then.size()) : 0)) {
+bool OutboundRequests::send_to_store(Time now, StoreRateLimiter::Use use, OutboundBody body,
+                                     OnResponse then) {
+    const auto* txn = std::get_if<StoreTransaction>(&body);
+    if (!rate_limiter_.try_acquire(now, use, txn ? static_cast<int>(txn->writes.size()) : 0)) {
         return false;
     }
-    send(std::move(body), [this, then = std::move(then)](Time at, CallReply& reply) {
-        if (reply.status == 429) {
-            budget_.refused(at);
+    send(std::move(body), [this, then = std::move(then)](Time at, OutboundResponse& response) {
+        if (response.status == 429) {
+            rate_limiter_.on_throttled(at);
         }
-        then(at, reply);
+        then(at, response);
     });
     return true;
 }
 
-bool Calls::answered(Time now, CallReply& reply) {
-    auto it = waiting_.find(reply.call);
-    if (it == waiting_.end()) {
+bool OutboundRequests::handle_response(Time now, OutboundResponse& response) {
+    auto it = pending_.find(response.request_id);
+    if (it == pending_.end()) {
         return false;
     }
-    Then then = std::move(it->second);
-    waiting_.erase(it);
-    then(now, reply);
+    OnResponse then = std::move(it->second);
+    pending_.erase(it);
+    then(now, response);
     return true;
 }
 
-void Calls::answer(RequestId request, int status, AnswerBody body, double retry_after_s) {
-    out_.answers.push_back({request, status, std::move(body), retry_after_s});
+void OutboundRequests::respond(RequestId request_id, int status, ResponseBody body,
+                               double retry_after_s) {
+    out_.responses.push_back({request_id, status, std::move(body), retry_after_s});
 }
 
-void Calls::log(Level level, std::string text) { out_.log.push_back({level, std::move(text)}); }
+void OutboundRequests::log(LogLevel level, std::string text) {
+    out_.log.push_back({level, std::move(text)});
+}
 
-void Calls::take(Outputs& out) {
-    std::move(out_.answers.begin(), out_.answers.end(), std::back_inserter(out.answers));
-    std::move(out_.calls.begin(), out_.calls.end(), std::back_inserter(out.calls));
+void OutboundRequests::drain_into(Outputs& out) {
+    std::move(out_.responses.begin(), out_.responses.end(), std::back_inserter(out.responses));
+    std::move(out_.requests.begin(), out_.requests.end(), std::back_inserter(out.requests));
     std::move(out_.log.begin(), out_.log.end(), std::back_inserter(out.log));
     out_ = {};
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/calls.h
+++ b/src/core/calls.h
@@ -7,37 +7,38 @@
 #include "core/io.h"
 #include "core/state_budget.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Calls {
+class OutboundRequests {
   public:
-    using Then = std::function<void(Time, CallReply&)>;
+    using OnResponse = std::function<void(Time, OutboundResponse&)>;
 
     // `first`: ids start here, so that calls of different owners never share one.
-    Calls(StateBudget& budget, CallId first) : budget_(budget), next_(first) {}
+    OutboundRequests(StoreRateLimiter& rate_limiter, OutboundRequestId first)
+        : rate_limiter_(rate_limiter), next_(first) {}
 
     // Sends a call that is not the state service's, or one that no budget holds back.
-    CallId send(CallBody body, Then then);
+    OutboundRequestId send(OutboundBody body, OnResponse then);
     // Sends a call to the state service if the budget lets this use have it.
-    bool send_state(Time now, StateBudget::Use use, CallBody body, Then then);
-    int most_changes(StateBudget::Use use) const { return budget_.most_changes(use); }
+    bool send_to_store(Time now, StoreRateLimiter::Use use, OutboundBody body, OnResponse then);
+    int max_writes(StoreRateLimiter::Use use) const { return rate_limiter_.max_writes(use); }
     // False: not a call of this one.
-    bool answered(Time now, CallReply& reply);
+    bool handle_response(Time now, OutboundResponse& response);
     // Machines that have not answered direct commands, since the last that did and the last report:
     // they tell of a node that is cut off only while nothing else is heard.
-    int unanswered() const { return static_cast<int>(unanswered_.size()); }
-    void heard_worker() { unanswered_.clear(); }
+    int unresponsive_workers() const { return static_cast<int>(unresponsive_workers_.size()); }
+    void worker_responded() { unresponsive_workers_.clear(); }
 
-    void answer(RequestId request, int status, AnswerBody body, double retry_after_s = 0);
-    void log(Level level, std::string text);
-    void take(Outputs& out);
+    void respond(RequestId request_id, int status, ResponseBody body, double retry_after_s = 0);
+    void log(LogLevel level, std::string text);
+    void drain_into(Outputs& out);
 
   private:
-    StateBudget& budget_;
-    CallId next_;
-    std::map<CallId, Then> waiting_;
+    StoreRateLimiter& rate_limiter_;
+    OutboundRequestId next_;
+    std::map<OutboundRequestId, OnResponse> pending_;
     Outputs out_;
-    std::set<std::string> unanswered_;
+    std::set<std::string> unresponsive_workers_;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/cancel_notices.cpp
+++ b/src/core/cancel_notices.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr double kLongestWait = 1.0 / 12; // of a report time
@@ -11,20 +11,21 @@
 constexpr std::size_t kMostJobs = 500;    // in a call: well under 64 KiB
 } // namespace
 
-CancelNotices::CancelNotices(const Facts& facts, Calls& calls)
-    : calls_(calls), longest_wait_s_(kLongestWait * facts.report_s),
-      unheard_s_(kUnheard * facts.report_s) {
-    for (const auto& part : facts.parts) {
-        if (part.node != facts.node) {
-            siblings_[part.node];
+CancellationBroadcast::CancellationBroadcast(const ClusterSettings& settings,
+                                             OutboundRequests& requests)
+    : requests_(requests), longest_wait_s_(kLongestWait * settings.heartbeat_interval_s),
+      unresponsive_s_(kUnheard * settings.heartbeat_interval_s) {
+    for (const auto& partition : settings.partitions) {
+        if (partition.node != settings.node) {
+            peers_[partition.node];
         }
     }
 }
 
-void CancelNotices::tell(Time now, const std::string& job, Then then) {
-    Wait wait{job, {}, now + longest_wait_s_, std::move(then)};
-    for (auto& [node, sibling] : siblings_) {
-        if (now >= sibling.unheard_until) {
+void CancellationBroadcast::broadcast(Time now, const std::string& job, OnDelivered then) {
+    Waiter wait{job, {}, now + longest_wait_s_, std::move(then)};
+    for (auto& [node, sibling] : peers_) {
+        if (now >= sibling.unresponsive_until) {
             wait.nodes.insert(node);
         }
         sibling.pending.push_back(job);
@@ -32,8 +33,8 @@
             sibling.pending.pop_front();
         }
     }
-    waits_.push_back(std::move(wait));
-    for (const auto& [node, sibling] : siblings_) {
+    waiters_.push_back(std::move(wait));
+    for (const auto& [node, sibling] : peers_) {
         if (!sibling.in_flight) {
             send(node);
         }
@@ -41,26 +42,27 @@
     flush(now);
 }
 
-void CancelNotices::send(const std::string& node) {
-    Sibling& sibling = siblings_.at(node);
+void CancellationBroadcast::send(const std::string& node) {
+    Peer& sibling = peers_.at(node);
     std::vector<std::string> jobs(sibling.pending.begin(), sibling.pending.end());
     sibling.pending.clear();
     sibling.in_flight = true;
-    calls_.send(CancelledCall{node, jobs}, [this, node, jobs](Time at, CallReply& reply) {
-        Sibling& s = siblings_.at(node);
-        s.in_flight = false;
-        s.unheard_until = reply.status == 200 ? -1 : at + unheard_s_;
-        answered(at, node, jobs);
-        if (!s.pending.empty()) {
-            send(node);
-        }
-    });
+    requests_.send(CancellationCall{node, jobs},
+                   [this, node, jobs](Time at, OutboundResponse& response) {
+                       Peer& s = peers_.at(node);
+                       s.in_flight = false;
+                       s.unresponsive_until = response.status == 200 ? -1 : at + unresponsive_s_;
+                       on_response(at, node, jobs);
+                       if (!s.pending.empty()) {
+                           send(node);
+                       }
+                   });
 }
 
 // With or without an answer there is nothing more to wait for.
-void CancelNotices::answered(Time now, const std::string& node,
-                             const std::vector<std::string>& jobs) {
-    for (auto& wait : waits_) {
+void CancellationBroadcast::on_response(Time now, const std::string& node,
+                                        const std::vector<std::string>& jobs) {
+    for (auto& wait : waiters_) {
         if (std::find(jobs.begin(), jobs.end(), wait.job) != jobs.end()) {
             wait.nodes.erase(node);
         }
@@ -68,9 +70,9 @@
     flush(now);
 }
 
-void CancelNotices::flush(Time now) {
-    std::vector<Wait> over;
-    std::erase_if(waits_, [&](Wait& wait) {
+void CancellationBroadcast::flush(Time now) {
+    std::vector<Waiter> over;
+    std::erase_if(waiters_, [&](Waiter& wait) {
         if (!wait.nodes.empty() && now < wait.until) {
             return false;
         }
@@ -79,10 +81,10 @@
     });
     for (auto& wait : over) {
         for (const auto& node : wait.nodes) {
-            siblings_.at(node).unheard_until = now + unheard_s_;
+            peers_.at(node).unresponsive_until = now + unresponsive_s_;
         }
-        wait.then(now);
+        wait.on_delivered(now);
     }
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/cancel_notices.h
+++ b/src/core/cancel_notices.h
@@ -13,38 +13,38 @@
 
 #include "core/calls.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class CancelNotices {
+class CancellationBroadcast {
   public:
-    CancelNotices(const Facts& facts, Calls& calls);
+    CancellationBroadcast(const ClusterSettings& settings, OutboundRequests& requests);
 
-    using Then = std::function<void(Time)>;
+    using OnDelivered = std::function<void(Time)>;
     // `then`: every sibling that can be reached has taken it in.
-    void tell(Time now, const std::string& job, Then then);
+    void broadcast(Time now, const std::string& job, OnDelivered then);
     // Ends the waits that have lasted long enough. To be called after every input.
     void flush(Time now);
 
   private:
-    struct Sibling {
+    struct Peer {
         std::deque<std::string> pending; // to be told
         bool in_flight = false;
-        Time unheard_until = -1; // it did not answer: it is told, but not waited for
+        Time unresponsive_until = -1; // it did not answer: it is told, but not waited for
     };
-    struct Wait {
+    struct Waiter {
         std::string job;
         std::set<std::string> nodes; // that have not answered
         Time until = 0;
-        Then then;
+        OnDelivered on_delivered;
     };
     void send(const std::string& node);
-    void answered(Time now, const std::string& node, const std::vector<std::string>& jobs);
+    void on_response(Time now, const std::string& node, const std::vector<std::string>& jobs);
 
-    Calls& calls_;
+    OutboundRequests& requests_;
     double longest_wait_s_;
-    double unheard_s_;
-    std::map<std::string, Sibling> siblings_;
-    std::vector<Wait> waits_;
+    double unresponsive_s_;
+    std::map<std::string, Peer> peers_;
+    std::vector<Waiter> waiters_;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/claim.cpp
+++ b/src/core/claim.cpp
@@ -1,29 +1,30 @@
 #include "core/claim.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 // Attempts left in a term when the part is claimed anew, under a later one.
 constexpr std::uint64_t kAttemptsLeft = 4096;
 } // namespace
 
-bool Claim::wrote(Calls& calls, const CallReply& reply, const char* what) {
-    if (reply.status == 200) {
+bool Leadership::committed(OutboundRequests& requests, const OutboundResponse& response,
+                           const char* what) {
+    if (response.status == 200) {
         return true;
     }
-    if (reply.failed_by(part_key(part_))) {
+    if (response.failed_on(partition_key(partition_))) {
         deposed_ = true;
     }
-    calls.log(Level::info, std::string("event=write_failed what=") + what +
-                               " status=" + std::to_string(reply.status));
+    requests.log(LogLevel::info, std::string("event=store_write_failed write=") + what +
+                                     " status=" + std::to_string(response.status));
     return false;
 }
 
-std::uint64_t Claim::new_attempt(int part, bool gang) {
+std::uint64_t Leadership::next_attempt(int partition, bool gang) {
     if (next_attempt_ + kAttemptsLeft >= 1ULL << kCounterBits) {
         deposed_ = true;
     }
-    return make_attempt(term_, next_attempt_++, part, gang);
+    return make_attempt(term_, next_attempt_++, partition, gang);
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/claim.h
+++ b/src/core/claim.h
@@ -6,35 +6,39 @@
 #include "core/calls.h"
 #include "core/parts.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Claim {
+class Leadership {
   public:
-    Claim(Time now, int part, const Authority& authority)
-        : part_(part), term_(authority.term(part)), since_(now), authority_(authority) {}
+    Leadership(Time now, int partition, const LeadershipLease& lease)
+        : partition_(partition), term_(lease.term(partition)), since_(now), lease_(lease) {}
 
-    int part() const { return part_; }
+    int partition() const { return partition_; }
     std::uint64_t term() const { return term_; }
     Time since() const { return since_; }
-    bool usable(Time now) const { return authority_.valid(now, part_) && !deposed_; }
+    bool is_active(Time now) const { return lease_.is_valid(now, partition_) && !deposed_; }
     // The claim turned out to be gone, or is to be made anew.
     bool deposed() const { return deposed_; }
 
     // A transaction that takes effect only while the part is ours.
-    Txn guarded() const { return Txn{{{part_key(part_), term_}}, {}}; }
+    StoreTransaction guarded_transaction() const {
+        return StoreTransaction{{{partition_key(partition_), term_}}, {}};
+    }
     // Did the write take effect? Also notices when it was refused because the part is ours no more.
-    bool wrote(Calls& calls, const CallReply& reply, const char* what);
+    bool committed(OutboundRequests& requests, const OutboundResponse& response, const char* what);
     // A number for tasks of jobs of `part`, never used before.
-    std::uint64_t new_attempt(int part, bool gang);
-    bool ours(std::uint64_t attempt) const { return part_of_attempt(attempt) == part_; }
+    std::uint64_t next_attempt(int partition, bool gang);
+    bool is_own_attempt(std::uint64_t attempt) const {
+        return partition_of_attempt(attempt) == partition_;
+    }
 
   private:
-    int part_;
+    int partition_;
     std::uint64_t term_;
     Time since_;
-    const Authority& authority_;
+    const LeadershipLease& lease_;
     bool deposed_ = false;
     std::uint64_t next_attempt_ = 1;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -5,7 +5,7 @@
 
 #include "core/parts.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr char kCatalog[] = "catalog";
@@ -14,57 +14,60 @@
 constexpr RequestId kLocalRequest = 1ULL << 62;
 } // namespace
 
-Controller::Controller(const Facts& facts, const Policy& policy)
-    : facts_(facts), policy_(policy),
-      budget_(facts.state_rps, facts.state_write_rps, static_cast<int>(facts.parts.size())),
-      calls_(budget_, 1), authority_(policy.part_lease_s),
-      config_(facts_, calls_, [this](Time at, const TeamFacts& team) { configured(at, team); }),
-      desk_(facts_, calls_, index_, config_, counts(),
-            [this](Time at, const std::string& job) { cancelled(at, job); }),
-      polls_(facts_, calls_, index_, counts()),
-      promises_(facts_, policy.part_lease_s, calls_, authority_, index_, config_), table_(facts_),
-      capacity_(facts_, tick_s(facts_)) {}
-
-Counts Controller::counts() {
+Controller::Controller(const ClusterSettings& settings, const SchedulingPolicy& policy)
+    : settings_(settings), policy_(policy),
+      rate_limiter_(settings.store_requests_per_s, settings.store_writes_per_s,
+                    static_cast<int>(settings.partitions.size())),
+      requests_(rate_limiter_, 1), lease_(policy.leadership_lease_s),
+      quota_config_(settings_, requests_,
+                    [this](Time at, const TeamQuota& quota) { on_quota_changed(at, quota); }),
+      job_service_(settings_, requests_, job_cache_, quota_config_, make_task_counts(),
+                   [this](Time at, const std::string& job) { on_job_cancelled(at, job); }),
+      job_status_reader_(settings_, requests_, job_cache_, make_task_counts()),
+      lease_extender_(settings_, policy.leadership_lease_s, requests_, lease_, job_cache_,
+                      quota_config_),
+      partition_map_(settings_), cpu_headroom_(settings_, tick_s(settings_)) {}
+
+TaskCounts Controller::make_task_counts() {
     return [this](const std::string& id, std::uint32_t& done, std::uint32_t& running) {
-        return std::any_of(owners_.begin(), owners_.end(), [&](const auto& owner) {
-            return owner.second->counts(id, done, running);
+        return std::any_of(leaders_.begin(), leaders_.end(), [&](const auto& leader) {
+            return leader.second->task_counts(id, done, running);
         });
     };
 }
 
 // This node has come to know, by whatever way, that the job is cancelled.
-void Controller::cancelled(Time now, const std::string& job) {
-    index_.saw_final(now, job, Outcome::cancelled);
-    for (auto& [part, owner] : owners_) {
-        owner->cancelled(now, job);
+void Controller::on_job_cancelled(Time now, const std::string& job) {
+    job_cache_.observe_outcome(now, job, Outcome::cancelled);
+    for (auto& [partition, leader] : leaders_) {
+        leader->cancel_job(now, job);
     }
 }
 
 // A change of the team's guarantee and limit has come into force at this node.
-void Controller::configured(Time now, const TeamFacts& team) {
-    for (auto& [part, owner] : owners_) {
-        owner->configure(now, team);
+void Controller::on_quota_changed(Time now, const TeamQuota& quota) {
+    for (auto& [partition, leader] : leaders_) {
+        leader->apply_quota(now, quota);
     }
 }
 
 std::uint64_t Controller::effort() const {
     std::uint64_t sum = 0;
-    for (const auto& [part, owner] : owners_) {
-        sum += owner->effort();
+    for (const auto& [partition, leader] : leaders_) {
+        sum += leader->effort();
     }
     return sum;
 }
 
-bool Controller::give(Time now, int part, const ShareId& share, int to) {
-    auto it = owners_.find(part);
-    return it != owners_.end() && it->second->give(now, share, to);
+bool Controller::migrate_shard(Time now, int partition, const ShardId& shard, int to) {
+    auto it = leaders_.find(partition);
+    return it != leaders_.end() && it->second->migrate_shard(now, shard, to);
 }
 
-std::vector<ShareId> Controller::shares(int part) const {
-    std::vector<ShareId> out;
-    if (auto it = owners_.find(part); it != owners_.end()) {
-        for (const auto& [id, share] : it->second->shares()) {
+std::vector<ShardId> Controller::shards(int partition) const {
+    std::vector<ShardId> out;
+    if (auto it = leaders_.find(partition); it != leaders_.end()) {
+        for (const auto& [id, shard] : it->second->shards()) {
             out.push_back(id);
         }
     }
@@ -75,32 +78,32 @@
     if (started_ < 0) {
         started_ = now;
     }
-    if (auto* submit = std::get_if<Submit>(&input)) {
-        desk_.submit(now, *submit, types_, fetched_);
-    } else if (auto* poll = std::get_if<Poll>(&input)) {
-        polls_.poll(now, poll->request, poll->job);
-    } else if (auto* cancel = std::get_if<Cancel>(&input)) {
-        desk_.cancel(now, *cancel);
-    } else if (auto* ready = std::get_if<ReadyProbe>(&input)) {
+    if (auto* submit = std::get_if<SubmitJob>(&input)) {
+        job_service_.submit(now, *submit, types_, catalog_is_current_);
+    } else if (auto* poll = std::get_if<PollJob>(&input)) {
+        job_status_reader_.poll(now, poll->request_id, poll->job);
+    } else if (auto* cancel = std::get_if<CancelJob>(&input)) {
+        job_service_.cancel(now, *cancel);
+    } else if (auto* ready = std::get_if<ReadinessProbe>(&input)) {
         bool ok = can_serve(now);
-        calls_.answer(ready->request, ok ? 200 : 503, Plain{ok ? "ready" : "not ready"});
-    } else if (auto* report = std::get_if<WorkerReport>(&input)) {
-        on_report(now, *report);
-    } else if (auto* exchange = std::get_if<PeerExchange>(&input)) {
-        on_exchange(now, *exchange);
-    } else if (auto* promise = std::get_if<PeerPromise>(&input)) {
-        on_promise(now, *promise);
-    } else if (auto* told = std::get_if<PeerCancelled>(&input)) {
+        requests_.respond(ready->request_id, ok ? 200 : 503, TextBody{ok ? "ready" : "not ready"});
+    } else if (auto* report = std::get_if<HeartbeatReceived>(&input)) {
+        on_heartbeat(now, *report);
+    } else if (auto* exchange = std::get_if<PeerSyncReceived>(&input)) {
+        on_peer_sync(now, *exchange);
+    } else if (auto* promise = std::get_if<LeaseExtensionReceived>(&input)) {
+        on_lease_extension(now, *promise);
+    } else if (auto* told = std::get_if<CancellationsReceived>(&input)) {
         for (const auto& job : told->jobs) {
-            cancelled(now, job);
+            on_job_cancelled(now, job);
         }
-        calls_.answer(told->request, 200, Plain{"taken in"});
-    } else if (auto* standing = std::get_if<PeerStanding>(&input)) {
-        calls_.answer(standing->request, 200, config_.standing(now, standing->team));
-    } else if (auto* reply = std::get_if<CallReply>(&input)) {
-        if (!calls_.answered(now, *reply)) {
-            for (auto& [part, owner] : owners_) {
-                if (owner->answered(now, *reply)) {
+        requests_.respond(told->request_id, 200, TextBody{"taken in"});
+    } else if (auto* standing = std::get_if<QuotaStatusQuery>(&input)) {
+        requests_.respond(standing->request_id, 200, quota_config_.status(now, standing->team));
+    } else if (auto* reply = std::get_if<OutboundResponse>(&input)) {
+        if (!requests_.handle_response(now, *reply)) {
+            for (auto& [partition, leader] : leaders_) {
+                if (leader->handle_response(now, *reply)) {
                     break;
                 }
             }
@@ -108,134 +111,139 @@
     } else {
         tick(now);
     }
-    polls_.flush(now);
-    desk_.flush(now);
+    job_status_reader_.flush(now);
+    job_service_.flush(now);
     Outputs out;
-    collect(now, out);
+    collect_outputs(now, out);
     return out;
 }
 
 // Gathers what the input led to. Calls between two parts of this very node are carried out here.
-void Controller::collect(Time now, Outputs& out) {
-    std::deque<std::pair<int, Call>> local;
+void Controller::collect_outputs(Time now, Outputs& out) {
+    std::deque<std::pair<int, OutboundRequest>> local;
     auto gather = [&] {
-        for (auto& [part, owner] : owners_) {
+        for (auto& [partition, leader] : leaders_) {
             Outputs own;
-            owner->take(own);
-            for (auto& call : own.calls) {
-                const auto* peer = std::get_if<PeerCall>(&call.body);
-                if (peer && peer->node == facts_.node) {
-                    local.emplace_back(part, std::move(call));
+            leader->drain_into(own);
+            for (auto& call : own.requests) {
+                const auto* peer = std::get_if<PeerSyncCall>(&call.body);
+                if (peer && peer->node == settings_.node) {
+                    local.emplace_back(partition, std::move(call));
                 } else {
-                    out.calls.push_back(std::move(call));
+                    out.requests.push_back(std::move(call));
                 }
             }
-            std::move(own.answers.begin(), own.answers.end(), std::back_inserter(out.answers));
+            std::move(own.responses.begin(), own.responses.end(),
+                      std::back_inserter(out.responses));
             std::move(own.log.begin(), own.log.end(), std::back_inserter(out.log));
         }
     };
     gather();
     while (!local.empty()) {
-        auto [part, call] = std::move(local.front());
+        auto [partition, call] = std::move(local.front());
         local.pop_front();
-        const Exchange& exchange = std::get<PeerCall>(call.body).exchange;
-        CallReply reply;
-        reply.call = call.id;
-        auto callee = owners_.find(exchange.to);
-        if (callee != owners_.end()) {
-            callee->second->exchange(now, kLocalRequest, exchange);
+        const PeerSyncRequest& request = std::get<PeerSyncCall>(call.body).sync;
+        OutboundResponse response;
+        response.request_id = call.id;
+        auto callee = leaders_.find(request.to_partition);
+        if (callee != leaders_.end()) {
+            callee->second->handle_peer_sync(now, kLocalRequest, request);
             gather();
-            std::erase_if(out.answers, [&](Answer& a) {
-                if (a.request != kLocalRequest) {
+            std::erase_if(out.responses, [&](Response& a) {
+                if (a.request_id != kLocalRequest) {
                     return false;
                 }
-                reply.status = a.status;
-                if (auto* body = std::get_if<ExchangeReply>(&a.body)) {
-                    reply.exchange = std::move(*body);
+                response.status = a.status;
+                if (auto* body = std::get_if<PeerSyncResponse>(&a.body)) {
+                    response.peer_sync = std::move(*body);
                 }
                 return true;
             });
         }
-        auto caller = owners_.find(part);
-        if (caller != owners_.end()) {
-            caller->second->answered(now, reply);
+        auto caller = leaders_.find(partition);
+        if (caller != leaders_.end()) {
+            caller->second->handle_response(now, response);
             gather();
         }
     }
     std::vector<int> deposed;
-    for (const auto& [part, owner] : owners_) {
-        if (owner->deposed()) {
-            deposed.push_back(part);
+    for (const auto& [partition, leader] : leaders_) {
+        if (leader->deposed()) {
+            deposed.push_back(partition);
         }
     }
-    for (int part : deposed) {
-        drop(part, "deposed");
+    for (int partition : deposed) {
+        resign(partition, "deposed");
         next_read_ = now;
     }
-    calls_.take(out);
+    requests_.drain_into(out);
 }
 
-void Controller::on_report(Time now, const WorkerReport& in) {
-    worker_heard_ = now; // whether or not it can be served
-    if (now < abstain_until_) {
+void Controller::on_heartbeat(Time now, const HeartbeatReceived& in) {
+    last_heartbeat_ = now; // whether or not it can be served
+    if (now < campaign_suspended_until_) {
         // Several machines reach it again, so it is not deaf any more. When all workers were mute,
         // all nodes took themselves for deaf, and nobody had any part for two leases after the
         // first worker was heard again.
-        heard_since_.insert(in.report.machine);
-        if (heard_since_.size() >= kHeardAgain) {
-            abstain_until_ = now;
+        reconnected_machines_.insert(in.heartbeat.machine);
+        if (reconnected_machines_.size() >= kHeardAgain) {
+            campaign_suspended_until_ = now;
         }
     }
-    abstain_leases_ = kAbstainLeases;
-    for (auto& [p, owner] : owners_) {
-        owner->heard_worker();
+    campaign_backoff_leases_ = kCampaignBackoffLeases;
+    for (auto& [p, leader] : leaders_) {
+        leader->worker_responded();
     }
-    ShareId share = share_of_machine(facts_, in.report.machine, in.report.zone);
-    int part = table_.holder(share);
-    auto it = std::find_if(owners_.begin(), owners_.end(), [&](const auto& owner) {
-        return owner.first == part || owner.second->holds(share);
+    ShardId shard = shard_of_machine(settings_, in.heartbeat.machine, in.heartbeat.zone);
+    int partition = partition_map_.holder(shard);
+    auto it = std::find_if(leaders_.begin(), leaders_.end(), [&](const auto& leader) {
+        return leader.first == partition || leader.second->owns_shard(shard);
     });
-    if (it != owners_.end()) {
-        it->second->report(now, in.request, in.report);
+    if (it != leaders_.end()) {
+        it->second->handle_heartbeat(now, in.request_id, in.heartbeat);
         return;
     }
-    const std::string node = part < 0 ? "" : table_.at(part).node;
-    calls_.answer(in.request, 421, Redirect{node == facts_.node ? "" : node});
+    const std::string node = partition < 0 ? "" : partition_map_.at(partition).leader;
+    requests_.respond(in.request_id, 421, LeaderRedirect{node == settings_.node ? "" : node});
 }
 
-void Controller::on_exchange(Time now, const PeerExchange& in) {
-    auto it = owners_.find(in.exchange.to);
-    if (it != owners_.end()) {
-        it->second->exchange(now, in.request, in.exchange);
+void Controller::on_peer_sync(Time now, const PeerSyncReceived& in) {
+    auto it = leaders_.find(in.sync.to_partition);
+    if (it != leaders_.end()) {
+        it->second->handle_peer_sync(now, in.request_id, in.sync);
     } else {
-        calls_.answer(in.request, 421, Plain{"not the owner"});
+        requests_.respond(in.request_id, 421, TextBody{"not the owner"});
     }
 }
 
-void Controller::on_promise(Time now, const PeerPromise& in) {
-    int part = in.ask.part;
-    if (part < 0 || part >= table_.count()) {
-        calls_.answer(in.request, 400, Plain{"no such part"});
+void Controller::on_lease_extension(Time now, const LeaseExtensionReceived& in) {
+    int partition = in.extension.partition;
+    if (partition < 0 || partition >= partition_map_.count()) {
+        requests_.respond(in.request_id, 400, TextBody{"no such part"});
         return;
     }
-    bool after = authority_.holds(part) || claiming_.contains(part);
-    calls_.answer(in.request, 200, promises_.answer(now, in.ask, after, started_, state_answered_));
+    bool after = lease_.leads(partition) || campaigns_.contains(partition);
+    requests_.respond(
+        in.request_id, 200,
+        lease_extender_.handle_request(now, in.extension, after, started_, last_store_response_));
 }
 
 // While the state service does not answer: what do the siblings say?
-void Controller::ask_siblings(Time now) {
-    if (state_answered_ < 0 && now - started_ < tick_s()) {
+void Controller::request_lease_extension(Time now) {
+    if (last_store_response_ < 0 && now - started_ < tick_s()) {
         return; // it has only just asked
     }
-    auto home = owners_.find(facts_.home);
+    auto home = leaders_.find(settings_.home_partition);
     Time complete = now; // without the part there is nothing to know
-    if (home != owners_.end()) {
-        home->second->complete(promises_.complete_to(authority_.term(facts_.home)));
-        complete = home->second->freshness().to();
-        config_.complete(promises_.complete_to(authority_.term(facts_.home)));
-    }
-    promises_.tick(now, state_answered_, complete,
-                   [this](Time at, const std::string& job) { cancelled(at, job); });
+    if (home != leaders_.end()) {
+        home->second->cancellations_known_until(
+            lease_extender_.cancellations_known_until(lease_.term(settings_.home_partition)));
+        complete = home->second->staleness().known_until();
+        quota_config_.advance(
+            lease_extender_.cancellations_known_until(lease_.term(settings_.home_partition)));
+    }
+    lease_extender_.tick(now, last_store_response_, complete,
+                         [this](Time at, const std::string& job) { on_job_cancelled(at, job); });
 }
 
 // A node that the state service does not answer can serve nobody, and users are better off
@@ -245,52 +253,54 @@
     if (types_.empty()) {
         return false;
     }
-    if (state_answered_ < 0) { // started in an outage
-        return promises_.outage_is_everyones(now);
+    if (last_store_response_ < 0) { // started in an outage
+        return lease_extender_.outage_is_cluster_wide(now);
     }
-    if (promises_.in_contact(now, state_answered_)) {
+    if (lease_extender_.store_responsive(now, last_store_response_)) {
         return true;
     }
-    if (promises_.alone(now)) {
+    if (lease_extender_.is_isolated(now)) {
         return false;
     }
-    return now - state_answered_ < facts_.lease_s / 3 || promises_.outage_is_everyones(now);
+    return now - last_store_response_ < settings_.worker_lease_s / 3 ||
+           lease_extender_.outage_is_cluster_wide(now);
 }
 
 void Controller::tick(Time now) {
-    learn_types(now);
-    if (authority_.has_lease()) {
-        renew(now);
+    refresh_instance_types(now);
+    if (lease_.has_store_lease()) {
+        renew_store_lease(now);
     } else {
-        grant_lease(now);
+        acquire_store_lease(now);
     }
-    if (!reading_ && now >= next_read_) {
-        read_parts(now);
+    if (!reading_map_ && now >= next_read_) {
+        read_partition_map(now);
     }
-    watch_parts(now);
-    config_.tick(now);
-    ask_back(now);
-    ask_siblings(now);
+    watch_partition_map(now);
+    quota_config_.tick(now);
+    reclaim_home_partition(now);
+    request_lease_extension(now);
     std::size_t reporting = 0;
     int unanswered = 0;
-    for (const auto& [part, owner] : owners_) {
-        reporting += owner->reporting();
-        unanswered = std::max(unanswered, owner->unanswered());
+    for (const auto& [partition, leader] : leaders_) {
+        reporting += leader->reporting_count();
+        unanswered = std::max(unanswered, leader->unresponsive_workers());
     }
     // A single machine may well be gone by itself. A node whose part has no machines may be deaf
     // too: slots that others hand it are wasted on it, as its starts do not arrive.
-    if ((reporting > 1 || unanswered >= kUnanswered) && now - worker_heard_ > facts_.lease_s / 3) {
+    if ((reporting > 1 || unanswered >= kUnanswered) &&
+        now - last_heartbeat_ > settings_.worker_lease_s / 3) {
         // Workers cannot reach this node, so others should have its parts: left alone, the
         // lease ends by itself, and this node does not come back to them for a while.
-        abstain_until_ = now + abstain_leases_ * facts_.lease_s;
-        abstain_leases_ *= 2;
-        heard_since_.clear();
-        lose_all(now, "deaf");
+        campaign_suspended_until_ = now + campaign_backoff_leases_ * settings_.worker_lease_s;
+        campaign_backoff_leases_ *= 2;
+        reconnected_machines_.clear();
+        resign_all(now, "deaf");
     }
-    capacity_.tick(now);
-    bool may_move = promises_.in_contact(now, state_answered_);
-    for (auto& [part, owner] : owners_) {
-        owner->tick(now, capacity_.value(), may_move);
+    cpu_headroom_.tick(now);
+    bool may_move = lease_extender_.store_responsive(now, last_store_response_);
+    for (auto& [partition, leader] : leaders_) {
+        leader->tick(now, cpu_headroom_.value(), may_move);
     }
 }
 
@@ -298,11 +308,12 @@
 // and without types a node can neither take a job nor claim a part. The cloud is asked at once only
 // when that cannot be had, so that a process that ends again and again does not use up its
 // requests.
-void Controller::learn_types(Time now) {
-    if (fetched_ || now < next_catalog_) {
+void Controller::refresh_instance_types(Time now) {
+    if (catalog_is_current_ || now < next_catalog_) {
         return;
     }
-    next_catalog_ = now + (types_.empty() ? facts_.report_s / 3 : facts_.lease_s);
+    next_catalog_ =
+        now + (types_.empty() ? settings_.heartbeat_interval_s / 3 : settings_.worker_lease_s);
     if (!types_.empty()) {
         fetch_catalog();
     } else if (!reading_catalog_ && !read_catalog(now)) {
@@ -311,129 +322,133 @@
 }
 
 void Controller::fetch_catalog() {
-    if (fetching_) {
+    if (fetching_catalog_) {
         return;
     }
-    fetching_ = true;
-    calls_.send(Catalog{}, [this](Time at, CallReply& reply) {
-        fetching_ = false;
-        if (reply.status == 200 && !reply.types.empty()) {
-            fetched_ = true;
-            know_types(at, reply.types);
-            Txn txn;
-            txn.then.push_back({kCatalog, CatalogRecord{types_}, {}});
-            calls_.send_state(at, StateBudget::Use::progress, std::move(txn),
-                              [](Time, CallReply&) {});
+    fetching_catalog_ = true;
+    requests_.send(ListInstanceTypes{}, [this](Time at, OutboundResponse& response) {
+        fetching_catalog_ = false;
+        if (response.status == 200 && !response.instance_types.empty()) {
+            catalog_is_current_ = true;
+            set_instance_types(at, response.instance_types);
+            StoreTransaction transaction;
+            transaction.writes.push_back({kCatalog, CatalogRecord{types_}, {}});
+            requests_.send_to_store(at, StoreRateLimiter::Use::progress, std::move(transaction),
+                                    [](Time, OutboundResponse&) {});
         }
     });
 }
 
 bool Controller::read_catalog(Time now) {
-    reading_catalog_ = calls_.send_state(
-        now, StateBudget::Use::user, Get{kCatalog}, [this](Time at, CallReply& reply) {
+    reading_catalog_ = requests_.send_to_store(
+        now, StoreRateLimiter::Use::user, StoreGet{kCatalog},
+        [this](Time at, OutboundResponse& response) {
             reading_catalog_ = false;
-            const auto* catalog = reply.status == 200 && !reply.items.empty()
-                                      ? std::get_if<CatalogRecord>(&reply.items[0].record)
+            const auto* catalog = response.status == 200 && !response.entries.empty()
+                                      ? std::get_if<CatalogRecord>(&response.entries[0].record)
                                       : nullptr;
             if (!catalog) {
                 fetch_catalog();
             } else if (types_.empty()) {
-                next_catalog_ = at + facts_.report_s; // its prices are those of another day
-                know_types(at, catalog->types);
+                next_catalog_ =
+                    at + settings_.heartbeat_interval_s; // its prices are those of another day
+                set_instance_types(at, catalog->types);
             }
         });
     return reading_catalog_;
 }
 
-void Controller::know_types(Time now, const std::vector<MachineType>& types) {
+void Controller::set_instance_types(Time now, const std::vector<InstanceType>& types) {
     bool first = types_.empty();
     types_ = types;
-    if (first && !reading_) {
-        read_parts(now); // parts can be claimed from here on
+    if (first && !reading_map_) {
+        read_partition_map(now); // parts can be claimed from here on
     }
 }
 
 // ---- The lease ----
 
-void Controller::grant_lease(Time now) {
-    if (granting_ || now < next_grant_ || now < abstain_until_) {
+void Controller::acquire_store_lease(Time now) {
+    if (acquiring_lease_ || now < next_grant_ || now < campaign_suspended_until_) {
         return;
     }
-    granting_ = true;
-    next_grant_ = now + facts_.report_s / 3;
-    calls_.send_state(now, StateBudget::Use::renewal, GrantLease{authority_.ttl_s()},
-                      [this, sent = now](Time at, CallReply& reply) {
-                          granting_ = false;
-                          if (reply.status == 200) {
-                              state_answered_ = at;
-                              authority_.granted(reply.lease, sent);
-                              next_renew_ = sent + authority_.ttl_s() / 8;
-                              read_parts_anew(at);
-                          }
-                      });
+    acquiring_lease_ = true;
+    next_grant_ = now + settings_.heartbeat_interval_s / 3;
+    requests_.send_to_store(now, StoreRateLimiter::Use::renewal, StoreLeaseGrant{lease_.ttl_s()},
+                            [this, sent = now](Time at, OutboundResponse& response) {
+                                acquiring_lease_ = false;
+                                if (response.status == 200) {
+                                    last_store_response_ = at;
+                                    lease_.on_granted(response.lease, sent);
+                                    next_renew_ = sent + lease_.ttl_s() / 8;
+                                    reread_partition_map(at);
+                                }
+                            });
 }
 
-void Controller::renew(Time now) {
-    if (renewing_ || now < next_renew_) {
+void Controller::renew_store_lease(Time now) {
+    if (renewing_lease_ || now < next_renew_) {
         return;
     }
-    renewing_ = true;
-    calls_.send_state(now, StateBudget::Use::renewal, Renew{authority_.lease()},
-                      [this, sent = now, lease = authority_.lease()](Time at, CallReply& reply) {
-                          renewing_ = false;
-                          if (authority_.lease() != lease) {
-                              return;
-                          }
-                          if (reply.status == 200) {
-                              authority_.renewed(sent);
-                              state_answered_ = at;
-                              next_renew_ = sent + authority_.ttl_s() / 8;
-                          } else if (reply.status == 404) {
-                              state_answered_ = at;
-                              lose_all(at, "lease_ended");
-                          } else {
-                              next_renew_ = at + authority_.ttl_s() / 24;
-                          }
-                      });
+    renewing_lease_ = true;
+    requests_.send_to_store(
+        now, StoreRateLimiter::Use::renewal, StoreLeaseRenewal{lease_.store_lease()},
+        [this, sent = now, lease = lease_.store_lease()](Time at, OutboundResponse& response) {
+            renewing_lease_ = false;
+            if (lease_.store_lease() != lease) {
+                return;
+            }
+            if (response.status == 200) {
+                lease_.on_renewed(sent);
+                last_store_response_ = at;
+                next_renew_ = sent + lease_.ttl_s() / 8;
+            } else if (response.status == 404) {
+                last_store_response_ = at;
+                resign_all(at, "lease_ended");
+            } else {
+                next_renew_ = at + lease_.ttl_s() / 24;
+            }
+        });
 }
 
 // ---- The claims ----
 
 // Who owns the parts, and who holds which shares? Asked about once a second even when the watch is
 // silent; the answer also shows whether the state service serves this node.
-void Controller::read_parts(Time now) {
-    reading_ = true;
-    next_read_ = now + facts_.report_s / 3;
-    calls_.send_state(now, StateBudget::Use::renewal, Range{PartTable::kPrefix, ""},
-                      [this](Time at, CallReply& reply) {
-                          reading_ = false;
-                          if (reply.status != 200) {
-                              return;
-                          }
-                          state_answered_ = at;
-                          if (table_.take(reply, calls_)) {
-                              take_parts(at);
-                          }
-                      });
+void Controller::read_partition_map(Time now) {
+    reading_map_ = true;
+    next_read_ = now + settings_.heartbeat_interval_s / 3;
+    requests_.send_to_store(now, StoreRateLimiter::Use::renewal,
+                            StoreRange{PartitionMap::kPrefix, ""},
+                            [this](Time at, OutboundResponse& response) {
+                                reading_map_ = false;
+                                if (response.status != 200) {
+                                    return;
+                                }
+                                last_store_response_ = at;
+                                if (partition_map_.load(response, requests_)) {
+                                    campaign(at);
+                                }
+                            });
 }
 
-void Controller::read_parts_anew(Time now) {
-    if (reading_) {
+void Controller::reread_partition_map(Time now) {
+    if (reading_map_) {
         next_read_ = now; // the one under way may be older
     } else {
-        read_parts(now);
+        read_partition_map(now);
     }
 }
 
-void Controller::take_parts(Time now) {
-    for (auto& [part, owner] : owners_) {
-        owner->follow(now);
+void Controller::campaign(Time now) {
+    for (auto& [partition, leader] : leaders_) {
+        leader->on_map_updated(now);
     }
-    for (int part = 0; part < table_.count(); ++part) {
-        const PartTable::Part& s = table_.at(part);
-        if (authority_.holds(part)) {
-            if (s.home_waits && part != facts_.home) {
-                hand_back(now, part);
+    for (int partition = 0; partition < partition_map_.count(); ++partition) {
+        const PartitionMap::Partition& state = partition_map_.at(partition);
+        if (lease_.leads(partition)) {
+            if (state.home_reclaims && partition != settings_.home_partition) {
+                hand_back(now, partition);
             }
             continue;
         }
@@ -442,136 +457,145 @@
         // waiting for it (else the part would go round among the others); or when the owner of
         // record is this very node, whose process of before is dead, since a node runs one process
         // at a time.
-        bool mine = s.node == facts_.node;
-        bool gone = s.version == 0 && (part == facts_.home ||
-                                       (now - started_ > 2 * facts_.report_s && !s.home_waits));
-        if ((mine || gone) && authority_.valid(now) && !types_.empty() && now >= abstain_until_ &&
-            !claiming_.contains(part) && promises_.may_claim(now, part, started_)) {
-            claim(now, part);
+        bool mine = state.leader == settings_.node;
+        bool gone = state.version == 0 &&
+                    (partition == settings_.home_partition ||
+                     (now - started_ > 2 * settings_.heartbeat_interval_s && !state.home_reclaims));
+        if ((mine || gone) && lease_.is_valid(now) && !types_.empty() &&
+            now >= campaign_suspended_until_ && !campaigns_.contains(partition) &&
+            lease_extender_.may_campaign(now, partition, started_)) {
+            campaign_for(now, partition);
         }
     }
 }
 
-void Controller::watch_parts(Time now) {
-    if (watching_ || now < next_watch_) {
+void Controller::watch_partition_map(Time now) {
+    if (watching_map_ || now < next_watch_) {
         return;
     }
-    watching_ = calls_.send_state(
-        now, StateBudget::Use::poll, Watch{PartTable::kPrefix, watch_from_, facts_.lease_s},
-        [this](Time at, CallReply& reply) {
-            watching_ = false;
-            if (reply.status == 200) {
-                bool news = !reply.items.empty() || !reply.deleted.empty();
-                watch_from_ = std::max(watch_from_, reply.revision);
+    watching_map_ = requests_.send_to_store(
+        now, StoreRateLimiter::Use::poll,
+        StoreWatch{PartitionMap::kPrefix, watch_from_, settings_.worker_lease_s},
+        [this](Time at, OutboundResponse& response) {
+            watching_map_ = false;
+            if (response.status == 200) {
+                bool news = !response.entries.empty() || !response.deleted.empty();
+                watch_from_ = std::max(watch_from_, response.revision);
                 if (news) {
-                    read_parts_anew(at);
+                    reread_partition_map(at);
                 }
             } else {
-                watch_from_ = reply.status == 410 ? 0 : watch_from_;
-                next_watch_ = at + facts_.report_s / 3;
+                watch_from_ = response.status == 410 ? 0 : watch_from_;
+                next_watch_ = at + settings_.heartbeat_interval_s / 3;
             }
         });
 }
 
-void Controller::claim(Time now, int part) {
-    const PartTable::Part& s = table_.at(part);
-    claiming_.insert(part);
-    Txn txn;
-    txn.when.push_back({part_key(part), s.version});
-    txn.then.push_back({part_key(part), PartRecord{facts_.node, true}, authority_.lease()});
-    if (s.home_waits && part == facts_.home) {
-        txn.then.push_back({PartTable::home_key(part), {}, {}});
-    }
-    if (part != facts_.home && s.version == 0) {
-        spread_shares(txn, part);
-    }
-    calls_.send_state(
-        now, StateBudget::Use::renewal, std::move(txn),
-        [this, part, lease = authority_.lease()](Time at, CallReply& reply) {
-            claiming_.erase(part);
+void Controller::campaign_for(Time now, int partition) {
+    const PartitionMap::Partition& state = partition_map_.at(partition);
+    campaigns_.insert(partition);
+    StoreTransaction transaction;
+    transaction.conditions.push_back({partition_key(partition), state.version});
+    transaction.writes.push_back(
+        {partition_key(partition), PartitionRecord{settings_.node, true}, lease_.store_lease()});
+    if (state.home_reclaims && partition == settings_.home_partition) {
+        transaction.writes.push_back({PartitionMap::reclaim_key(partition), {}, {}});
+    }
+    if (partition != settings_.home_partition && state.version == 0) {
+        reassign_shards_of(transaction, partition);
+    }
+    requests_.send_to_store(
+        now, StoreRateLimiter::Use::renewal, std::move(transaction),
+        [this, partition, lease = lease_.store_lease()](Time at, OutboundResponse& response) {
+            campaigns_.erase(partition);
             next_read_ = at;
             // Without an answer the claim may take effect yet: then the key names this node,
             // and the next read leads to a new claim over it.
-            if (reply.status != 200 || authority_.lease() != lease) {
+            if (response.status != 200 || lease_.store_lease() != lease) {
                 return;
             }
-            authority_.claimed(part, reply.revision);
-            worker_heard_ = at; // its machines have only now reason to come to this node
-            table_.claimed(part, facts_.node, reply.revision);
-            calls_.log(Level::info, "event=part_claimed part=" + std::to_string(part) +
-                                        " term=" + std::to_string(reply.revision));
-            owners_[part] = std::make_unique<PartOwner>(at, part, facts_, policy_, authority_,
-                                                        table_, budget_, index_, types_, config_);
-            config_.read_anew(at); // what the owner before had in force
-            read_parts_anew(at);   // it acts for nothing before it has seen the map
+            lease_.on_elected(partition, response.revision);
+            last_heartbeat_ = at; // its machines have only now reason to come to this node
+            partition_map_.on_elected(partition, settings_.node, response.revision);
+            requests_.log(LogLevel::info,
+                          "event=leadership_acquired partition=" + std::to_string(partition) +
+                              " term=" + std::to_string(response.revision));
+            leaders_[partition] = std::make_unique<PartitionLeader>(
+                at, partition, settings_, policy_, lease_, partition_map_, rate_limiter_,
+                job_cache_, types_, quota_config_);
+            quota_config_.reload(at); // what the owner before had in force
+            reread_partition_map(at); // it acts for nothing before it has seen the map
         });
 }
 
 // The machines of a part whose owner is gone go to all who are there, not to the one that takes the
 // part's teams up: in the claim itself, so that there is no moment between. What does not fit into
 // it stays with the part.
-void Controller::spread_shares(Txn& txn, int part) const {
+void Controller::reassign_shards_of(StoreTransaction& transaction, int partition) const {
     std::vector<int> takers;
-    for (int p = 0; p < table_.count(); ++p) {
-        if (table_.at(p).node == facts_.parts[static_cast<std::size_t>(p)].node) {
+    for (int p = 0; p < partition_map_.count(); ++p) {
+        if (partition_map_.at(p).leader == settings_.partitions[static_cast<std::size_t>(p)].node) {
             takers.push_back(p);
         }
     }
-    if (!table_.may_change(facts_.txn_ops)) {
+    if (!partition_map_.can_reassign(settings_.store_transaction_limit)) {
         return;
     }
-    Holders readable = table_.holders();
-    std::erase_if(readable, [&](const auto& h) { return !table_.readable(h.first); });
-    std::size_t most = static_cast<std::size_t>(std::max(0, facts_.txn_ops - 2));
-    Holders next = spread(readable, part, takers, most);
+    ShardHolders readable = partition_map_.holders();
+    std::erase_if(readable, [&](const auto& h) { return !partition_map_.is_readable(h.first); });
+    std::size_t most = static_cast<std::size_t>(std::max(0, settings_.store_transaction_limit - 2));
+    ShardHolders next = reassign_shards(readable, partition, takers, most);
     if (!next.empty()) {
-        txn.when = table_.unchanged();
+        transaction.conditions = partition_map_.unchanged_conditions();
     }
     for (auto& [home, holders] : next) {
-        table_.change(txn, home, std::move(holders));
+        partition_map_.add_reassignment(transaction, home, std::move(holders));
     }
 }
 
 // A node that has been up for a while asks for its home part back.
-void Controller::ask_back(Time now) {
-    const PartTable::Part& s = table_.at(facts_.home);
-    bool elsewhere = !s.node.empty() && s.node != facts_.node;
-    if (!elsewhere || s.home_waits || asking_ || now < next_ask_ || !authority_.valid(now) ||
-        now - started_ < facts_.lease_s || now < abstain_until_ || types_.empty()) {
+void Controller::reclaim_home_partition(Time now) {
+    const PartitionMap::Partition& partition = partition_map_.at(settings_.home_partition);
+    bool elsewhere = !partition.leader.empty() && partition.leader != settings_.node;
+    if (!elsewhere || partition.home_reclaims || reclaiming_home_ || now < next_reclaim_ ||
+        !lease_.is_valid(now) || now - started_ < settings_.worker_lease_s ||
+        now < campaign_suspended_until_ || types_.empty()) {
         return;
     }
-    Txn txn;
-    txn.then.push_back(
-        {PartTable::home_key(facts_.home), PartRecord{facts_.node, true}, authority_.lease()});
-    next_ask_ = now + facts_.report_s;
-    asking_ = calls_.send_state(now, StateBudget::Use::progress, std::move(txn),
-                                [this](Time, CallReply&) { asking_ = false; });
+    StoreTransaction transaction;
+    transaction.writes.push_back({PartitionMap::reclaim_key(settings_.home_partition),
+                                  PartitionRecord{settings_.node, true}, lease_.store_lease()});
+    next_reclaim_ = now + settings_.heartbeat_interval_s;
+    reclaiming_home_ =
+        requests_.send_to_store(now, StoreRateLimiter::Use::progress, std::move(transaction),
+                                [this](Time, OutboundResponse&) { reclaiming_home_ = false; });
 }
 
-void Controller::hand_back(Time now, int part) {
-    std::uint64_t term = authority_.term(part);
-    drop(part, "handed_back");
-    Txn txn;
-    txn.when.push_back({part_key(part), term});
-    txn.then.push_back({part_key(part), {}, {}});
+void Controller::hand_back(Time now, int partition) {
+    std::uint64_t term = lease_.term(partition);
+    resign(partition, "handed_back");
+    StoreTransaction transaction;
+    transaction.conditions.push_back({partition_key(partition), term});
+    transaction.writes.push_back({partition_key(partition), {}, {}});
     // Lost, the key still names this node, which then claims the part anew.
-    calls_.send_state(now, StateBudget::Use::renewal, std::move(txn), [](Time, CallReply&) {});
-    claiming_.erase(part);
+    requests_.send_to_store(now, StoreRateLimiter::Use::renewal, std::move(transaction),
+                            [](Time, OutboundResponse&) {});
+    campaigns_.erase(partition);
 }
 
-void Controller::drop(int part, const char* why) {
-    calls_.log(Level::info,
-               std::string("event=part_dropped why=") + why + " part=" + std::to_string(part));
-    owners_.erase(part);
-    authority_.dropped(part);
+void Controller::resign(int partition, const char* why) {
+    requests_.log(LogLevel::info, std::string("event=leadership_resigned reason=") + why +
+                                      " partition=" + std::to_string(partition));
+    leaders_.erase(partition);
+    lease_.on_resigned(partition);
 }
 
-void Controller::lose_all(Time now, const char* why) {
-    while (!owners_.empty()) {
-        drop(owners_.begin()->first, why);
+void Controller::resign_all(Time now, const char* why) {
+    while (!leaders_.empty()) {
+        resign(leaders_.begin()->first, why);
     }
-    authority_.lost();
+    lease_.on_lost();
     next_read_ = now;
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -8,76 +8,79 @@
 #include "core/promises.h"
 #include "core/user_desk.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 class Controller {
   public:
-    Controller(const Facts& facts, const Policy& policy);
+    Controller(const ClusterSettings& settings, const SchedulingPolicy& policy);
 
     Outputs handle(Time now, Input input);
     // How long the core may be left alone when nothing comes in.
-    double tick_s() const { return tick_s(facts_); }
-    static double tick_s(const Facts& facts) { return facts.report_s / 12; }
+    double tick_s() const { return tick_s(settings_); }
+    static double tick_s(const ClusterSettings& settings) {
+        return settings.heartbeat_interval_s / 12;
+    }
     // See PartOwner::effort.
     std::uint64_t effort() const;
     // Gives a share that a part of this node holds to another part, as `Balance` would. False: not
     // now.
-    bool give(Time now, int part, const ShareId& share, int to);
+    bool migrate_shard(Time now, int partition, const ShardId& shard, int to);
     // The shares that a part of this node holds; none: it does not own the part.
-    std::vector<ShareId> shares(int part) const;
+    std::vector<ShardId> shards(int partition) const;
 
   private:
-    static constexpr double kAbstainLeases = 2;
+    static constexpr double kCampaignBackoffLeases = 2;
     void tick(Time now);
-    void learn_types(Time now);
+    void refresh_instance_types(Time now);
     void fetch_catalog();
     bool read_catalog(Time now);
-    void know_types(Time now, const std::vector<MachineType>& types);
-    void grant_lease(Time now);
-    void renew(Time now);
-    void read_parts(Time now);
-    void read_parts_anew(Time now);
-    void take_parts(Time now);
-    void spread_shares(Txn& txn, int part) const;
-    void watch_parts(Time now);
-    void claim(Time now, int part);
-    void ask_back(Time now);
-    void hand_back(Time now, int part);
-    void lose_all(Time now, const char* why);
-    void drop(int part, const char* why);
-    void on_report(Time now, const WorkerReport& in);
-    void on_exchange(Time now, const PeerExchange& in);
-    void on_promise(Time now, const PeerPromise& in);
-    void ask_siblings(Time now);
+    void set_instance_types(Time now, const std::vector<InstanceType>& types);
+    void acquire_store_lease(Time now);
+    void renew_store_lease(Time now);
+    void read_partition_map(Time now);
+    void reread_partition_map(Time now);
+    void campaign(Time now);
+    void reassign_shards_of(StoreTransaction& transaction, int partition) const;
+    void watch_partition_map(Time now);
+    void campaign_for(Time now, int partition);
+    void reclaim_home_partition(Time now);
+    void hand_back(Time now, int partition);
+    void resign_all(Time now, const char* why);
+    void resign(int partition, const char* why);
+    void on_heartbeat(Time now, const HeartbeatReceived& in);
+    void on_peer_sync(Time now, const PeerSyncReceived& in);
+    void on_lease_extension(Time now, const LeaseExtensionReceived& in);
+    void request_lease_extension(Time now);
     bool can_serve(Time now) const;
-    Counts counts();
-    void cancelled(Time now, const std::string& job);
-    void configured(Time now, const TeamFacts& team);
-    void collect(Time now, Outputs& out);
+    TaskCounts make_task_counts();
+    void on_job_cancelled(Time now, const std::string& job);
+    void on_quota_changed(Time now, const TeamQuota& quota);
+    void collect_outputs(Time now, Outputs& out);
 
-    Facts facts_;
-    Policy policy_;
-    StateBudget budget_;
-    Calls calls_;
-    Authority authority_;
-    JobIndex index_;
-    TeamConfig config_;
-    UserDesk desk_;
-    PollDesk polls_;
-    Promises promises_;
-    std::map<int, std::unique_ptr<PartOwner>> owners_;
-    PartTable table_;
-    Capacity capacity_;
-    std::set<int> claiming_;
-    std::vector<MachineType> types_;
-    bool fetching_ = false;
-    bool fetched_ = false; // the types are the cloud's own, not what another start heard of them
+    ClusterSettings settings_;
+    SchedulingPolicy policy_;
+    StoreRateLimiter rate_limiter_;
+    OutboundRequests requests_;
+    LeadershipLease lease_;
+    JobRecordCache job_cache_;
+    QuotaConfig quota_config_;
+    JobService job_service_;
+    JobStatusReader job_status_reader_;
+    LeaseExtender lease_extender_;
+    std::map<int, std::unique_ptr<PartitionLeader>> leaders_;
+    PartitionMap partition_map_;
+    CpuHeadroom cpu_headroom_;
+    std::set<int> campaigns_;
+    std::vector<InstanceType> types_;
+    bool fetching_catalog_ = false;
+    bool catalog_is_current_ =
+        false; // the types are the cloud's own, not what another start heard of them
     bool reading_catalog_ = false;
-    bool granting_ = false;
-    bool renewing_ = false;
-    bool reading_ = false;
-    bool watching_ = false;
-    bool asking_ = false;
+    bool acquiring_lease_ = false;
+    bool renewing_lease_ = false;
+    bool reading_map_ = false;
+    bool watching_map_ = false;
+    bool reclaiming_home_ = false;
     std::uint64_t watch_from_ = 0;
     Time started_ = -1;
     Time next_catalog_ = 0;
@@ -85,12 +88,12 @@
     Time next_renew_ = 0;
     Time next_read_ = 0;
     Time next_watch_ = 0;
-    Time next_ask_ = 0;
-    Time worker_heard_ = 0;
-    Time abstain_until_ = 0;
-    double abstain_leases_ = kAbstainLeases; // doubles while no worker is heard
-    std::set<std::string> heard_since_;      // machines that reported while it abstains
-    Time state_answered_ = -1e9;             // the last answer that was the state service's own
+    Time next_reclaim_ = 0;
+    Time last_heartbeat_ = 0;
+    Time campaign_suspended_until_ = 0;
+    double campaign_backoff_leases_ = kCampaignBackoffLeases; // doubles while no worker is heard
+    std::set<std::string> reconnected_machines_; // machines that reported while it abstains
+    Time last_store_response_ = -1e9;            // the last answer that was the state service's own
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/demand_book.h
+++ b/src/core/demand_book.h
@@ -10,69 +10,71 @@
 #include "core/machine_types.h"
 #include "core/teams.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class DemandBook {
+class DemandTracker {
   public:
-    struct Standing {
+    struct PartitionDemand {
         Demand demand;
-        FleetView fleet;
+        PartitionCapacity capacity;
     };
-    DemandBook(const Claim& claim, const Facts& facts, const Policy& policy,
-               const MachineTypes& types, const JobStore& jobs, const Teams& teams,
-               const MachineTable& machines, const Fleet& fleet);
+    DemandTracker(const Leadership& leadership, const ClusterSettings& settings,
+                  const SchedulingPolicy& policy, const InstanceTypeCatalog& types,
+                  const JobStore& jobs, const QuotaLedger& quotas, const MachineTable& machines,
+                  const CapacityPlanner& planner);
 
     // Work that has come: such as is to start sooner than a machine boots is remembered.
-    void arrived(Time now, const JobSpec& spec);
+    void on_job_arrived(Time now, const JobSpec& spec);
     // Counted anew once a moment, as every call to a peer says it; the machines less often.
-    const Standing& standing(Time now);
-    void stale() { until_ = counted_until_ = 0; }
+    const PartitionDemand& current(Time now);
+    void invalidate() { valid_until_ = capacity_valid_until_ = 0; }
     // The owner of another part has said how it stands.
-    void heard(Time now, int part, const Demand& demand, const FleetView& fleet);
+    void on_peer_demand(Time now, int partition, const Demand& demand,
+                        const PartitionCapacity& fleet);
     // Of all parts together.
-    Totals totals(Time now);
+    ClusterDemand cluster_demand(Time now);
     // What the part's owner says of itself from now on: see FleetView.
-    void set_capacity(double capacity, bool takes) {
-        capacity_ = capacity;
-        takes_ = takes;
+    void set_local_state(double capacity, bool takes) {
+        cpu_headroom_ = capacity;
+        accepts_shards_ = takes;
     }
     struct Peer {
-        Time heard_at = 0;
+        Time received_at = 0;
         Demand demand;
-        FleetView fleet;
+        PartitionCapacity capacity;
     };
     const std::map<int, Peer>& peers() const { return peers_; }
 
     // Machines rented by this owner that belong to other parts: counted here until their owners
     // know of them.
-    using BoughtMachines = std::map<std::string, std::pair<Rent, Time>>;
-    const BoughtMachines& bought() const { return bought_; }
-    void buy(Time now, const std::string& machine, const Rent& rent);
-    void passed_on(const std::string& machine) { bought_.erase(machine); }
+    using ProvisionedMachines = std::map<std::string, std::pair<ScaleOut, Time>>;
+    const ProvisionedMachines& provisioned() const { return provisioned_; }
+    void add_provisioned(Time now, const std::string& machine, const ScaleOut& order);
+    void remove_provisioned(const std::string& machine) { provisioned_.erase(machine); }
     // Those that should be up by now are counted no more.
-    void forget_late(Time now);
+    void expire_provisioned(Time now);
 
     std::uint64_t effort() const { return effort_; }
 
   private:
     Demand demand(Time now);
-    double ahead(Time now) const;
+    double projected_slots(Time now) const;
 
-    const Claim& claim_;
-    const Facts& facts_;
-    const Policy& policy_;
-    const MachineTypes& types_;
+    const Leadership& leadership_;
+    const ClusterSettings& settings_;
+    const SchedulingPolicy& policy_;
+    const InstanceTypeCatalog& types_;
     const JobStore& jobs_;
-    const Teams& teams_;
+    const QuotaLedger& quotas_;
     const MachineTable& machines_;
-    const Fleet& fleet_;
+    const CapacityPlanner& planner_;
     std::map<int, Peer> peers_;
-    BoughtMachines bought_;
-    Standing standing_;
-    Time until_ = 0;
-    Time counted_until_ = 0; // the machines
-    double capacity_ = 1;
-    bool takes_ = false;
+    ProvisionedMachines provisioned_;
+    PartitionDemand current_;
+    Time valid_until_ = 0;
+    Time capacity_valid_until_ = 0; // the machines
+    double cpu_headroom_ = 1;
+    bool accepts_shards_ = false;
     struct Arrival {
         Time at = 0;
         double slots = 0;
@@ -81,4 +83,4 @@
     std::uint64_t effort_ = 0;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
