--- a/src/core/durable.cpp
+++ b/src/core/durable.cpp
@@ -5,28 +5,29 @@
 #include "core/part_owner.h"
 #include "core/parts.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr double kProgressShare = 0.3; // of the changes that the state service takes
 
 std::string progress_key(const std::string& job, std::uint32_t chunk) {
-    return kProgress + job + "/" + std::to_string(chunk);
+    return kProgressPrefix + job + "/" + std::to_string(chunk);
 }
 } // namespace
 
 // Machines that have come onto the roster may be used.
-void PartOwner::on_roster(Time now, const CallReply& reply, const std::vector<std::string>& names) {
-    claim_.wrote(calls_, reply, "roster");
+void PartitionLeader::on_machines_registered(Time now, const OutboundResponse& response,
+                                             const std::vector<std::string>& names) {
+    leadership_.committed(requests_, response, "roster");
     for (const auto& name : names) {
         if (Machine* machine = machines_.find(name)) {
-            machine->on_roster = true;
-            relist(*machine);
+            machine->registered = true;
+            update_slot_lists(*machine);
         }
     }
     if (!names.empty()) {
-        place(now);
-        send_orders(now);
+        schedule(now);
+        send_commands(now);
     }
 }
 
@@ -34,17 +35,18 @@
 // is written over the version that it has now, and only while its job is open: an older set of bits
 // never replaces a newer one whose tasks have been cleared, and none comes back after the job's
 // end.
-void PartOwner::save_progress(Time now) {
-    if (saving_ || !loaded_) {
+void PartitionLeader::persist_completed_tasks(Time now) {
+    if (persisting_ || !loaded_) {
         return;
     }
     // No more than the budget can ever give at once, or nothing would be saved while much changes.
-    int most = std::min(facts_.txn_ops, calls_.most_changes(StateBudget::Use::progress));
-    auto dirty = jobs_.dirty(static_cast<std::size_t>(most));
+    int most = std::min(settings_.store_transaction_limit,
+                        requests_.max_writes(StoreRateLimiter::Use::progress));
+    auto dirty = jobs_.next_dirty_chunks(static_cast<std::size_t>(most));
     if (dirty.empty()) {
         return;
     }
-    Txn txn = claim_.guarded();
+    StoreTransaction transaction = leadership_.guarded_transaction();
     std::size_t room = 48 * 1024; // of the 64 KiB that a transaction may have
     std::size_t n = 0;
     for (; n < dirty.size(); ++n) {
@@ -56,32 +58,34 @@
         room -= size;
         const Job& job = *jobs_.find(dirty[n].job);
         std::string key = progress_key(dirty[n].job, dirty[n].chunk);
-        txn.when.push_back({key, job.chunk_version[dirty[n].chunk]});
+        transaction.conditions.push_back({key, job.chunk_version[dirty[n].chunk]});
         if (n == 0 || dirty[n].job != dirty[n - 1].job) {
-            txn.when.push_back({kJobs + dirty[n].job, job.version});
+            transaction.conditions.push_back({kJobPrefix + dirty[n].job, job.version});
         }
-        txn.then.push_back({std::move(key), ProgressRecord{std::move(bits)}, {}});
+        transaction.writes.push_back({std::move(key), ProgressRecord{std::move(bits)}, {}});
     }
     dirty.resize(n);
-    saving_ = calls_.send_state(
-        now, StateBudget::Use::progress, std::move(txn), [this, dirty](Time at, CallReply& reply) {
-            saving_ = false;
+    persisting_ = requests_.send_to_store(
+        now, StoreRateLimiter::Use::progress, std::move(transaction),
+        [this, dirty](Time at, OutboundResponse& response) {
+            persisting_ = false;
             // All parts together leave most of the changes to new jobs, outcomes and the roster.
-            double parts = static_cast<double>(facts_.parts.size());
+            double partitions = static_cast<double>(settings_.partitions.size());
             double changes = static_cast<double>(dirty.size());
-            next_save_ = at + std::max(facts_.report_s / 3,
-                                       changes * parts / (kProgressShare * facts_.state_write_rps));
-            if (claim_.wrote(calls_, reply, "progress")) {
+            next_persist_ = at + std::max(settings_.heartbeat_interval_s / 3,
+                                          changes * partitions /
+                                              (kProgressShare * settings_.store_writes_per_s));
+            if (leadership_.committed(requests_, response, "progress")) {
                 for (const auto& chunk : dirty) {
-                    jobs_.saved(chunk, reply.revision);
+                    jobs_.on_chunk_saved(chunk, response.revision);
                 }
-            } else if (reply.status == 409 && !claim_.deposed()) {
+            } else if (response.status == 409 && !leadership_.deposed()) {
                 // What is not named, the next try will name.
                 for (const auto& chunk : dirty) {
-                    if (reply.failed_by(kJobs + chunk.job)) {
+                    if (response.failed_on(kJobPrefix + chunk.job)) {
                         reread_job(at, chunk.job);
                     }
-                    if (reply.failed_by(progress_key(chunk.job, chunk.chunk))) {
+                    if (response.failed_on(progress_key(chunk.job, chunk.chunk))) {
                         reread_chunk(at, chunk.job, chunk.chunk);
                     }
                 }
@@ -90,115 +94,119 @@
 }
 
 // The job's outcome and the end of its progress keys are one write; only then is it done.
-void PartOwner::finish_job(Time now, Job& job) {
-    if (job.finishing || now < job.finish_after) {
+void PartitionLeader::finish_job(Time now, Job& job) {
+    if (job.finish_in_flight || now < job.finish_retry_at) {
         return;
     }
-    Txn txn = claim_.guarded();
+    StoreTransaction transaction = leadership_.guarded_transaction();
     std::string id = job.spec.id;
-    txn.when.push_back({kJobs + id, job.version});
-    txn.then.push_back({kJobs + id, JobRecord{Outcome::done, {}}, {}});
-    int most = std::min(facts_.txn_ops, calls_.most_changes(StateBudget::Use::user));
+    transaction.conditions.push_back({kJobPrefix + id, job.version});
+    transaction.writes.push_back({kJobPrefix + id, JobRecord{Outcome::done, {}}, {}});
+    int most = std::min(settings_.store_transaction_limit,
+                        requests_.max_writes(StoreRateLimiter::Use::user));
     for (std::uint32_t c = 0; c < jobs_.chunks(job); ++c) {
-        if (job.chunk_version[c] > 0 && static_cast<int>(txn.then.size()) < most) {
-            txn.then.push_back({progress_key(id, c), {}, {}});
+        if (job.chunk_version[c] > 0 && static_cast<int>(transaction.writes.size()) < most) {
+            transaction.writes.push_back({progress_key(id, c), {}, {}});
         }
     }
-    job.finishing = calls_.send_state(now, StateBudget::Use::user, std::move(txn),
-                                      [this, id](Time at, CallReply& reply) {
-                                          Job* j = jobs_.find(id);
-                                          if (j) {
-                                              j->finishing = false;
-                                              j->finish_after = at + facts_.report_s / 6;
-                                          }
-                                          if (claim_.wrote(calls_, reply, "outcome")) {
-                                              calls_.log(Level::info, "event=job_done job=" + id);
-                                              index_.saw_final(at, id, Outcome::done);
-                                              if (j) {
-                                                  order_.done(j->spec);
-                                              }
-                                              jobs_.final(id, Outcome::done);
-                                              drop_job(id);
-                                          } else if (reply.status == 409 && !claim_.deposed()) {
-                                              reread_job(at, id);
-                                          }
-                                      });
+    job.finish_in_flight = requests_.send_to_store(
+        now, StoreRateLimiter::Use::user, std::move(transaction),
+        [this, id](Time at, OutboundResponse& response) {
+            Job* finished = jobs_.find(id);
+            if (finished) {
+                finished->finish_in_flight = false;
+                finished->finish_retry_at = at + settings_.heartbeat_interval_s / 6;
+            }
+            if (leadership_.committed(requests_, response, "outcome")) {
+                requests_.log(LogLevel::info, "event=job_completed job=" + id);
+                job_cache_.observe_outcome(at, id, Outcome::done);
+                if (finished) {
+                    queue_.on_job_done(finished->spec);
+                }
+                jobs_.record_outcome(id, Outcome::done);
+                drop_job(id);
+            } else if (response.status == 409 && !leadership_.deposed()) {
+                reread_job(at, id);
+            }
+        });
 }
 
 // Its key has changed under us: a cancel came first, or our own write took effect unseen.
-void PartOwner::reread_job(Time now, const std::string& id) {
-    calls_.send_state(now, StateBudget::Use::user, Get{kJobs + id},
-                      [this, id](Time at, CallReply& reply) {
-                          if (reply.status != 200 || reply.items.empty()) {
-                              return;
-                          }
-                          const auto* record = std::get_if<JobRecord>(&reply.items[0].record);
-                          if (record && record->outcome == Outcome::cancelled) {
-                              cancelled(at, id);
-                          } else if (record && record->outcome == Outcome::done) {
-                              jobs_.final(id, Outcome::done);
-                              drop_job(id);
-                          }
-                      });
+void PartitionLeader::reread_job(Time now, const std::string& id) {
+    requests_.send_to_store(now, StoreRateLimiter::Use::user, StoreGet{kJobPrefix + id},
+                            [this, id](Time at, OutboundResponse& response) {
+                                if (response.status != 200 || response.entries.empty()) {
+                                    return;
+                                }
+                                const auto* record =
+                                    std::get_if<JobRecord>(&response.entries[0].record);
+                                if (record && record->outcome == Outcome::cancelled) {
+                                    cancel_job(at, id);
+                                } else if (record && record->outcome == Outcome::done) {
+                                    jobs_.record_outcome(id, Outcome::done);
+                                    drop_job(id);
+                                }
+                            });
 }
 
-void PartOwner::reread_chunk(Time now, const std::string& id, std::uint32_t chunk) {
-    calls_.send_state(now, StateBudget::Use::progress, Get{progress_key(id, chunk)},
-                      [this, id, chunk](Time, CallReply& reply) {
-                          if (reply.status == 404) {
-                              jobs_.load_progress(id, chunk, {}, 0);
-                          } else if (reply.status == 200 && !reply.items.empty()) {
-                              const KeyedRecord& item = reply.items[0];
-                              const auto* record = std::get_if<ProgressRecord>(&item.record);
-                              jobs_.load_progress(id, chunk,
-                                                  record ? record->done : std::vector<bool>{},
-                                                  item.version);
-                          }
-                      });
+void PartitionLeader::reread_chunk(Time now, const std::string& id, std::uint32_t chunk) {
+    requests_.send_to_store(now, StoreRateLimiter::Use::progress, StoreGet{progress_key(id, chunk)},
+                            [this, id, chunk](Time, OutboundResponse& response) {
+                                if (response.status == 404) {
+                                    jobs_.load_progress(id, chunk, {}, 0);
+                                } else if (response.status == 200 && !response.entries.empty()) {
+                                    const KeyedRecord& item = response.entries[0];
+                                    const auto* record = std::get_if<ProgressRecord>(&item.record);
+                                    jobs_.load_progress(id, chunk,
+                                                        record ? record->done : std::vector<bool>{},
+                                                        item.version);
+                                }
+                            });
 }
 
-void PartOwner::cancelled(Time now, const std::string& id) {
+void PartitionLeader::cancel_job(Time now, const std::string& id) {
     if (loaded_ && !jobs_.find(id)) {
-        jobs_.final(id, Outcome::cancelled); // its guests here are to stop, and it never starts
+        jobs_.record_outcome(
+            id, Outcome::cancelled); // its guests here are to stop, and it never starts
     } else if (jobs_.cancel(id)) {
-        calls_.log(Level::info, "event=job_cancelled job=" + id);
-        borrowing_.stop_job(id, 0);               // on other parts' machines, by their owners
+        requests_.log(LogLevel::info, "event=job_cancelled job=" + id);
+        borrower_.stop_job(id, 0);                // on other parts' machines, by their owners
         for (auto& [name, m] : machines_.all()) { // starts that are not out yet never go out
-            for (const auto& g : machines_.unqueue(m, &id)) {
-                teams_.free(g.placement.team, g.placement.cpus, g.placement.gpus);
-                jobs_.unplace(*jobs_.find(id), g.task.index, m.zone);
-                relist(m);
+            for (const auto& g : machines_.cancel_queued_starts(m, &id)) {
+                quotas_.remove_usage(g.placement.team, g.placement.cpus, g.placement.gpus);
+                jobs_.mark_waiting(*jobs_.find(id), g.task.index, m.zone);
+                update_slot_lists(m);
             }
             stop_at_once(m, id);
         }
-        send_orders(now);
+        send_commands(now);
     }
     forget_if_over(id);
 }
 
 // A task whose image is still on its way would start before the next report brings its stop.
-void PartOwner::stop_at_once(Machine& m, const std::string& job) {
-    for (auto it = m.tasks.lower_bound({job, 0}); it != m.tasks.end() && it->first.job == job;
-         ++it) {
-        if (claim_.ours(it->second.attempt)) {
-            machines_.queue_stop(m, it->first, it->second.attempt, 0);
+void PartitionLeader::stop_at_once(Machine& machine, const std::string& job) {
+    for (auto it = machine.tasks.lower_bound({job, 0});
+         it != machine.tasks.end() && it->first.job == job; ++it) {
+        if (leadership_.is_own_attempt(it->second.attempt)) {
+            machines_.queue_stop(machine, it->first, it->second.attempt, 0);
         }
     }
 }
 
 // The order may point to the job.
-void PartOwner::drop_job(const std::string& id) {
-    order_.clear();
-    gangs_.gone(id);
+void PartitionLeader::drop_job(const std::string& id) {
+    queue_.clear();
+    gangs_.on_attempt_gone(id);
     jobs_.drop(id);
 }
 
-void PartOwner::forget_if_over(const std::string& id) {
+void PartitionLeader::forget_if_over(const std::string& id) {
     Job* job = jobs_.find(id);
-    if (job && settled_ && job->outcome == Outcome::cancelled && job->placed == 0) {
-        jobs_.final(id, Outcome::cancelled);
+    if (job && reconciled_ && job->outcome == Outcome::cancelled && job->placed == 0) {
+        jobs_.record_outcome(id, Outcome::cancelled);
         drop_job(id);
     }
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/freshness.h
+++ b/src/core/freshness.h
@@ -9,34 +9,36 @@
 
 #include "core/authority.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Freshness {
+class StalenessBound {
   public:
-    explicit Freshness(const Facts& facts) : bound_s_(bound_s(facts)) {}
+    explicit StalenessBound(const ClusterSettings& settings) : bound_s_(bound_s(settings)) {}
 
     // How old the knowledge may be when a lease is renewed or a task started. The worker counts its
     // lease from the sending of the report, before the answer; drift and the steps of timers are
     // taken off.
-    static double bound_s(const Facts& facts) {
-        return facts.cancel_s * (1 - kDrift) - facts.lease_s * (1 + kDrift) -
-               kSteps * facts.report_s;
+    static double bound_s(const ClusterSettings& settings) {
+        return settings.cancel_s * (1 - kMaxClockDrift) -
+               settings.worker_lease_s * (1 + kMaxClockDrift) -
+               kTimerSlackHeartbeats * settings.heartbeat_interval_s;
     }
     // How long a watch may wait at the most, so that one which hears nothing because nothing
     // happens keeps well within the bound.
-    static double watch_s(const Facts& facts) {
-        return std::clamp(bound_s(facts) / 6, facts.report_s / 3, facts.lease_s / 3);
+    static double max_watch_s(const ClusterSettings& settings) {
+        return std::clamp(bound_s(settings) / 6, settings.heartbeat_interval_s / 3,
+                          settings.worker_lease_s / 3);
     }
 
     // Every cancellation that any node had seen by then is known here.
-    void complete(Time to) { to_ = std::max(to_, to); }
-    Time to() const { return to_; }
-    bool enough(Time now) const { return now - to_ < bound_s_; }
+    void advance(Time to) { known_until_ = std::max(known_until_, to); }
+    Time known_until() const { return known_until_; }
+    bool is_fresh(Time now) const { return now - known_until_ < bound_s_; }
 
   private:
-    static constexpr double kSteps = 1.0 / 6; // report times
+    static constexpr double kTimerSlackHeartbeats = 1.0 / 6; // report times
     double bound_s_;
-    Time to_ = -1e9; // nothing is known yet
+    Time known_until_ = -1e9; // nothing is known yet
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/gangs.h
+++ b/src/core/gangs.h
@@ -7,30 +7,31 @@
 #include "core/io.h"
 #include "core/job_store.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 // The time to save that a task is given, in times of what it says it needs.
-inline constexpr double kSaveTimes = 2;
+inline constexpr double kSaveGraceFactor = 2;
 
-struct GangPlan { // slots found for tasks of one shape, in their order
+struct GangPlacement { // slots found for tasks of one shape, in their order
     std::vector<std::string> machines;
-    std::map<std::string, std::uint32_t> on;
-    std::map<std::string, std::uint32_t> in_zone;
+    std::map<std::string, std::uint32_t> tasks_by_machine;
+    std::map<std::string, std::uint32_t> tasks_by_zone;
 };
 
 // A gang that no owner has room for alone: slots of several are held for a moment until they
 // are enough. One gang at a time, so that two of ours never hold halves.
-struct Gathering {
+struct GangReservation {
     std::string job;
     std::uint64_t attempt = 0;
-    std::map<std::uint32_t, std::pair<int, Grant>> held; // by task; with the part of the slots
+    std::map<std::uint32_t, std::pair<int, SlotGrant>>
+        grants; // by task; with the part of the slots
     Time until = 0;
 };
 
-class Gangs {
+class GangTracker {
   public:
     // `wait_s`: how long the tasks of a gang wait for each other on their machines.
-    explicit Gangs(double wait_s) : wait_s_(wait_s) {}
+    explicit GangTracker(double wait_s) : start_timeout_s_(wait_s) {}
 
     struct Attempt {
         std::uint64_t number = 0;
@@ -48,17 +49,17 @@
     // A task that an owner before us started. False: it belongs to another attempt.
     bool adopt(Time now, const std::string& job, std::uint64_t number);
     // A task of the attempt was seen to run, so all of them did.
-    void runs(const std::string& job);
+    void on_running(const std::string& job);
     // Ends the attempt. False: it was being ended already, or there is none.
     bool end(const std::string& job, bool saves);
     // None of its tasks is on a machine any more, or the job is over.
-    void gone(const std::string& job) { attempts_.erase(job); }
+    void on_attempt_gone(const std::string& job) { attempts_.erase(job); }
     // Attempts that can be completed no more: a mate is missing for too long.
     std::vector<std::string> overdue(Time now, JobStore& jobs) const;
 
   private:
-    double wait_s_;
+    double start_timeout_s_;
     std::map<std::string, Attempt> attempts_;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/holdings.cpp
+++ b/src/core/holdings.cpp
@@ -2,28 +2,28 @@
 
 #include <algorithm>
 
-namespace orchidlanding {
+namespace scheduler {
 
-Holdings::News Holdings::follow(Time now) {
-    News news;
-    std::uint64_t read = table_.revision();
-    if (read <= seen_ || read < claim_.term() || read < after_) {
+OwnedShards::Changes OwnedShards::update(Time now) {
+    Changes news;
+    std::uint64_t read = partition_map_.revision();
+    if (read <= map_revision_ || read < leadership_.term() || read < min_map_revision_) {
         return news;
     }
-    seen_ = read;
-    for (const auto& [home, holders] : table_.holders()) {
-        if (!table_.readable(home)) {
+    map_revision_ = read;
+    for (const auto& [home, holders] : partition_map_.holders()) {
+        if (!partition_map_.is_readable(home)) {
             continue; // what was read before may be older than the last change: ours stay ours
         }
         for (int number = 0; number < static_cast<int>(holders.size()); ++number) {
-            ShareId id{home, number};
+            ShardId id{home, number};
             int holder = holders[static_cast<std::size_t>(number)];
-            auto mine = shares_.find(id);
-            if (holder == claim_.part() && mine == shares_.end()) {
-                shares_[id] = {read, now, State::held};
+            auto mine = shards_.find(id);
+            if (holder == leadership_.partition() && mine == shards_.end()) {
+                shards_[id] = {read, now, State::owned};
                 news.gained.push_back(id);
-            } else if (holder != claim_.part() && mine != shares_.end()) {
-                shares_.erase(mine);
+            } else if (holder != leadership_.partition() && mine != shards_.end()) {
+                shards_.erase(mine);
                 news.lost.emplace_back(id, holder);
             }
         }
@@ -31,35 +31,35 @@
     return news;
 }
 
-const Holdings::Share* Holdings::find(const ShareId& share) const {
-    auto it = shares_.find(share);
-    return it == shares_.end() ? nullptr : &it->second;
+const OwnedShards::Shard* OwnedShards::find(const ShardId& shard) const {
+    auto it = shards_.find(shard);
+    return it == shards_.end() ? nullptr : &it->second;
 }
 
-bool Holdings::serves(const ShareId& share) const {
-    const Share* s = find(share);
-    return s && s->state != State::doubt;
+bool OwnedShards::may_serve(const ShardId& shard) const {
+    const Shard* s = find(shard);
+    return s && s->state != State::in_doubt;
 }
 
-bool Holdings::gives(const ShareId& share) const {
-    const Share* s = find(share);
-    return s && s->state == State::held;
+bool OwnedShards::may_lend(const ShardId& shard) const {
+    const Shard* s = find(shard);
+    return s && s->state == State::owned;
 }
 
-void Holdings::gave(const ShareId& share, std::uint64_t revision) {
-    shares_.erase(share);
-    gave_[share] = revision;
-    after_ = std::max(after_, revision);
+void OwnedShards::migrated_out(const ShardId& shard, std::uint64_t revision) {
+    shards_.erase(shard);
+    migrated_out_at_[shard] = revision;
+    min_map_revision_ = std::max(min_map_revision_, revision);
 }
 
-bool Holdings::take(Time now, const Given& given) {
-    if (given.term != claim_.term() || !known() || given.revision <= seen_ ||
-        given.revision <= gave_[given.share] || shares_.contains(given.share)) {
+bool OwnedShards::accept_transfer(Time now, const ShardTransfer& transfer) {
+    if (transfer.term != leadership_.term() || !has_map() || transfer.revision <= map_revision_ ||
+        transfer.revision <= migrated_out_at_[transfer.shard] || shards_.contains(transfer.shard)) {
         return false;
     }
-    shares_[given.share] = {given.revision, now, State::held};
-    after_ = std::max(after_, given.revision);
+    shards_[transfer.shard] = {transfer.revision, now, State::owned};
+    min_map_revision_ = std::max(min_map_revision_, transfer.revision);
     return true;
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/holdings.h
+++ b/src/core/holdings.h
@@ -5,51 +5,52 @@
 #include "core/claim.h"
 #include "core/part_table.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Holdings {
+class OwnedShards {
   public:
     enum class State {
-        held,
-        passing, // no slot of it is given any more: it is about to be given away
-        doubt    // a transaction that gives it away is out: nothing may be answered for it
+        owned,
+        migrating, // no slot of it is given any more: it is about to be given away
+        in_doubt   // a transaction that gives it away is out: nothing may be answered for it
     };
-    struct Share {
+    struct Shard {
         std::uint64_t term = 0; // the revision of the first read that showed it to be ours
         Time since = 0;
-        State state = State::held;
+        State state = State::owned;
     };
-    struct News {
-        std::vector<ShareId> gained;
-        std::vector<std::pair<ShareId, int>> lost; // and to whom
+    struct Changes {
+        std::vector<ShardId> gained;
+        std::vector<std::pair<ShardId, int>> lost; // and to whom
     };
-    Holdings(const Claim& claim, const PartTable& table) : claim_(claim), table_(table) {}
+    OwnedShards(const Leadership& leadership, const PartitionMap& partition_map)
+        : leadership_(leadership), partition_map_(partition_map) {}
 
     // Takes in the map as the node has last read it.
-    News follow(Time now);
+    Changes update(Time now);
     // Has a map been seen that was read after the claim?
-    bool known() const { return seen_ >= claim_.term(); }
-    const std::map<ShareId, Share>& all() const { return shares_; }
-    const Share* find(const ShareId& share) const;
+    bool has_map() const { return map_revision_ >= leadership_.term(); }
+    const std::map<ShardId, Shard>& all() const { return shards_; }
+    const Shard* find(const ShardId& shard) const;
     // May the part act for the machines of the share, and give slots of them?
-    bool serves(const ShareId& share) const;
-    bool gives(const ShareId& share) const;
-    std::uint64_t term(const ShareId& share) const { return shares_.at(share).term; }
+    bool may_serve(const ShardId& shard) const;
+    bool may_lend(const ShardId& shard) const;
+    std::uint64_t term(const ShardId& shard) const { return shards_.at(shard).term; }
 
-    void set(const ShareId& share, State state) { shares_.at(share).state = state; }
+    void set_state(const ShardId& shard, State state) { shards_.at(shard).state = state; }
     // The map says so since this revision: what was read before does not count.
-    void gave(const ShareId& share, std::uint64_t revision);
+    void migrated_out(const ShardId& shard, std::uint64_t revision);
     // The giver says that it gave us the share at this revision: as good as a read of that
     // revision, as nobody but us can have given it away since. False: we know better by now.
-    bool take(Time now, const Given& given);
+    bool accept_transfer(Time now, const ShardTransfer& transfer);
 
   private:
-    const Claim& claim_;
-    const PartTable& table_;
-    std::map<ShareId, Share> shares_;
-    std::uint64_t seen_ = 0;                // the revision of the map taken in
-    std::uint64_t after_ = 0;               // maps read before this one are too old
-    std::map<ShareId, std::uint64_t> gave_; // the revision at which we last gave it away
+    const Leadership& leadership_;
+    const PartitionMap& partition_map_;
+    std::map<ShardId, Shard> shards_;
+    std::uint64_t map_revision_ = 0;                   // the revision of the map taken in
+    std::uint64_t min_map_revision_ = 0;               // maps read before this one are too old
+    std::map<ShardId, std::uint64_t> migrated_out_at_; // the revision at which we last gave it away
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/job_index.cpp
+++ b/src/core/job_index.cpp
@@ -1,17 +1,18 @@
 #include "core/job_index.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr std::size_t kCancelled = 1000; // well under 64 KiB when told
 }
 
-void JobIndex::saw(Time now, const std::string& id, std::uint64_t version, const Record& record) {
+void JobRecordCache::observe(Time now, const std::string& id, std::uint64_t version,
+                             const StoredRecord& record) {
     const auto* job = std::get_if<JobRecord>(&record);
     if (!job) { // cannot be read: whoever polls it is to find out for himself
         open_.erase(id);
     } else if (job->outcome != Outcome::none) {
-        saw_final(now, id, job->outcome);
+        observe_outcome(now, id, job->outcome);
     } else if (!final_.find(id)) {
         const std::uint64_t* known = open_.find(id);
         if (!known || *known < version) {
@@ -20,7 +21,7 @@
     }
 }
 
-void JobIndex::saw_final(Time now, const std::string& id, Outcome outcome) {
+void JobRecordCache::observe_outcome(Time now, const std::string& id, Outcome outcome) {
     open_.erase(id);
     if (!final_.find(id)) {
         final_.put(id, outcome);
@@ -34,7 +35,7 @@
     }
 }
 
-std::optional<std::vector<std::string>> JobIndex::cancelled_since(Time when) const {
+std::optional<std::vector<std::string>> JobRecordCache::cancelled_since(Time when) const {
     if (when <= cancelled_floor_) {
         return std::nullopt;
     }
@@ -45,14 +46,14 @@
     return out;
 }
 
-std::optional<std::uint64_t> JobIndex::version(const std::string& id) const {
+std::optional<std::uint64_t> JobRecordCache::version(const std::string& id) const {
     const std::uint64_t* known = open_.find(id);
     return known ? std::optional(*known) : std::nullopt;
 }
 
-std::optional<Outcome> JobIndex::outcome(const std::string& id) const {
+std::optional<Outcome> JobRecordCache::outcome(const std::string& id) const {
     const Outcome* known = final_.find(id);
     return known ? std::optional(*known) : std::nullopt;
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/job_index.h
+++ b/src/core/job_index.h
@@ -10,19 +10,20 @@
 
 #include "core/types.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class JobIndex {
+class JobRecordCache {
   public:
-    explicit JobIndex(std::size_t most_open = 50000, std::size_t most_final = 10000)
+    explicit JobRecordCache(std::size_t most_open = 50000, std::size_t most_final = 10000)
         : open_(most_open), final_(most_final) {}
 
     // A record of `job/<id>` as it was at `version`, the revision of its last change. An older one
     // than what is known changes nothing.
-    void saw(Time now, const std::string& id, std::uint64_t version, const Record& record);
-    void saw_final(Time now, const std::string& id, Outcome outcome);
+    void observe(Time now, const std::string& id, std::uint64_t version,
+                 const StoredRecord& record);
+    void observe_outcome(Time now, const std::string& id, Outcome outcome);
     // The version is not the key's any more.
-    void outdated(const std::string& id) { open_.erase(id); }
+    void invalidate(const std::string& id) { open_.erase(id); }
 
     // Of an open job that has been seen; none: not seen, over, or long forgotten.
     std::optional<std::uint64_t> version(const std::string& id) const;
@@ -73,4 +74,4 @@
     Time cancelled_floor_ = -1;                          // some up to here are forgotten
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/job_store.cpp
+++ b/src/core/job_store.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 // Final outcomes remembered so that a late read or event does not bring a job back to life.
@@ -13,11 +13,11 @@
     if (spec.zone && *spec.zone != zone) {
         return false;
     }
-    if (spec.one_zone && !zone_use.empty() && !zone_use.contains(zone)) {
+    if (spec.one_zone && !placed_by_zone.empty() && !placed_by_zone.contains(zone)) {
         return false;
     }
-    auto it = zone_use.find(zone);
-    std::uint32_t there = it == zone_use.end() ? 0 : it->second;
+    auto it = placed_by_zone.find(zone);
+    std::uint32_t there = it == placed_by_zone.end() ? 0 : it->second;
     return spec.may_spread(there + more);
 }
 
@@ -27,13 +27,13 @@
 }
 
 Job* JobStore::add(Time now, const JobSpec& spec, std::uint64_t version) {
-    if (finals_.contains(spec.id) || jobs_.contains(spec.id)) {
+    if (outcomes_.contains(spec.id) || jobs_.contains(spec.id)) {
         return nullptr;
     }
     auto job = std::make_unique<Job>();
     job->spec = spec;
     job->version = version;
-    job->known_since = now;
+    job->first_seen = now;
     job->tasks.assign(spec.tasks, TaskState::waiting);
     job->waiting = TaskSet(spec.tasks);
     std::size_t n = (spec.tasks + chunk_tasks_ - 1) / chunk_tasks_;
@@ -72,42 +72,42 @@
     return true;
 }
 
-void JobStore::final(const std::string& id, Outcome outcome) {
-    if (finals_.emplace(id, outcome).second) {
-        finals_order_.push_back(id);
-        if (finals_order_.size() > kFinals) {
-            finals_.erase(finals_order_.front());
-            finals_order_.pop_front();
+void JobStore::record_outcome(const std::string& id, Outcome outcome) {
+    if (outcomes_.emplace(id, outcome).second) {
+        outcomes_order_.push_back(id);
+        if (outcomes_order_.size() > kFinals) {
+            outcomes_.erase(outcomes_order_.front());
+            outcomes_order_.pop_front();
         }
     }
 }
 
 std::optional<Outcome> JobStore::final_outcome(const std::string& id) const {
-    auto it = finals_.find(id);
-    return it == finals_.end() ? std::nullopt : std::optional(it->second);
+    auto it = outcomes_.find(id);
+    return it == outcomes_.end() ? std::nullopt : std::optional(it->second);
 }
 
-void JobStore::place(Job& job, std::uint32_t task, const std::string& zone) {
+void JobStore::mark_placed(Job& job, std::uint32_t task, const std::string& zone) {
     job.tasks[task] = TaskState::placed;
-    job.to_begin = false;
+    job.awaits_first_task = false;
     job.waiting.erase(task);
     ++job.placed;
-    ++job.zone_use[zone];
+    ++job.placed_by_zone[zone];
 }
 
-void JobStore::unplace(Job& job, std::uint32_t task, const std::string& zone) {
+void JobStore::mark_waiting(Job& job, std::uint32_t task, const std::string& zone) {
     if (job.tasks[task] != TaskState::placed) {
         return;
     }
     job.tasks[task] = TaskState::waiting;
     job.waiting.insert(task);
     --job.placed;
-    if (--job.zone_use[zone] == 0) {
-        job.zone_use.erase(zone);
+    if (--job.placed_by_zone[zone] == 0) {
+        job.placed_by_zone.erase(zone);
     }
 }
 
-void JobStore::finish(Job& job, std::uint32_t task) {
+void JobStore::mark_done(Job& job, std::uint32_t task) {
     if (job.tasks[task] != TaskState::waiting || job.spec.kind == JobKind::service) {
         return; // a replica that ended waits to be started again
     }
@@ -132,12 +132,12 @@
     jobs_.erase(id);
 }
 
-bool JobStore::durable(const Job& job, std::uint32_t task) const {
+bool JobStore::is_durable(const Job& job, std::uint32_t task) const {
     std::uint32_t chunk = task / chunk_tasks_;
     return job.chunk_saved[chunk] == job.chunk_changed[chunk];
 }
 
-std::vector<DirtyChunk> JobStore::dirty(std::size_t most) {
+std::vector<DirtyChunk> JobStore::next_dirty_chunks(std::size_t most) {
     std::vector<DirtyChunk> out;
     auto it = dirty_.upper_bound(last_dirty_);
     for (std::size_t looked = 0; looked < dirty_.size() && out.size() < most; ++looked, ++it) {
@@ -163,7 +163,7 @@
     return bits;
 }
 
-void JobStore::saved(const DirtyChunk& chunk, std::uint64_t version) {
+void JobStore::on_chunk_saved(const DirtyChunk& chunk, std::uint64_t version) {
     Job* job = find(chunk.job);
     if (!job) {
         return;
@@ -179,4 +179,4 @@
     return static_cast<std::uint32_t>(job.chunk_changed.size());
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/machine_table.cpp
+++ b/src/core/machine_table.cpp
@@ -4,19 +4,19 @@
 
 #include "core/parts.h"
 
-namespace orchidlanding {
-
-Placement placement_of(const JobSpec& s) {
-    Placement p;
-    p.team = s.team;
-    p.kind = s.kind;
-    p.priority = s.priority;
-    p.cpus = s.cpus;
-    p.gpus = s.gpus;
-    p.ram_gb = s.ram_gb;
-    p.image = s.image;
-    p.image_gb = s.image_gb;
-    return p;
+namespace scheduler {
+
+Placement placement_for(const JobSpec& spec) {
+    Placement placement;
+    placement.team = spec.team;
+    placement.kind = spec.kind;
+    placement.priority = spec.priority;
+    placement.cpus = spec.cpus;
+    placement.gpus = spec.gpus;
+    placement.ram_gb = spec.ram_gb;
+    placement.image = spec.image;
+    placement.image_gb = spec.image_gb;
+    return placement;
 }
 
 double Machine::free_cpus() const {
@@ -24,8 +24,8 @@
     for (const auto& [task, p] : tasks) {
         used += p.cpus;
     }
-    for (const auto& [attempt, lot] : lots) {
-        used += lot.shape.cpus;
+    for (const auto& [attempt, lot] : lent_slots) {
+        used += lot.placement.cpus;
     }
     return type.cpus - used;
 }
@@ -35,8 +35,8 @@
     for (const auto& [task, p] : tasks) {
         used += p.gpus;
     }
-    for (const auto& [attempt, lot] : lots) {
-        used += lot.shape.gpus;
+    for (const auto& [attempt, lot] : lent_slots) {
+        used += lot.placement.gpus;
     }
     return type.gpus - used;
 }
@@ -46,35 +46,35 @@
     for (const auto& [task, p] : tasks) {
         used += p.ram_gb;
     }
-    for (const auto& [attempt, lot] : lots) {
-        used += lot.shape.ram_gb;
+    for (const auto& [attempt, lot] : lent_slots) {
+        used += lot.placement.ram_gb;
     }
     return type.ram_gb - used;
 }
 
-bool Machine::warm(const std::string& image) const {
+bool Machine::has_image(const std::string& image) const {
     return std::any_of(images.begin(), images.end(),
                        [&](const CachedImage& i) { return i.name == image; });
 }
 
-bool Machine::has_unknown_shape() const {
+bool Machine::has_unknown_resources() const {
     return std::any_of(tasks.begin(), tasks.end(),
-                       [](const auto& t) { return t.second.shape_unknown; });
+                       [](const auto& t) { return t.second.resources_unknown; });
 }
 
 bool Machine::has_service() const {
     return std::any_of(tasks.begin(), tasks.end(),
                        [](const auto& t) {
-                           return t.second.kind == JobKind::service || t.second.shape_unknown;
+                           return t.second.kind == JobKind::service || t.second.resources_unknown;
                        }) ||
-           std::any_of(lots.begin(), lots.end(),
-                       [](const auto& l) { return l.second.shape.kind == JobKind::service; });
+           std::any_of(lent_slots.begin(), lent_slots.end(),
+                       [](const auto& l) { return l.second.placement.kind == JobKind::service; });
 }
 
-bool Machine::holds_exited(const TaskRef& task) const {
-    auto same = [&](const ListedTask& t) { return t.task == task; };
+bool Machine::reports_exited(const TaskId& task) const {
+    auto same = [&](const TaskStatus& status) { return status.task == task; };
     return std::any_of(finished.begin(), finished.end(), same) ||
-           std::any_of(foreign.begin(), foreign.end(), same);
+           std::any_of(unexpected.begin(), unexpected.end(), same);
 }
 
 void Machine::touch_image(const std::string& image, double gb) {
@@ -98,27 +98,27 @@
     ++images_version;
 }
 
-void Machine::forget_told() {
-    if (stop_guests.empty() && clear_guests.empty()) {
+void Machine::forget_remote_commands() {
+    if (remote_stops.empty() && remote_clears.empty()) {
         return;
     }
-    std::set<StartId> here;
+    std::set<LaunchId> here;
     for (const auto& t : finished) {
-        here.insert(start_id(t.attempt, t.task.index));
+        here.insert(launch_id(t.attempt, t.task.index));
     }
     for (const auto& [task, p] : tasks) {
-        here.insert(start_id(p.attempt, task.index));
+        here.insert(launch_id(p.attempt, task.index));
     }
-    for (const auto& [id, lot] : lots) { // the start may be on its way
+    for (const auto& [id, lot] : lent_slots) { // the start may be on its way
         here.insert(id);
     }
-    std::erase_if(stop_guests, [&](const auto& stop) { return !here.contains(stop.first); });
-    std::erase_if(clear_guests, [&](const StartId& id) { return !here.contains(id); });
+    std::erase_if(remote_stops, [&](const auto& stop) { return !here.contains(stop.first); });
+    std::erase_if(remote_clears, [&](const LaunchId& id) { return !here.contains(id); });
 }
 
-bool Machine::has_foreign() const {
-    return std::any_of(foreign.begin(), foreign.end(),
-                       [](const ListedTask& t) { return t.stage != TaskStage::exited; });
+bool Machine::has_unexpected() const {
+    return std::any_of(unexpected.begin(), unexpected.end(),
+                       [](const TaskStatus& status) { return status.stage != TaskStage::exited; });
 }
 
 Machine* MachineTable::find(const std::string& name) {
@@ -126,127 +126,133 @@
     return it == machines_.end() ? nullptr : &it->second;
 }
 
-Machine& MachineTable::add(Time now, const std::string& name, const MachineType& type,
-                           const std::string& zone, bool spot, const ShareId& share,
+Machine& MachineTable::add(Time now, const std::string& name, const InstanceType& type,
+                           const std::string& zone, bool spot, const ShardId& shard,
                            std::uint64_t term) {
-    Machine& m = machines_[name];
-    m.name = name;
-    m.type = type;
-    m.zone = zone;
-    m.spot = spot;
-    m.share = share;
-    m.term = term;
-    m.known_since = now;
-    m.idle_since = now;
-    m.lease_end = now + lease_bound_s();
-    look_at(m, m.lease_end);
-    return m;
+    Machine& machine = machines_[name];
+    machine.name = name;
+    machine.type = type;
+    machine.zone = zone;
+    machine.spot = spot;
+    machine.shard = shard;
+    machine.term = term;
+    machine.known_since = now;
+    machine.idle_since = now;
+    machine.lease_expires_at = now + max_lease_s();
+    schedule_check(machine, machine.lease_expires_at);
+    return machine;
 }
 
-std::vector<ListingResult::Gone> MachineTable::remove(const std::string& name) {
-    std::vector<ListingResult::Gone> gone;
+std::vector<HeartbeatResult::RemovedTask> MachineTable::remove(const std::string& name) {
+    std::vector<HeartbeatResult::RemovedTask> gone;
     auto it = machines_.find(name);
     if (it == machines_.end()) {
         return gone;
     }
     for (const auto& [task, p] : it->second.tasks) {
-        gone.push_back({task, p, ExitWhy::none});
+        gone.push_back({task, p, ExitReason::none});
     }
     set_reported(it->second, false);
     machines_.erase(it);
     return gone;
 }
 
-double MachineTable::lease_bound_s() const { return lease_s_ * (1 + kDrift) + margin_s_; }
+double MachineTable::max_lease_s() const { return lease_s_ * (1 + kMaxClockDrift) + margin_s_; }
 
-ListingResult MachineTable::listing(Time now, Machine& m, const Report& report, CallId orders) {
-    ListingResult result;
-    if (report.session <= m.lapsed_session) {
+HeartbeatResult MachineTable::apply_heartbeat(Time now, Machine& machine,
+                                              const Heartbeat& heartbeat,
+                                              OutboundRequestId orders) {
+    HeartbeatResult result;
+    if (heartbeat.agent_epoch <= machine.expired_epoch) {
         return result;
     }
-    if (report.session > m.session) {
+    if (heartbeat.agent_epoch > machine.agent_epoch) {
         // Every task of the session before is gone, and no message of ours to it can be
         // executed any more: responses to it are dropped, direct commands refused.
-        for (auto it = m.tasks.begin(); it != m.tasks.end();) {
+        for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
             if (it->second.via == Placement::Via::queued) {
                 ++it;
             } else {
-                result.gone.push_back({it->first, it->second, ExitWhy::none});
-                it = m.tasks.erase(it);
+                result.removed.push_back({it->first, it->second, ExitReason::none});
+                it = machine.tasks.erase(it);
             }
         }
-        m.lots.clear(); // their starts name the session before, so they are refused
-        m.session = report.session;
+        machine.lent_slots.clear(); // their starts name the session before, so they are refused
+        machine.agent_epoch = heartbeat.agent_epoch;
         // Its lease runs from when the session began, whether we hear of it by a report or by the
         // answer to a direct command, which renews nothing.
-        renewed(now, m);
-        m.tick = 0;
-        m.forget_images();
+        on_lease_renewed(now, machine);
+        machine.heartbeat_sequence = 0;
+        machine.forget_images();
     }
-    bool newer = report.session == m.session && report.tick > m.tick;
+    bool newer = heartbeat.agent_epoch == machine.agent_epoch &&
+                 heartbeat.sequence > machine.heartbeat_sequence;
     if (newer) {
-        result.fresh = true;
-        m.tick = report.tick;
-        set_reported(m, true);
-        m.fenced = report.token >= m.token();
-        m.notice_s = report.notice_s;
-        m.foreign.clear();
-        m.finished.clear();
+        result.is_newer = true;
+        machine.heartbeat_sequence = heartbeat.sequence;
+        set_reported(machine, true);
+        machine.fenced = heartbeat.fencing_token >= machine.fencing_token();
+        machine.preemption_notice_s = heartbeat.preemption_notice_s;
+        machine.unexpected.clear();
+        machine.finished.clear();
     }
-    std::map<TaskRef, const ListedTask*> listed;
+    std::map<TaskId, const TaskStatus*> listed;
     if (newer) {
-        for (const auto& t : report.tasks) {
-            if (auto lot = m.lots.find(start_id(t.attempt, t.task.index));
-                lot != m.lots.end() && !m.tasks.contains(t.task)) {
-                m.tasks[t.task] = lot->second.shape; // the thief's start has shown
-                m.lots.erase(lot);
+        for (const auto& status : heartbeat.tasks) {
+            if (auto lot = machine.lent_slots.find(launch_id(status.attempt, status.task.index));
+                lot != machine.lent_slots.end() && !machine.tasks.contains(status.task)) {
+                machine.tasks[status.task] = lot->second.placement; // the thief's start has shown
+                machine.lent_slots.erase(lot);
             }
-            auto it = m.tasks.find(t.task);
-            if (it == m.tasks.end() || it->second.attempt != t.attempt) {
-                m.foreign.push_back(t);
+            auto it = machine.tasks.find(status.task);
+            if (it == machine.tasks.end() || it->second.attempt != status.attempt) {
+                machine.unexpected.push_back(status);
             } else {
-                listed[t.task] = &t;
+                listed[status.task] = &status;
             }
         }
     }
     if (newer) {
-        std::erase_if(m.lots, [&](const auto& lot) { return report.token > lot.second.token; });
+        std::erase_if(machine.lent_slots, [&](const auto& lot) {
+            return heartbeat.fencing_token > lot.second.fencing_token;
+        });
     }
-    for (auto it = m.tasks.begin(); it != m.tasks.end();) {
-        Placement& p = it->second;
+    for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
+        Placement& placement = it->second;
         auto seen = listed.find(it->first);
         if (seen != listed.end()) {
-            const ListedTask& t = *seen->second;
-            if (t.stage == TaskStage::exited) {
-                result.gone.push_back({it->first, p, t.why});
-                m.finished.push_back(t);
-                it = m.tasks.erase(it);
+            const TaskStatus& status = *seen->second;
+            if (status.stage == TaskStage::exited) {
+                result.removed.push_back({it->first, placement, status.exit_reason});
+                machine.finished.push_back(status);
+                it = machine.tasks.erase(it);
                 continue;
             }
-            if (t.stage == TaskStage::running && p.stage != TaskStage::running) {
-                p.running_since = now;
+            if (status.stage == TaskStage::running && placement.stage != TaskStage::running) {
+                placement.running_since = now;
             }
-            p.via = Placement::Via::listed;
-            p.stage = t.stage;
+            placement.via = Placement::Via::reported;
+            placement.stage = status.stage;
             ++it;
             continue;
         }
         bool gone = false;
-        switch (p.via) {
+        switch (placement.via) {
         case Placement::Via::queued: break;
-        case Placement::Via::response:
+        case Placement::Via::heartbeat_response:
             // One report is in flight at a time: a report newer than the one answered shows
             // that the response was executed before it, or dropped.
-            gone = newer && orders == 0 && report.tick > p.tick;
+            gone = newer && orders == 0 && heartbeat.sequence > placement.heartbeat_sequence;
             break;
-        case Placement::Via::orders:
-            gone = (orders != 0 && p.call == orders) || (newer && report.token > p.token);
+        case Placement::Via::direct_command:
+            gone = (orders != 0 && placement.command_request == orders) ||
+                   (newer && heartbeat.fencing_token > placement.fencing_token);
             break;
-        case Placement::Via::listed: gone = newer; break;
+        case Placement::Via::reported: gone = newer; break;
         }
         if (gone) {
-            result.gone.push_back({it->first, p, ExitWhy::none});
-            it = m.tasks.erase(it);
+            result.removed.push_back({it->first, placement, ExitReason::none});
+            it = machine.tasks.erase(it);
         } else {
             ++it;
         }
@@ -254,147 +260,153 @@
     return result;
 }
 
-void MachineTable::adopt(Time now, Machine& m, const ListedTask& listed, Placement placement) {
-    placement.attempt = listed.attempt;
-    placement.via = Placement::Via::listed;
-    placement.stage = listed.stage;
+void MachineTable::adopt(Time now, Machine& machine, const TaskStatus& status,
+                         Placement placement) {
+    placement.attempt = status.attempt;
+    placement.via = Placement::Via::reported;
+    placement.stage = status.stage;
     placement.since = now;
     placement.running_since = now;
-    m.touch_image(placement.image, placement.image_gb);
-    m.tasks[listed.task] = std::move(placement);
-    std::erase_if(m.foreign, [&](const ListedTask& t) {
-        return t.task == listed.task && t.attempt == listed.attempt;
+    machine.touch_image(placement.image, placement.image_gb);
+    machine.tasks[status.task] = std::move(placement);
+    std::erase_if(machine.unexpected, [&](const TaskStatus& other) {
+        return other.task == status.task && other.attempt == status.attempt;
     });
 }
 
-void MachineTable::fence(Machine& m) {
-    ++m.sequence;
-    m.fenced = false;
+void MachineTable::fence(Machine& machine) {
+    ++machine.fencing_sequence;
+    machine.fenced = false;
 }
 
-void MachineTable::renewed(Time now, Machine& m) {
-    m.lease_end = std::max(m.lease_end, now + lease_bound_s());
+void MachineTable::on_lease_renewed(Time now, Machine& machine) {
+    machine.lease_expires_at = std::max(machine.lease_expires_at, now + max_lease_s());
 }
 
-std::vector<ListingResult::Gone> MachineTable::lapse(Machine& m) {
-    std::vector<ListingResult::Gone> gone;
-    for (const auto& [task, p] : m.tasks) {
-        gone.push_back({task, p, ExitWhy::none});
+std::vector<HeartbeatResult::RemovedTask> MachineTable::expire_lease(Machine& machine) {
+    std::vector<HeartbeatResult::RemovedTask> gone;
+    for (const auto& [task, p] : machine.tasks) {
+        gone.push_back({task, p, ExitReason::none});
     }
-    m.tasks.clear();
-    m.lots.clear();
-    m.outbox.clear();
-    m.foreign.clear();
-    m.finished.clear();
-    set_reported(m, false);
-    m.fenced = false;
-    m.lapsed_session = std::max(m.lapsed_session, m.session);
+    machine.tasks.clear();
+    machine.lent_slots.clear();
+    machine.outbox.clear();
+    machine.unexpected.clear();
+    machine.finished.clear();
+    set_reported(machine, false);
+    machine.fenced = false;
+    machine.expired_epoch = std::max(machine.expired_epoch, machine.agent_epoch);
     return gone;
 }
 
-bool MachineTable::lapsed(Time now, const Machine& m) const { return now > m.lease_end; }
+bool MachineTable::lease_expired(Time now, const Machine& machine) const {
+    return now > machine.lease_expires_at;
+}
 
-void MachineTable::look_at(Machine& m, Time when) {
-    m.due_at = when;
-    due_.emplace(when, m.name);
+void MachineTable::schedule_check(Machine& machine, Time when) {
+    machine.check_at = when;
+    checks_.emplace(when, machine.name);
 }
 
-void MachineTable::set_reported(Machine& m, bool reported) {
-    reporting_ += reported && !m.reported ? 1 : 0;
-    reporting_ -= m.reported && !reported ? 1 : 0;
-    m.reported = reported;
+void MachineTable::set_reported(Machine& machine, bool reported) {
+    reporting_count_ += reported && !machine.reporting ? 1 : 0;
+    reporting_count_ -= machine.reporting && !reported ? 1 : 0;
+    machine.reporting = reported;
 }
 
-std::vector<Machine*> MachineTable::lapsing(Time now) {
+std::vector<Machine*> MachineTable::expired_machines(Time now) {
     std::vector<Machine*> out;
-    while (!due_.empty() && due_.begin()->first < now) {
-        auto entry = due_.extract(due_.begin());
-        Machine* m = find(entry.value().second);
-        if (!m || m->due_at != entry.value().first) {
+    while (!checks_.empty() && checks_.begin()->first < now) {
+        auto entry = checks_.extract(checks_.begin());
+        Machine* machine = find(entry.value().second);
+        if (!machine || machine->check_at != entry.value().first) {
             continue; // gone, or entered anew since
         }
-        bool over = lapsed(now, *m);
-        look_at(*m, over ? now + margin_s_ : m->lease_end);
+        bool over = lease_expired(now, *machine);
+        schedule_check(*machine, over ? now + margin_s_ : machine->lease_expires_at);
         if (over) {
-            out.push_back(m);
+            out.push_back(machine);
         }
     }
     return out;
 }
 
-void MachineTable::queue_start(Time now, Machine& m, const TaskRef& task, Placement placement) {
+void MachineTable::queue_start(Time now, Machine& machine, const TaskId& task,
+                               Placement placement) {
     placement.since = now;
-    m.outbox.push_back({Op::start, task, placement.attempt, 0});
-    queued_.insert(m.name);
-    m.touch_image(placement.image, placement.image_gb);
-    m.tasks[task] = std::move(placement);
+    machine.outbox.push_back({CommandType::start, task, placement.attempt, 0});
+    queued_.insert(machine.name);
+    machine.touch_image(placement.image, placement.image_gb);
+    machine.tasks[task] = std::move(placement);
 }
 
-std::vector<Machine*> MachineTable::to_send(std::size_t most) {
+std::vector<Machine*> MachineTable::machines_with_commands(std::size_t most) {
     std::vector<Machine*> out;
     std::erase_if(queued_, [&](const std::string& name) {
-        Machine* m = find(name);
-        if (!m || m->outbox.empty()) {
+        Machine* machine = find(name);
+        if (!machine || machine->outbox.empty()) {
             return true;
         }
-        if (m->orders == 0 && m->fenced && out.size() < most) {
-            out.push_back(m);
+        if (machine->command_in_flight == 0 && machine->fenced && out.size() < most) {
+            out.push_back(machine);
         }
         return false;
     });
     return out;
 }
 
-std::vector<Command> MachineTable::send_in_response(Machine& m) {
-    std::vector<Command> commands = std::move(m.outbox);
-    m.outbox.clear();
+std::vector<WorkerCommand> MachineTable::send_in_response(Machine& machine) {
+    std::vector<WorkerCommand> commands = std::move(machine.outbox);
+    machine.outbox.clear();
     for (const auto& c : commands) {
-        if (c.op == Op::start) {
-            Placement& p = m.tasks.at(c.task);
-            p.via = Placement::Via::response;
-            p.tick = m.tick;
+        if (c.type == CommandType::start) {
+            Placement& placement = machine.tasks.at(c.task);
+            placement.via = Placement::Via::heartbeat_response;
+            placement.heartbeat_sequence = machine.heartbeat_sequence;
         }
     }
     return commands;
 }
 
-std::vector<Command> MachineTable::send_directly(Machine& m) {
-    std::vector<Command> commands = std::move(m.outbox);
-    m.outbox.clear();
+std::vector<WorkerCommand> MachineTable::send_directly(Machine& machine) {
+    std::vector<WorkerCommand> commands = std::move(machine.outbox);
+    machine.outbox.clear();
     for (const auto& c : commands) {
-        if (c.op == Op::start) {
-            Placement& p = m.tasks.at(c.task);
-            p.via = Placement::Via::orders;
-            p.token = m.token();
+        if (c.type == CommandType::start) {
+            Placement& placement = machine.tasks.at(c.task);
+            placement.via = Placement::Via::direct_command;
+            placement.fencing_token = machine.fencing_token();
         }
     }
     return commands;
 }
 
-void MachineTable::sent_directly(Machine& m, const std::vector<Command>& commands, CallId call) {
-    m.orders = call;
-    for (const auto& c : commands) {
-        if (c.op == Op::start) {
-            m.tasks.at(c.task).call = call;
+void MachineTable::on_sent_directly(Machine& machine, const std::vector<WorkerCommand>& commands,
+                                    OutboundRequestId call) {
+    machine.command_in_flight = call;
+    for (const auto& command : commands) {
+        if (command.type == CommandType::start) {
+            machine.tasks.at(command.task).command_request = call;
         }
     }
 }
 
-void MachineTable::queue_stop(Machine& m, const TaskRef& task, std::uint64_t attempt,
+void MachineTable::queue_stop(Machine& machine, const TaskId& task, std::uint64_t attempt,
                               double grace_s) {
-    m.outbox.push_back({Op::stop, task, attempt, grace_s});
-    queued_.insert(m.name);
+    machine.outbox.push_back({CommandType::stop, task, attempt, grace_s});
+    queued_.insert(machine.name);
 }
 
-std::vector<ListingResult::Gone> MachineTable::unqueue(Machine& m, const std::string* job) {
-    std::vector<ListingResult::Gone> gone;
-    std::erase_if(m.outbox, [&](const Command& c) {
-        return c.op == Op::start && (!job || c.task.job == *job);
+std::vector<HeartbeatResult::RemovedTask>
+MachineTable::cancel_queued_starts(Machine& machine, const std::string* job) {
+    std::vector<HeartbeatResult::RemovedTask> gone;
+    std::erase_if(machine.outbox, [&](const WorkerCommand& command) {
+        return command.type == CommandType::start && (!job || command.task.job == *job);
     });
-    for (auto it = m.tasks.begin(); it != m.tasks.end();) {
+    for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
         if (it->second.via == Placement::Via::queued && (!job || it->first.job == *job)) {
-            gone.push_back({it->first, it->second, ExitWhy::none});
-            it = m.tasks.erase(it);
+            gone.push_back({it->first, it->second, ExitReason::none});
+            it = machine.tasks.erase(it);
         } else {
             ++it;
         }
@@ -402,4 +414,4 @@
     return gone;
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/machine_types.cpp
+++ b/src/core/machine_types.cpp
@@ -4,9 +4,9 @@
 
 #include "core/slot_lists.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-MachineTypes::MachineTypes(const std::vector<MachineType>& types) : all_(types) {
+InstanceTypeCatalog::InstanceTypeCatalog(const std::vector<InstanceType>& types) : all_(types) {
     for (const auto& t : all_) {
         by_fetch_.push_back(&t);
     }
@@ -15,23 +15,24 @@
     });
 }
 
-const MachineType* MachineTypes::find(const std::string& name) const {
-    for (const auto& t : all_) {
-        if (t.name == name) {
-            return &t;
+const InstanceType* InstanceTypeCatalog::find(const std::string& name) const {
+    for (const auto& type : all_) {
+        if (type.name == name) {
+            return &type;
         }
     }
     return nullptr;
 }
 
-const MachineType& MachineTypes::usual(const JobSpec& s) const {
-    auto cost = [&](const MachineType& t) {
-        bool fits =
-            s.allows_type(t.name) && s.cpus <= t.cpus && s.gpus <= t.gpus && s.ram_gb <= t.ram_gb;
-        return std::pair(!fits, t.price * slots_needed(t, s.cpus, s.gpus, s.ram_gb) / t.slots());
+const InstanceType& InstanceTypeCatalog::cheapest_fitting(const JobSpec& spec) const {
+    auto cost = [&](const InstanceType& type) {
+        bool fits = spec.allows_type(type.name) && spec.cpus <= type.cpus &&
+                    spec.gpus <= type.gpus && spec.ram_gb <= type.ram_gb;
+        return std::pair(!fits, type.price * slots_needed(type, spec.cpus, spec.gpus, spec.ram_gb) /
+                                    type.slots());
     };
     return *std::min_element(all_.begin(), all_.end(),
                              [&](const auto& a, const auto& b) { return cost(a) < cost(b); });
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/machine_types.h
+++ b/src/core/machine_types.h
@@ -3,25 +3,25 @@
 
 #include "core/types.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class MachineTypes {
+class InstanceTypeCatalog {
   public:
-    explicit MachineTypes(const std::vector<MachineType>& types);
-    MachineTypes(const MachineTypes&) = delete;
-    MachineTypes& operator=(const MachineTypes&) = delete;
+    explicit InstanceTypeCatalog(const std::vector<InstanceType>& types);
+    InstanceTypeCatalog(const InstanceTypeCatalog&) = delete;
+    InstanceTypeCatalog& operator=(const InstanceTypeCatalog&) = delete;
 
     bool empty() const { return all_.empty(); }
-    const std::vector<MachineType>& all() const { return all_; }
-    const MachineType* find(const std::string& name) const;
+    const std::vector<InstanceType>& all() const { return all_; }
+    const InstanceType* find(const std::string& name) const;
     // The cheapest type that such a task fits on, by which its slots are counted.
-    const MachineType& usual(const JobSpec& spec) const;
+    const InstanceType& cheapest_fitting(const JobSpec& spec) const;
     // Those that fetch images fastest first.
-    const std::vector<const MachineType*>& by_fetch() const { return by_fetch_; }
+    const std::vector<const InstanceType*>& by_fetch_speed() const { return by_fetch_; }
 
   private:
-    std::vector<MachineType> all_;
-    std::vector<const MachineType*> by_fetch_;
+    std::vector<InstanceType> all_;
+    std::vector<const InstanceType*> by_fetch_;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/mover.cpp
+++ b/src/core/mover.cpp
@@ -1,6 +1,6 @@
 #include "core/mover.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 // Report times that a share's starts and slots on their way have to settle, and that a transaction
@@ -9,117 +9,124 @@
 constexpr double kTryReports = 4;
 } // namespace
 
-Mover::Mover(const Claim& claim, const Facts& facts, const PartTable& table, Holdings& holdings,
-             Calls& calls, Part& owner)
-    : claim_(claim), facts_(facts), table_(table), holdings_(holdings), calls_(calls),
-      owner_(owner) {}
+ShardMigration::ShardMigration(const Leadership& leadership, const ClusterSettings& settings,
+                               const PartitionMap& partition_map, OwnedShards& owned_shards,
+                               OutboundRequests& requests, Delegate& delegate)
+    : leadership_(leadership), settings_(settings), partition_map_(partition_map),
+      owned_shards_(owned_shards), requests_(requests), delegate_(delegate) {}
 
-bool Mover::begin(Time now, const ShareId& share, int to) {
-    if (move_ || to == claim_.part() || !holdings_.gives(share) || !table_.readable(share.home) ||
-        !table_.may_change(facts_.txn_ops) || table_.at(to).version == 0) {
+bool ShardMigration::begin(Time now, const ShardId& shard, int to) {
+    if (migration_ || to == leadership_.partition() || !owned_shards_.may_lend(shard) ||
+        !partition_map_.is_readable(shard.home_partition) ||
+        !partition_map_.can_reassign(settings_.store_transaction_limit) ||
+        partition_map_.at(to).version == 0) {
         return false;
     }
-    calls_.log(Level::info, "event=share_passing share=" + text_of(share) + " from=" +
-                                std::to_string(claim_.part()) + " to=" + std::to_string(to));
-    move_ = Move{share, to, now};
-    holdings_.set(share, Holdings::State::passing);
-    owner_.relist(share);
+    requests_.log(LogLevel::info, "event=shard_migration_started shard=" + to_string(shard) +
+                                      " from=" + std::to_string(leadership_.partition()) +
+                                      " to=" + std::to_string(to));
+    migration_ = Migration{shard, to, now};
+    owned_shards_.set_state(shard, OwnedShards::State::migrating);
+    delegate_.update_slot_lists(shard);
     return true;
 }
 
-void Mover::tick(Time now) {
-    if (!move_ || move_->in_flight || now < move_->next) {
+void ShardMigration::tick(Time now) {
+    if (!migration_ || migration_->in_flight || now < migration_->next) {
         return;
     }
-    if (move_->read_at > 0) {
-        if (table_.revision() >= move_->read_at) {
-            keep("refused"); // else `lost` would have been told
+    if (migration_->min_map_revision > 0) {
+        if (partition_map_.revision() >= migration_->min_map_revision) {
+            abort("refused"); // else `lost` would have been told
         }
         return;
     }
-    if (move_->txn || owner_.still(move_->share) ||
-        now - move_->since > kSettleReports * facts_.report_s) {
+    if (migration_->transaction || delegate_.is_quiescent(migration_->shard) ||
+        now - migration_->since > kSettleReports * settings_.heartbeat_interval_s) {
         send(now);
     }
 }
 
-void Mover::send(Time now) {
-    Move& m = *move_;
-    if (!m.txn) {
-        auto holders = table_.holders().find(m.share.home);
-        if (!table_.may_change(facts_.txn_ops) || !table_.readable(m.share.home) ||
-            table_.at(claim_.part()).version != claim_.term() ||
-            holders == table_.holders().end() || table_.at(m.to).version == 0) {
-            keep("map_changed");
+void ShardMigration::send(Time now) {
+    Migration& m = *migration_;
+    if (!m.transaction) {
+        auto holders = partition_map_.holders().find(m.shard.home_partition);
+        if (!partition_map_.can_reassign(settings_.store_transaction_limit) ||
+            !partition_map_.is_readable(m.shard.home_partition) ||
+            partition_map_.at(leadership_.partition()).version != leadership_.term() ||
+            holders == partition_map_.holders().end() ||
+            partition_map_.at(m.to_partition).version == 0) {
+            abort("map_changed");
             return;
         }
         std::vector<int> next = holders->second;
-        next[static_cast<std::size_t>(m.share.number)] = m.to;
-        m.txn = Txn{table_.unchanged(), {}};
-        table_.change(*m.txn, m.share.home, std::move(next));
+        next[static_cast<std::size_t>(m.shard.number)] = m.to_partition;
+        m.transaction = StoreTransaction{partition_map_.unchanged_conditions(), {}};
+        partition_map_.add_reassignment(*m.transaction, m.shard.home_partition, std::move(next));
     }
     // From here on the share may be the other part's at any moment.
-    m.in_flight =
-        calls_.send_state(now, StateBudget::Use::progress, *m.txn,
-                          [this, share = m.share, since = m.since](Time at, CallReply& reply) {
-                              if (move_ && move_->share == share && move_->since == since) {
-                                  answered(at, reply);
-                              }
-                          });
+    m.in_flight = requests_.send_to_store(
+        now, StoreRateLimiter::Use::progress, *m.transaction,
+        [this, shard = m.shard, since = m.since](Time at, OutboundResponse& response) {
+            if (migration_ && migration_->shard == shard && migration_->since == since) {
+                on_response(at, response);
+            }
+        });
     if (m.in_flight) {
-        holdings_.set(m.share, Holdings::State::doubt);
-    } else if (!m.doubt) {
-        m.txn.reset(); // the budget does not let it go: made anew at the next try
-        if (now - m.since > kTryReports * facts_.report_s) {
-            keep("budget");
+        owned_shards_.set_state(m.shard, OwnedShards::State::in_doubt);
+    } else if (!m.in_doubt) {
+        m.transaction.reset(); // the budget does not let it go: made anew at the next try
+        if (now - m.since > kTryReports * settings_.heartbeat_interval_s) {
+            abort("budget");
         }
     }
 }
 
-void Mover::answered(Time now, const CallReply& reply) {
-    Move& m = *move_;
+void ShardMigration::on_response(Time now, const OutboundResponse& response) {
+    Migration& m = *migration_;
     m.in_flight = false;
-    m.next = now + facts_.report_s / 6;
-    if (reply.status == 200) {
-        ShareId share = m.share;
-        int to = m.to;
-        std::uint64_t term = m.txn->when[static_cast<std::size_t>(to)].version;
-        calls_.log(Level::info, "event=share_moved share=" + text_of(share) + " from=" +
-                                    std::to_string(claim_.part()) + " to=" + std::to_string(to) +
-                                    " took_s=" + std::to_string(now - m.since));
-        move_.reset();
-        holdings_.gave(share, reply.revision);
-        owner_.hand_on(now, share, to);
-        owner_.tell_given(to, {share, reply.revision, term});
-    } else if (reply.status == 0) {
-        m.doubt = true; // sent again until there is an answer
-    } else if (!m.doubt) {
-        keep(reply.status == 409 ? "refused" : "unavailable"); // it was not executed
-    } else if (reply.status == 409) {
+    m.next = now + settings_.heartbeat_interval_s / 6;
+    if (response.status == 200) {
+        ShardId shard = m.shard;
+        int to = m.to_partition;
+        std::uint64_t term = m.transaction->conditions[static_cast<std::size_t>(to)].version;
+        requests_.log(LogLevel::info, "event=shard_migrated shard=" + to_string(shard) +
+                                          " from=" + std::to_string(leadership_.partition()) +
+                                          " to=" + std::to_string(to) +
+                                          " took_s=" + std::to_string(now - m.since));
+        migration_.reset();
+        owned_shards_.migrated_out(shard, response.revision);
+        delegate_.on_migrated(now, shard, to);
+        delegate_.announce_transfer(to, {shard, response.revision, term});
+    } else if (response.status == 0) {
+        m.in_doubt = true; // sent again until there is an answer
+    } else if (!m.in_doubt) {
+        abort(response.status == 409 ? "refused" : "unavailable"); // it was not executed
+    } else if (response.status == 409) {
         // No copy can take effect from now on. Has an earlier one?
-        m.read_at = std::max<std::uint64_t>(reply.revision, 1);
+        m.min_map_revision = std::max<std::uint64_t>(response.revision, 1);
     }
 }
 
-void Mover::keep(const char* why) {
-    ShareId share = move_->share;
-    move_.reset();
-    if (holdings_.find(share)) {
-        bool doubt = !holdings_.serves(share);
-        holdings_.set(share, Holdings::State::held);
-        owner_.relist(share);
+void ShardMigration::abort(const char* why) {
+    ShardId shard = migration_->shard;
+    migration_.reset();
+    if (owned_shards_.find(shard)) {
+        bool doubt = !owned_shards_.may_serve(shard);
+        owned_shards_.set_state(shard, OwnedShards::State::owned);
+        delegate_.update_slot_lists(shard);
         if (doubt) {
-            owner_.list_again(share);
+            delegate_.republish_inventory(shard);
         }
     }
-    calls_.log(Level::info,
-               "event=share_kept share=" + text_of(share) + " why=" + std::string(why));
+    requests_.log(LogLevel::info, "event=shard_migration_aborted shard=" + to_string(shard) +
+                                      " reason=" + std::string(why));
 }
 
-void Mover::lost(const ShareId& share) {
-    if (move_ && move_->share == share) {
-        move_.reset();
+void ShardMigration::on_shard_lost(const ShardId& shard) {
+    if (migration_ && migration_->shard == shard) {
+        migration_.reset();
     }
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/part_table.cpp
+++ b/src/core/part_table.cpp
@@ -6,7 +6,7 @@
 
 #include "core/parts.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr std::string_view kHomeEnd = "/home";
@@ -14,36 +14,41 @@
 constexpr int kConditionsPerOp = 4; // of a transaction, by the protocol
 } // namespace
 
-PartTable::PartTable(const Facts& facts) : facts_(facts), parts_(facts.parts.size()) {}
+PartitionMap::PartitionMap(const ClusterSettings& settings)
+    : settings_(settings), partitions_(settings.partitions.size()) {}
 
-std::string PartTable::home_key(int part) { return part_key(part) + std::string(kHomeEnd); }
-std::string PartTable::shares_key(int home) { return part_key(home) + std::string(kSharesEnd); }
+std::string PartitionMap::reclaim_key(int partition) {
+    return partition_key(partition) + std::string(kHomeEnd);
+}
+std::string PartitionMap::shards_key(int home) {
+    return partition_key(home) + std::string(kSharesEnd);
+}
 
-bool PartTable::valid(int home, const ShareRecord& record) const {
-    return static_cast<int>(record.holders.size()) == shares_at(facts_, home) &&
+bool PartitionMap::valid(int home, const ShardHoldersRecord& record) const {
+    return static_cast<int>(record.holders.size()) == shards_per_home(settings_, home) &&
            std::all_of(record.holders.begin(), record.holders.end(),
                        [&](int holder) { return holder >= 0 && holder < count(); });
 }
 
-bool PartTable::take(const CallReply& reply, Calls& calls) {
-    std::vector<Part> parts(parts_.size());
-    Holders holders;
+bool PartitionMap::load(const OutboundResponse& response, OutboundRequests& requests) {
+    std::vector<Partition> partitions(partitions_.size());
+    ShardHolders holders;
     std::map<int, std::uint64_t> versions;
     std::map<int, std::uint64_t> fenced;
-    bool readable = !reply.more;
+    bool readable = !response.more;
     auto unreadable = [&](const KeyedRecord& item) {
-        if (std::exchange(said_[item.key], item.version) != item.version) {
-            calls.log(Level::error, "event=unreadable_record key=" + item.key);
+        if (std::exchange(logged_unreadable_[item.key], item.version) != item.version) {
+            requests.log(LogLevel::error, "event=record_unreadable key=" + item.key);
         }
     };
-    for (const auto& item : reply.items) {
+    for (const auto& item : response.entries) {
         std::string_view rest = std::string_view(item.key).substr(sizeof(kPrefix) - 1);
-        std::size_t p = parts.size();
+        std::size_t p = partitions.size();
         auto [end, error] = std::from_chars(rest.data(), rest.data() + rest.size(), p);
         std::string_view kind(end, static_cast<std::size_t>(rest.data() + rest.size() - end));
-        bool known = error == std::errc() && p < parts.size();
+        bool known = error == std::errc() && p < partitions.size();
         if (known && kind == kSharesEnd) {
-            const auto* record = std::get_if<ShareRecord>(&item.record);
+            const auto* record = std::get_if<ShardHoldersRecord>(&item.record);
             int home = static_cast<int>(p);
             versions[home] = item.version;
             if (record && valid(home, *record)) {
@@ -54,16 +59,16 @@
             }
             continue;
         }
-        const auto* record = std::get_if<PartRecord>(&item.record);
+        const auto* record = std::get_if<PartitionRecord>(&item.record);
         if (!known || !record || (!kind.empty() && kind != kHomeEnd)) {
             unreadable(item);
             readable = readable && !known;
         } else if (kind == kHomeEnd) {
-            parts[p].home_waits = true;
+            partitions[p].home_reclaims = true;
         } else {
-            parts[p].node = record->node;
-            parts[p].version = item.version;
-            parts[p].knows_shares = record->knows_shares;
+            partitions[p].leader = record->node;
+            partitions[p].version = item.version;
+            partitions[p].supports_sharding = record->supports_sharding;
         }
     }
     if (!readable) {
@@ -75,56 +80,58 @@
                 holders[home] = before->second; // nobody can have changed it validly since
             }
         } else if (!holders.contains(home)) {
-            holders[home].assign(static_cast<std::size_t>(shares_at(facts_, home)), home);
+            holders[home].assign(static_cast<std::size_t>(shards_per_home(settings_, home)), home);
         }
     }
-    parts_ = std::move(parts);
+    partitions_ = std::move(partitions);
     holders_ = std::move(holders);
     versions_ = std::move(versions);
-    fenced_ = std::move(fenced);
-    revision_ = reply.revision;
+    unreadable_ = std::move(fenced);
+    revision_ = response.revision;
     return true;
 }
 
-void PartTable::claimed(int part, const std::string& node, std::uint64_t version) {
-    Part& p = parts_[static_cast<std::size_t>(part)];
-    p.node = node;
+void PartitionMap::on_elected(int partition, const std::string& node, std::uint64_t version) {
+    Partition& p = partitions_[static_cast<std::size_t>(partition)];
+    p.leader = node;
     p.version = version;
-    p.knows_shares = true;
+    p.supports_sharding = true;
 }
 
-void PartTable::moved(const ShareId& share, int to, std::uint64_t revision) {
-    auto home = holders_.find(share.home);
+void PartitionMap::on_shard_moved(const ShardId& shard, int to, std::uint64_t revision) {
+    auto home = holders_.find(shard.home_partition);
     if (revision > revision_ && home != holders_.end()) {
-        home->second[static_cast<std::size_t>(share.number)] = to;
-        versions_[share.home] = revision;
+        home->second[static_cast<std::size_t>(shard.number)] = to;
+        versions_[shard.home_partition] = revision;
     }
 }
 
-int PartTable::holder(const ShareId& share) const {
-    auto home = holders_.find(share.home);
-    return home == holders_.end() ? -1 : home->second[static_cast<std::size_t>(share.number)];
+int PartitionMap::holder(const ShardId& shard) const {
+    auto home = holders_.find(shard.home_partition);
+    return home == holders_.end() ? -1 : home->second[static_cast<std::size_t>(shard.number)];
 }
 
-bool PartTable::may_change(int txn_ops) const {
+bool PartitionMap::can_reassign(int txn_ops) const {
     bool fits = count() + txn_ops <= kConditionsPerOp * txn_ops;
-    return fits && revision_ > 0 && std::all_of(parts_.begin(), parts_.end(), [](const Part& p) {
-               return p.version == 0 || p.knows_shares;
-           });
+    return fits && revision_ > 0 &&
+           std::all_of(partitions_.begin(), partitions_.end(),
+                       [](const Partition& p) { return p.version == 0 || p.supports_sharding; });
 }
 
-std::vector<Condition> PartTable::unchanged() const {
-    std::vector<Condition> all;
+std::vector<StoreCondition> PartitionMap::unchanged_conditions() const {
+    std::vector<StoreCondition> all;
     for (int p = 0; p < count(); ++p) {
-        all.push_back({part_key(p), at(p).version});
+        all.push_back({partition_key(p), at(p).version});
     }
     return all;
 }
 
-void PartTable::change(Txn& txn, int home, std::vector<int> holders) const {
+void PartitionMap::add_reassignment(StoreTransaction& transaction, int home,
+                                    std::vector<int> holders) const {
     auto version = versions_.find(home);
-    txn.when.push_back({shares_key(home), version == versions_.end() ? 0 : version->second});
-    txn.then.push_back({shares_key(home), ShareRecord{std::move(holders)}, {}});
+    transaction.conditions.push_back(
+        {shards_key(home), version == versions_.end() ? 0 : version->second});
+    transaction.writes.push_back({shards_key(home), ShardHoldersRecord{std::move(holders)}, {}});
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/part_tables.cpp
+++ b/src/core/part_tables.cpp
@@ -2,24 +2,29 @@
 
 #include <algorithm>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 // Delays of this process that a lease bound allows for, as a part of the lease: a safety bound.
 constexpr double kMargin = 1.0 / 16;
 
-std::uint32_t chunk_tasks(const Facts& facts) {
+std::uint32_t chunk_tasks(const ClusterSettings& settings) {
     // Four tasks a character of hex, with a quarter of the value left for the rest.
-    return static_cast<std::uint32_t>(std::max(64.0, facts.value_kb * 1024 * 0.75 * 4));
+    return static_cast<std::uint32_t>(
+        std::max(64.0, settings.store_value_limit_kb * 1024 * 0.75 * 4));
 }
 } // namespace
 
-PartTables::PartTables(Time now, int part, const Facts& facts, const Policy& policy,
-                       const Authority& authority, const PartTable& table, StateBudget& budget,
-                       const std::vector<MachineType>& types)
-    : facts_(facts), all_shares_(all_shares(facts)), policy_(policy), claim_(now, part, authority),
-      holdings_(claim_, table), calls_(budget, (claim_.term() << 32) + 1), types_(types),
-      jobs_(chunk_tasks(facts)), machines_(facts.lease_s, facts.lease_s * kMargin),
-      teams_(facts.teams), gangs_(facts.gang_wait_s), fleet_(facts, policy, claim_.term()) {}
+PartitionTables::PartitionTables(Time now, int partition, const ClusterSettings& settings,
+                                 const SchedulingPolicy& policy, const LeadershipLease& lease,
+                                 const PartitionMap& partition_map, StoreRateLimiter& rate_limiter,
+                                 const std::vector<InstanceType>& types)
+    : settings_(settings), all_shards_(all_shards(settings)), policy_(policy),
+      leadership_(now, partition, lease), owned_shards_(leadership_, partition_map),
+      requests_(rate_limiter, (leadership_.term() << 32) + 1), instance_types_(types),
+      jobs_(chunk_tasks(settings)),
+      machines_(settings.worker_lease_s, settings.worker_lease_s * kMargin),
+      quotas_(settings.teams), gangs_(settings.gang_start_timeout_s),
+      planner_(settings, policy, leadership_.term()) {}
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/part_tables.h
+++ b/src/core/part_tables.h
@@ -10,27 +10,28 @@
 #include "core/slot_lists.h"
 #include "core/teams.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class PartTables {
+class PartitionTables {
   protected:
-    PartTables(Time now, int part, const Facts& facts, const Policy& policy,
-               const Authority& authority, const PartTable& table, StateBudget& budget,
-               const std::vector<MachineType>& types);
+    PartitionTables(Time now, int partition, const ClusterSettings& settings,
+                    const SchedulingPolicy& policy, const LeadershipLease& lease,
+                    const PartitionMap& partition_map, StoreRateLimiter& rate_limiter,
+                    const std::vector<InstanceType>& types);
 
-    Facts facts_;
-    std::vector<ShareId> all_shares_; // of all parts
-    Policy policy_;
-    Claim claim_;
-    Holdings holdings_;
-    Calls calls_;
-    MachineTypes types_;
+    ClusterSettings settings_;
+    std::vector<ShardId> all_shards_; // of all parts
+    SchedulingPolicy policy_;
+    Leadership leadership_;
+    OwnedShards owned_shards_;
+    OutboundRequests requests_;
+    InstanceTypeCatalog instance_types_;
     JobStore jobs_;
     MachineTable machines_;
     SlotLists slots_;
-    Teams teams_;
-    Gangs gangs_;
-    Fleet fleet_;
+    QuotaLedger quotas_;
+    GangTracker gangs_;
+    CapacityPlanner planner_;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/placing.cpp
+++ b/src/core/placing.cpp
@@ -6,7 +6,7 @@
 #include "core/part_owner.h"
 #include "core/parts.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 std::uint32_t planned(const std::map<std::string, std::uint32_t>* plan, const std::string& where) {
@@ -15,54 +15,61 @@
 }
 } // namespace
 
-bool PartOwner::may_place(const Machine& m) const {
-    return m.reported && m.fenced && m.on_roster && holdings_.gives(m.share) && !m.draining &&
-           !m.trimming && !m.releasing && !m.notice_s && !m.has_foreign() &&
-           !m.has_unknown_shape() && m.errors < policy_.sick_errors;
+bool PartitionLeader::is_schedulable(const Machine& machine) const {
+    return machine.reporting && machine.fenced && machine.registered &&
+           owned_shards_.may_lend(machine.shard) && !machine.draining && !machine.cordoned &&
+           !machine.releasing && !machine.preemption_notice_s && !machine.has_unexpected() &&
+           !machine.has_unknown_resources() &&
+           machine.consecutive_errors < policy_.quarantine_errors;
 }
 
-void PartOwner::relist(Machine& m) {
-    int idle = slots_idle(m.free_cpus(), m.free_gpus(), m.free_ram(), m.type);
-    bool listed = may_place(m) && (idle > 0 || m.type.gpus > 0);
-    slots_.set({m.type.name, m.spot}, m.name, listed ? idle : -1);
-    if (slots_.images_version(m.name) != m.images_version) {
+void PartitionLeader::update_slot_lists(Machine& machine) {
+    int idle =
+        idle_slots(machine.free_cpus(), machine.free_gpus(), machine.free_ram(), machine.type);
+    bool listed = is_schedulable(machine) && (idle > 0 || machine.type.gpus > 0);
+    slots_.set({machine.type.name, machine.spot}, machine.name, listed ? idle : -1);
+    if (slots_.images_version(machine.name) != machine.images_version) {
         std::vector<std::string> images;
-        for (const auto& image : m.images) {
+        for (const auto& image : machine.images) {
             images.push_back(image.name);
         }
-        slots_.set_images(m.name, images, m.images_version);
+        slots_.set_images(machine.name, images, machine.images_version);
     }
-    lending_.note(m);
+    lender_.on_machine_changed(machine);
 }
 
 // The head of the first list that has enough idle slots for a task of this shape. `task` and
 // `job` are null when another part asks, whose owner checks the rest itself.
-const std::string* PartOwner::find_slots(bool spot, const JobSpec& s, const TaskRef* task,
-                                         const Job* job, const GangPlan* plan,
-                                         const std::string& zone) const {
+const std::string* PartitionLeader::find_slots(bool spot, const JobSpec& spec, const TaskId* task,
+                                               const Job* job, const GangPlacement* plan,
+                                               const std::string& zone) const {
     // A machine that has the image before one that has to fetch it.
     for (bool warm : {true, false}) {
-        for (const MachineType* type : types_.by_fetch()) {
-            const MachineType& t = *type;
-            if (!s.allows_type(t.name)) {
+        for (const InstanceType* candidate : instance_types_.by_fetch_speed()) {
+            const InstanceType& type = *candidate;
+            if (!spec.allows_type(type.name)) {
                 continue;
             }
             auto fits = [&](const std::string& name) {
                 ++effort_;
-                const Machine& m = machines_.all().at(name);
-                double n = 1 + planned(plan ? &plan->on : nullptr, name);
-                std::uint32_t more = 1 + planned(plan ? &plan->in_zone : nullptr, m.zone);
-                bool allowed = job ? job->allows_zone(m.zone, more)
-                                   : (!s.zone || *s.zone == m.zone) && s.may_spread(more);
-                return allowed && (zone.empty() || zone == m.zone) && m.orders == 0 &&
-                       m.kept_for(s.id) && m.free_cpus() >= n * s.cpus &&
-                       m.free_ram() >= n * s.ram_gb && m.free_gpus() >= n * s.gpus &&
-                       !(task && m.holds_exited(*task));
+                const Machine& machine = machines_.all().at(name);
+                double n = 1 + planned(plan ? &plan->tasks_by_machine : nullptr, name);
+                std::uint32_t more =
+                    1 + planned(plan ? &plan->tasks_by_zone : nullptr, machine.zone);
+                bool allowed =
+                    job ? job->allows_zone(machine.zone, more)
+                        : (!spec.zone || *spec.zone == machine.zone) && spec.may_spread(more);
+                return allowed && (zone.empty() || zone == machine.zone) &&
+                       machine.command_in_flight == 0 && machine.available_to(spec.id) &&
+                       machine.free_cpus() >= n * spec.cpus &&
+                       machine.free_ram() >= n * spec.ram_gb &&
+                       machine.free_gpus() >= n * spec.gpus &&
+                       !(task && machine.reports_exited(*task));
             };
-            SlotKind kind{t.name, spot};
-            int least = slots_listed(t, s.cpus, s.gpus, s.ram_gb);
-            const std::string* found =
-                warm ? slots_.pop_warm(kind, least, s.image, fits) : slots_.pop(kind, least, fits);
+            SlotKind kind{type.name, spot};
+            int least = min_listed_slots(type, spec.cpus, spec.gpus, spec.ram_gb);
+            const std::string* found = warm ? slots_.pop_warm(kind, least, spec.image, fits)
+                                            : slots_.pop(kind, least, fits);
             if (found) {
                 return found;
             }
@@ -71,90 +78,93 @@
     return nullptr;
 }
 
-bool PartOwner::place_one(Time now, bool spot, Job& job, std::uint32_t index) {
-    const JobSpec& s = job.spec;
-    TaskRef task{s.id, index};
-    const std::string* found = find_slots(spot, s, &task, &job);
+bool PartitionLeader::schedule_task(Time now, bool spot, Job& job, std::uint32_t index) {
+    const JobSpec& spec = job.spec;
+    TaskId task{spec.id, index};
+    const std::string* found = find_slots(spot, spec, &task, &job);
     if (!found) {
         return false;
     }
-    start_on(now, *machines_.find(*found), job, index, claim_.new_attempt(claim_.part(), false));
+    launch_on(now, *machines_.find(*found), job, index,
+              leadership_.next_attempt(leadership_.partition(), false));
     return true;
 }
 
-void PartOwner::start_on(Time now, Machine& m, Job& job, std::uint32_t index,
-                         std::uint64_t attempt) {
-    const JobSpec& s = job.spec;
-    Placement p = placement_of(s);
-    p.attempt = attempt;
-    p.borrows = !teams_.within_guarantee(s.team, s.cpus, s.gpus);
-    machines_.queue_start(now, m, {s.id, index}, std::move(p));
-    jobs_.place(job, index, m.zone);
-    teams_.use(s.team, s.cpus, s.gpus);
-    relist(m);
+void PartitionLeader::launch_on(Time now, Machine& machine, Job& job, std::uint32_t index,
+                                std::uint64_t attempt) {
+    const JobSpec& spec = job.spec;
+    Placement placement = placement_for(spec);
+    placement.attempt = attempt;
+    placement.over_guarantee = !quotas_.within_guarantee(spec.team, spec.cpus, spec.gpus);
+    machines_.queue_start(now, machine, {spec.id, index}, std::move(placement));
+    jobs_.mark_placed(job, index, machine.zone);
+    quotas_.add_usage(spec.team, spec.cpus, spec.gpus);
+    update_slot_lists(machine);
 }
 
-bool PartOwner::waits(Time now, const Job& job) const {
+bool PartitionLeader::has_schedulable_tasks(Time now, const Job& job) const {
     // After an outage for all, an owner whose claim had outlived it once started replicas of a job
     // that had been cancelled before, until the first answer of its watch.
-    return fresh_.enough(now) && (settled_ || (loaded_ && !job.in_doubt)) && job.open() &&
-           !job.waiting.empty() && now >= job.hold_until &&
+    return staleness_.is_fresh(now) && (reconciled_ || (loaded_ && !job.in_doubt)) && job.open() &&
+           !job.waiting.empty() && now >= job.backoff_until &&
            (job.spec.kind != JobKind::gang || gangs_.may_place(now, job));
 }
 
-void PartOwner::place(Time now) {
-    if (!loaded_ || !claim_.usable(now) || slots_.empty()) {
+void PartitionLeader::schedule(Time now) {
+    if (!loaded_ || !leadership_.is_active(now) || slots_.empty()) {
         return;
     }
-    order_.stale();
+    queue_.invalidate();
     // Each job on its own kind of machine first. What is left of the ordinary ones then serves
     // the jobs that may use spot machines as well: were they let in by rank, jobs that have
     // nowhere else to go would stand behind them.
-    fill(now, true, true);
-    fill(now, false, false);
-    fill(now, false, true);
+    fill_slots(now, true, true);
+    fill_slots(now, false, false);
+    fill_slots(now, false, true);
 }
 
 // Strikes slots from our lists for tasks of another part.
-void PartOwner::hand_over(Time now, bool spot, int thief, Want& want) {
-    JobSpec shape = shape_wanted(want);
-    while (want.count > 0 && lending_.left(thief) > 0) {
+void PartitionLeader::lend_slots(Time now, bool spot, int borrower, SlotRequest& request) {
+    JobSpec shape = requested_resources(request);
+    while (request.count > 0 && lender_.slots_left(borrower) > 0) {
         const std::string* found = find_slots(spot, shape, nullptr, nullptr);
         if (!found) {
             return;
         }
-        lending_.lend(now, *machines_.find(*found), thief, want);
+        lender_.lend(now, *machines_.find(*found), borrower, request);
     }
 }
 
-void PartOwner::fill(Time now, bool spot, bool spot_jobs) {
+void PartitionLeader::fill_slots(Time now, bool spot, bool spot_jobs) {
     using Shape = std::tuple<double, double, double>;
     std::set<Shape> full;
-    for (const Candidate& c : order_.get(now)) {
-        if (c.spot != spot_jobs) {
+    for (const PendingJob& candidate : queue_.ordered(now)) {
+        if (candidate.spot != spot_jobs) {
             continue;
         }
-        if (c.want) {
-            Shape shape{c.want->cpus, c.want->gpus, c.want->ram_gb};
-            if (c.kind == JobKind::gang) {
-                lend_gang(now, spot, c.thief, *c.want);
+        if (candidate.slot_request) {
+            Shape shape{candidate.slot_request->cpus, candidate.slot_request->gpus,
+                        candidate.slot_request->ram_gb};
+            if (candidate.kind == JobKind::gang) {
+                lend_gang_slots(now, spot, candidate.borrower, *candidate.slot_request);
             } else if (!full.contains(shape)) {
-                hand_over(now, spot, c.thief, *c.want);
+                lend_slots(now, spot, candidate.borrower, *candidate.slot_request);
             }
             continue;
         }
-        const JobSpec& s = c.job->spec;
-        bool plain = !s.types && !s.zone && !s.one_zone && !s.spread;
-        Shape shape{s.cpus, s.gpus, s.ram_gb};
-        if (s.kind == JobKind::gang) {
-            place_gang(now, spot, *c.job);
+        const JobSpec& spec = candidate.job->spec;
+        bool plain = !spec.types && !spec.zone && !spec.one_zone && !spec.spread;
+        Shape shape{spec.cpus, spec.gpus, spec.ram_gb};
+        if (spec.kind == JobKind::gang) {
+            schedule_gang(now, spot, *candidate.job);
             continue;
         }
         if (plain && full.contains(shape)) {
             continue; // no slot for its like a moment ago, so none now
         }
-        while (!c.job->waiting.empty() && !c.begun() && teams_.fits(s.team, s.cpus, s.gpus)) {
-            if (!place_one(now, spot, *c.job, c.job->waiting.first())) {
+        while (!candidate.job->waiting.empty() && !candidate.first_task_placed() &&
+               quotas_.fits(spec.team, spec.cpus, spec.gpus)) {
+            if (!schedule_task(now, spot, *candidate.job, candidate.job->waiting.first())) {
                 if (plain) {
                     full.insert(shape);
                 }
@@ -165,47 +175,55 @@
 }
 
 // Can the slots of this machine serve the candidate now?
-bool PartOwner::suits(Time now, const Machine& m, const Candidate& c) const {
-    if (c.want) {
-        const Want& w = *c.want;
-        return w.count > 0 && lending_.left(c.thief) > 0 && m.kept_for(w.job) &&
-               w.cpus <= m.free_cpus() && w.ram_gb <= m.free_ram() && w.gpus <= m.free_gpus() &&
-               (!w.types ||
-                std::find(w.types->begin(), w.types->end(), m.type.name) != w.types->end()) &&
-               (!w.zone || *w.zone == m.zone);
+bool PartitionLeader::fits_machine(Time now, const Machine& machine,
+                                   const PendingJob& candidate) const {
+    if (candidate.slot_request) {
+        const SlotRequest& request = *candidate.slot_request;
+        return request.count > 0 && lender_.slots_left(candidate.borrower) > 0 &&
+               machine.available_to(request.job) && request.cpus <= machine.free_cpus() &&
+               request.ram_gb <= machine.free_ram() && request.gpus <= machine.free_gpus() &&
+               (!request.types || std::find(request.types->begin(), request.types->end(),
+                                            machine.type.name) != request.types->end()) &&
+               (!request.zone || *request.zone == machine.zone);
     }
-    const JobSpec& s = c.job->spec;
-    return waits(now, *c.job) && !c.begun() && m.kept_for(s.id) && s.cpus <= m.free_cpus() &&
-           s.ram_gb <= m.free_ram() && s.gpus <= m.free_gpus() &&
-           teams_.fits(s.team, s.cpus, s.gpus) && s.allows_type(m.type.name) &&
-           c.job->allows_zone(m.zone) && !m.holds_exited({s.id, c.job->waiting.first()});
+    const JobSpec& spec = candidate.job->spec;
+    return has_schedulable_tasks(now, *candidate.job) && !candidate.first_task_placed() &&
+           machine.available_to(spec.id) && spec.cpus <= machine.free_cpus() &&
+           spec.ram_gb <= machine.free_ram() && spec.gpus <= machine.free_gpus() &&
+           quotas_.fits(spec.team, spec.cpus, spec.gpus) && spec.allows_type(machine.type.name) &&
+           candidate.job->allows_zone(machine.zone) &&
+           !machine.reports_exited({spec.id, candidate.job->waiting.first()});
 }
 
 // The idle slots of one machine, as its report gives them. Of the candidates of the same rank, one
 // whose image the machine has goes before one due a little earlier whose image it would have to
 // fetch: while it is fetched, the slots stand idle.
-void PartOwner::place_on(Time now, Machine& m) {
-    if (!loaded_ || !claim_.usable(now) || !may_place(m) || m.orders != 0) {
+void PartitionLeader::schedule_on(Time now, Machine& machine) {
+    if (!loaded_ || !leadership_.is_active(now) || !is_schedulable(machine) ||
+        machine.command_in_flight != 0) {
         return;
     }
-    const std::vector<Candidate>& order = order_.get(now);
-    std::set<const Candidate*> lacking; // gangs for which this machine is not enough
+    const std::vector<PendingJob>& order = queue_.ordered(now);
+    std::set<const PendingJob*> lacking; // gangs for which this machine is not enough
     auto best_of = [&](bool spot_jobs) {
-        const Candidate* best = nullptr;
+        const PendingJob* best = nullptr;
         Time best_due = 0;
-        for (const Candidate& c : order) {
+        for (const PendingJob& candidate : order) {
             ++effort_;
-            if (best && (!c.same_rank(*best) || c.due >= best_due)) {
+            if (best && (!candidate.same_rank(*best) || candidate.due >= best_due)) {
                 break; // no warm image makes up for that
             }
-            if (c.spot != spot_jobs || lacking.contains(&c) || !suits(now, m, c)) {
+            if (candidate.spot != spot_jobs || lacking.contains(&candidate) ||
+                !fits_machine(now, machine, candidate)) {
                 continue;
             }
             double fetch_s =
-                m.warm(c.image()) ? 0 : c.image_gb() / std::max(1e-3, m.type.fetch_gb_per_s);
-            Time at = c.due + policy_.warm_patience * fetch_s;
+                machine.has_image(candidate.image())
+                    ? 0
+                    : candidate.image_gb() / std::max(1e-3, machine.type.fetch_gb_per_s);
+            Time at = candidate.due + policy_.warm_image_patience * fetch_s;
             if (!best || at < best_due) {
-                best = &c;
+                best = &candidate;
                 best_due = at;
             }
         }
@@ -213,24 +231,26 @@
     };
     // Ordinary machines serve first what may use nothing else.
     for (bool spot_jobs : {false, true}) {
-        if (m.spot && !spot_jobs) {
+        if (machine.spot && !spot_jobs) {
             continue;
         }
-        while (const Candidate* c = best_of(spot_jobs)) {
-            if (c->kind == JobKind::gang) {
-                bool placed = c->want ? lend_gang(now, m.spot, c->thief, *c->want)
-                                      : place_gang(now, m.spot, *c->job);
+        while (const PendingJob* candidate = best_of(spot_jobs)) {
+            if (candidate->kind == JobKind::gang) {
+                bool placed = candidate->slot_request
+                                  ? lend_gang_slots(now, machine.spot, candidate->borrower,
+                                                    *candidate->slot_request)
+                                  : schedule_gang(now, machine.spot, *candidate->job);
                 if (!placed) {
-                    lacking.insert(c);
+                    lacking.insert(candidate);
                 }
-            } else if (c->want) {
-                lending_.lend(now, m, c->thief, *c->want);
+            } else if (candidate->slot_request) {
+                lender_.lend(now, machine, candidate->borrower, *candidate->slot_request);
             } else {
-                start_on(now, m, *c->job, c->job->waiting.first(),
-                         claim_.new_attempt(claim_.part(), false));
+                launch_on(now, machine, *candidate->job, candidate->job->waiting.first(),
+                          leadership_.next_attempt(leadership_.partition(), false));
             }
         }
     }
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/poll_desk.cpp
+++ b/src/core/poll_desk.cpp
@@ -6,7 +6,7 @@
 
 #include "core/parts.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr int kConditionTimes = 4; // conditions that a transaction may have for each change
@@ -14,35 +14,37 @@
 constexpr double kLongestWait = 1.0 / 6; // of a report time: users wait for about two thirds of one
 } // namespace
 
-PollDesk::PollDesk(const Facts& facts, Calls& calls, JobIndex& index, Counts counts)
-    : calls_(calls), index_(index), counts_(std::move(counts)),
-      most_keys_(static_cast<std::size_t>(std::max(1, kConditionTimes * facts.txn_ops))),
-      gather_s_(static_cast<double>(facts.parts.size()) /
-                (kShare * std::max(1.0, facts.state_rps))),
-      longest_wait_s_(kLongestWait * facts.report_s) {
+JobStatusReader::JobStatusReader(const ClusterSettings& settings, OutboundRequests& requests,
+                                 JobRecordCache& job_cache, TaskCounts counts)
+    : requests_(requests), job_cache_(job_cache), task_counts_(std::move(counts)),
+      max_keys_(static_cast<std::size_t>(
+          std::max(1, kConditionTimes * settings.store_transaction_limit))),
+      gather_s_(static_cast<double>(settings.partitions.size()) /
+                (kShare * std::max(1.0, settings.store_requests_per_s))),
+      longest_wait_s_(kLongestWait * settings.heartbeat_interval_s) {
     gather_s_ = std::min(gather_s_, longest_wait_s_ / 2);
 }
 
-void PollDesk::poll(Time now, RequestId request, const std::string& job) {
-    if (answer_final(calls_, index_, request, job)) {
+void JobStatusReader::poll(Time now, RequestId request_id, const std::string& job) {
+    if (respond_if_final(requests_, job_cache_, request_id, job)) {
         return;
     }
-    if (index_.version(job)) {
-        waiting_.push_back({request, job, now});
+    if (job_cache_.version(job)) {
+        waiting_.push_back({request_id, job, now});
     } else if (auto under_way = reads_.find(job); under_way != reads_.end()) {
-        under_way->second.later.push_back(request);
+        under_way->second.later.push_back(request_id);
     } else {
-        read(now, job, {request});
+        read(now, job, {request_id});
     }
 }
 
-void PollDesk::flush(Time now) {
+void JobStatusReader::flush(Time now) {
     while (!waiting_.empty() && now - waiting_.front().since > longest_wait_s_) {
-        answer_busy(calls_, waiting_.front().request);
+        respond_unavailable(requests_, waiting_.front().request);
         waiting_.pop_front();
     }
     while (!waiting_.empty() && now >= blocked_until_ &&
-           (now >= next_ || waiting_.size() >= most_keys_)) {
+           (now >= next_ || waiting_.size() >= max_keys_)) {
         std::size_t before = waiting_.size();
         confirm(now);
         if (waiting_.size() == before) {
@@ -52,30 +54,31 @@
 }
 
 // One transaction for the jobs that have waited longest, and all polls of each of them.
-void PollDesk::confirm(Time now) {
-    Txn txn;
+void JobStatusReader::confirm(Time now) {
+    StoreTransaction transaction;
     std::set<std::string> jobs;
     std::vector<Waiting> asked;
     std::deque<Waiting> left;
     std::vector<Waiting> unknown; // forgotten or over since they came
     for (auto& w : waiting_) {
-        auto version = index_.version(w.job);
+        auto version = job_cache_.version(w.job);
         if (!version) {
             unknown.push_back(w);
         } else if (jobs.contains(w.job)) {
             asked.push_back(w);
-        } else if (txn.when.size() < most_keys_) {
-            txn.when.push_back({kJobs + w.job, *version});
+        } else if (transaction.conditions.size() < max_keys_) {
+            transaction.conditions.push_back({kJobPrefix + w.job, *version});
             jobs.insert(w.job);
             asked.push_back(w);
         } else {
             left.push_back(w);
         }
     }
-    if (!asked.empty() && !calls_.send_state(now, StateBudget::Use::poll, std::move(txn),
-                                             [this, asked](Time at, CallReply& reply) {
-                                                 confirmed(at, asked, reply);
-                                             })) {
+    if (!asked.empty() &&
+        !requests_.send_to_store(now, StoreRateLimiter::Use::poll, std::move(transaction),
+                                 [this, asked](Time at, OutboundResponse& response) {
+                                     on_confirmed(at, asked, response);
+                                 })) {
         return;
     }
     waiting_ = std::move(left);
@@ -85,74 +88,75 @@
     }
 }
 
-void PollDesk::confirmed(Time now, const std::vector<Waiting>& asked, const CallReply& reply) {
+void JobStatusReader::on_confirmed(Time now, const std::vector<Waiting>& asked,
+                                   const OutboundResponse& response) {
     // Those that are named have changed. The others are asked about again rather than believed: the
     // protocol does not say that all of the changed ones are named.
-    for (const auto& key : reply.failed) {
-        if (key.starts_with(kJobs)) {
-            index_.outdated(key.substr(sizeof(kJobs) - 1));
+    for (const auto& key : response.failed_keys) {
+        if (key.starts_with(kJobPrefix)) {
+            job_cache_.invalidate(key.substr(sizeof(kJobPrefix) - 1));
         }
     }
-    bool named = !reply.failed.empty();
+    bool named = !response.failed_keys.empty();
     for (const auto& w : asked) {
-        if (answer_final(calls_, index_, w.request, w.job)) {
+        if (respond_if_final(requests_, job_cache_, w.request, w.job)) {
             continue;
         }
-        if (reply.status == 200) {
-            answer_open(calls_, counts_, w.request, w.job);
-        } else if (reply.status == 409 && named && index_.version(w.job)) {
+        if (response.status == 200) {
+            respond_open(requests_, task_counts_, w.request, w.job);
+        } else if (response.status == 409 && named && job_cache_.version(w.job)) {
             waiting_.push_front(w);
-        } else if (reply.status == 409 && named) {
+        } else if (response.status == 409 && named) {
             poll(now, w.request, w.job);
         } else {
-            answer_busy(calls_, w.request);
+            respond_unavailable(requests_, w.request);
         }
     }
 }
 
-void PollDesk::read(Time now, const std::string& job, std::vector<RequestId> requests) {
-    bool sent =
-        calls_.send_state(now, StateBudget::Use::poll, Get{kJobs + job},
-                          [this, job](Time at, CallReply& reply) { has_read(at, job, reply); });
+void JobStatusReader::read(Time now, const std::string& job, std::vector<RequestId> requests) {
+    bool sent = requests_.send_to_store(
+        now, StoreRateLimiter::Use::poll, StoreGet{kJobPrefix + job},
+        [this, job](Time at, OutboundResponse& response) { on_read(at, job, response); });
     if (sent) {
         reads_[job].requests = std::move(requests);
         return;
     }
-    for (RequestId request : requests) {
-        answer_busy(calls_, request);
+    for (RequestId request_id : requests) {
+        respond_unavailable(requests_, request_id);
     }
 }
 
-void PollDesk::has_read(Time now, const std::string& job, const CallReply& reply) {
+void JobStatusReader::on_read(Time now, const std::string& job, const OutboundResponse& response) {
     Read done = std::move(reads_.at(job));
     reads_.erase(job);
-    bool found = reply.status == 200 && !reply.items.empty();
+    bool found = response.status == 200 && !response.entries.empty();
     if (found) {
-        const KeyedRecord& item = reply.items[0];
-        index_.saw(now, job, item.version, item.record);
+        const KeyedRecord& item = response.entries[0];
+        job_cache_.observe(now, job, item.version, item.record);
         if (!std::holds_alternative<JobRecord>(item.record)) {
-            calls_.log(Level::error, "event=unreadable_record key=" + item.key);
+            requests_.log(LogLevel::error, "event=record_unreadable key=" + item.key);
             found = false;
         }
     }
-    for (RequestId request : done.requests) {
-        if (answer_final(calls_, index_, request, job)) {
+    for (RequestId request_id : done.requests) {
+        if (respond_if_final(requests_, job_cache_, request_id, job)) {
             continue;
         }
         if (found) {
-            answer_open(calls_, counts_, request, job);
-        } else if (reply.status == 404) {
-            calls_.answer(request, 404, Plain{"no such job"});
+            respond_open(requests_, task_counts_, request_id, job);
+        } else if (response.status == 404) {
+            requests_.respond(request_id, 404, TextBody{"no such job"});
         } else {
-            answer_busy(calls_, request);
+            respond_unavailable(requests_, request_id);
         }
     }
     std::vector<RequestId> again;
-    for (RequestId request : done.later) {
-        if (index_.outcome(job) || index_.version(job)) {
-            poll(now, request, job);
+    for (RequestId request_id : done.later) {
+        if (job_cache_.outcome(job) || job_cache_.version(job)) {
+            poll(now, request_id, job);
         } else {
-            again.push_back(request);
+            again.push_back(request_id);
         }
     }
     if (!again.empty()) {
@@ -160,4 +164,4 @@
     }
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/poll_desk.h
+++ b/src/core/poll_desk.h
@@ -9,13 +9,14 @@
 
 #include "core/answers.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class PollDesk {
+class JobStatusReader {
   public:
-    PollDesk(const Facts& facts, Calls& calls, JobIndex& index, Counts counts);
+    JobStatusReader(const ClusterSettings& settings, OutboundRequests& requests,
+                    JobRecordCache& job_cache, TaskCounts counts);
 
-    void poll(Time now, RequestId request, const std::string& job);
+    void poll(Time now, RequestId request_id, const std::string& job);
     // Sends what has gathered. To be called after every input.
     void flush(Time now);
 
@@ -30,14 +31,15 @@
         std::vector<RequestId> later;    // came after that: it does not answer them
     };
     void confirm(Time now);
-    void confirmed(Time now, const std::vector<Waiting>& asked, const CallReply& reply);
+    void on_confirmed(Time now, const std::vector<Waiting>& asked,
+                      const OutboundResponse& response);
     void read(Time now, const std::string& job, std::vector<RequestId> requests);
-    void has_read(Time now, const std::string& job, const CallReply& reply);
+    void on_read(Time now, const std::string& job, const OutboundResponse& response);
 
-    Calls& calls_;
-    JobIndex& index_;
-    Counts counts_;
-    std::size_t most_keys_; // that one transaction compares
+    OutboundRequests& requests_;
+    JobRecordCache& job_cache_;
+    TaskCounts task_counts_;
+    std::size_t max_keys_;  // that one transaction compares
     double gather_s_;       // between two of them that are not full
     double longest_wait_s_; // for the budget
     std::deque<Waiting> waiting_;
@@ -46,4 +48,4 @@
     Time blocked_until_ = 0; // the budget had nothing left
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/postbox.cpp
+++ b/src/core/postbox.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr char kPrefix[] = "account/";
@@ -13,27 +13,30 @@
 constexpr double kFill = 0.75;               // of a value, by a reckoning that errs
 constexpr std::size_t kTxnBytes = 48 * 1024; // of the 64 KiB that a transaction may have
 
-std::size_t size_of(const HeldTask& h) {
-    return 64 + h.listed.task.job.size() + h.machine.size() + h.zone.size();
+std::size_t size_of(const RemoteTaskStatus& remote_task) {
+    return 64 + remote_task.status.task.job.size() + remote_task.machine.size() +
+           remote_task.zone.size();
 }
 constexpr std::size_t kStartBytes = 32;
 constexpr std::size_t kShareBytes = 32;
 } // namespace
 
-Postbox::Postbox(Claim& claim, const Facts& facts, const PartTable& table, Lending& lending,
-                 Borrowing& borrowing, Calls& calls, Part& owner)
-    : claim_(claim), facts_(facts), table_(table), lending_(lending), borrowing_(borrowing),
-      calls_(calls), owner_(owner) {}
+InventoryRelay::InventoryRelay(Leadership& leadership, const ClusterSettings& settings,
+                               const PartitionMap& partition_map, SlotLender& lender,
+                               SlotBorrower& borrower, OutboundRequests& requests,
+                               Delegate& delegate)
+    : leadership_(leadership), settings_(settings), partition_map_(partition_map), lender_(lender),
+      borrower_(borrower), requests_(requests), delegate_(delegate) {}
 
-std::string Postbox::key(int part, int holder, std::size_t page) {
-    return kPrefix + std::to_string(part) + "/" + std::to_string(holder) + "/" +
+std::string InventoryRelay::inventory_key(int partition, int holder, std::size_t page) {
+    return kPrefix + std::to_string(partition) + "/" + std::to_string(holder) + "/" +
            std::to_string(page);
 }
 
-void Postbox::tick(Time now) {
+void InventoryRelay::tick(Time now) {
     post(now);
-    if (owner_.awaits_listings()) {
-        if (now - claim_.since() > kPatienceReports * facts_.report_s) {
+    if (delegate_.awaits_inventories()) {
+        if (now - leadership_.since() > kPatienceReports * settings_.heartbeat_interval_s) {
             read(now);
         }
     } else {
@@ -43,51 +46,53 @@
 
 // ---- As a holder of shares ----
 
-void Postbox::post(Time now) {
-    for (int part = 0; part < table_.count(); ++part) {
-        std::uint64_t term = table_.at(part).version;
-        if (part == claim_.part() || term == 0) {
+void InventoryRelay::post(Time now) {
+    for (int partition = 0; partition < partition_map_.count(); ++partition) {
+        std::uint64_t term = partition_map_.at(partition).version;
+        if (partition == leadership_.partition() || term == 0) {
             continue;
         }
-        Posting& p = postings_[part];
+        PostedInventory& p = posted_[partition];
         if (p.term != term) {
             p = {term, now, {}, 0, false};
         }
-        bool unheard = lending_.heard_from(part) < term || !p.pages.empty();
-        if (p.done || !unheard || now - p.since < kPatienceReports * facts_.report_s) {
+        bool unheard = lender_.last_term_of(partition) < term || !p.pages.empty();
+        if (p.done || !unheard ||
+            now - p.since < kPatienceReports * settings_.heartbeat_interval_s) {
             continue;
         }
         if (p.pages.empty()) {
-            if (auto reply = lending_.listing_for(now, part, term)) {
-                p.pages = cut(*reply, term);
+            if (auto reply = lender_.inventory_for(now, partition, term)) {
+                p.pages = split_into_pages(*reply, term);
             }
         }
         if (!p.pages.empty() && !writing_) {
-            writing_ = write(now, part, p);
+            writing_ = write(now, partition, p);
         }
     }
 }
 
-std::vector<AccountRecord> Postbox::cut(const ExchangeReply& reply, std::uint64_t for_term) const {
-    std::vector<AccountRecord> pages;
+std::vector<InventoryRecord> InventoryRelay::split_into_pages(const PeerSyncResponse& response,
+                                                              std::uint64_t for_term) const {
+    std::vector<InventoryRecord> pages;
     std::size_t room = 0;
-    auto most = static_cast<std::size_t>(kFill * facts_.value_kb * 1024);
-    auto page_for = [&](std::size_t bytes) -> AccountRecord& {
+    auto most = static_cast<std::size_t>(kFill * settings_.store_value_limit_kb * 1024);
+    auto page_for = [&](std::size_t bytes) -> InventoryRecord& {
         if (pages.empty() || room < bytes) {
-            pages.push_back({for_term, reply.term, reply.version, 0, {}, {}, {}});
+            pages.push_back({for_term, response.term, response.version, 0, {}, {}, {}});
             room = most;
         }
         room -= std::min(room, bytes);
         return pages.back();
     };
-    for (const auto& share : *reply.shares) {
-        page_for(kShareBytes).shares.push_back(share);
+    for (const auto& shard : *response.shards) {
+        page_for(kShareBytes).shards.push_back(shard);
     }
-    for (const auto& held : reply.held) {
-        page_for(size_of(held)).held.push_back(held);
+    for (const auto& remote_task : response.tasks) {
+        page_for(size_of(remote_task)).tasks.push_back(remote_task);
     }
-    for (const auto& id : reply.open) {
-        page_for(kStartBytes).open.push_back(id);
+    for (const auto& id : response.pending_launches) {
+        page_for(kStartBytes).pending_launches.push_back(id);
     }
     if (pages.empty()) { // it holds no shares; said all the same
         page_for(0);
@@ -100,30 +105,33 @@
 
 // The next pages that are not written yet. They count only all together, so what becomes of some
 // does not matter.
-bool Postbox::write(Time now, int part, Posting& p) {
-    Txn txn = claim_.guarded();
-    txn.when.push_back({part_key(part), p.term});
-    auto most = static_cast<std::size_t>(
-        std::clamp(calls_.most_changes(StateBudget::Use::user), 1, std::max(1, facts_.txn_ops)));
-    most = std::min(
-        most, std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(kTxnBytes) /
-                                                                (facts_.value_kb * 1024))));
+bool InventoryRelay::write(Time now, int partition, PostedInventory& p) {
+    StoreTransaction transaction = leadership_.guarded_transaction();
+    transaction.conditions.push_back({partition_key(partition), p.term});
+    auto most =
+        static_cast<std::size_t>(std::clamp(requests_.max_writes(StoreRateLimiter::Use::user), 1,
+                                            std::max(1, settings_.store_transaction_limit)));
+    most = std::min(most, std::max<std::size_t>(1, static_cast<std::size_t>(
+                                                       static_cast<double>(kTxnBytes) /
+                                                       (settings_.store_value_limit_kb * 1024))));
     std::size_t to = std::min(p.pages.size(), p.written + most);
     for (std::size_t i = p.written; i < to; ++i) {
-        txn.then.push_back({key(part, claim_.part(), i), p.pages[i], {}});
+        transaction.writes.push_back(
+            {inventory_key(partition, leadership_.partition(), i), p.pages[i], {}});
     }
-    return calls_.send_state(
-        now, StateBudget::Use::user, std::move(txn),
-        [this, part, term = p.term, to](Time, CallReply& reply) {
+    return requests_.send_to_store(
+        now, StoreRateLimiter::Use::user, std::move(transaction),
+        [this, partition, term = p.term, to](Time, OutboundResponse& response) {
             writing_ = false;
-            Posting& posting = postings_[part];
-            if (!claim_.wrote(calls_, reply, "account") || posting.term != term) {
+            PostedInventory& posting = posted_[partition];
+            if (!leadership_.committed(requests_, response, "account") || posting.term != term) {
                 return; // sent again at the next tick, or of no use any more
             }
             posting.written = to;
             if (to == posting.pages.size()) {
-                calls_.log(Level::info, "event=account_posted part=" + std::to_string(part) +
-                                            " pages=" + std::to_string(to));
+                requests_.log(LogLevel::info,
+                              "event=inventory_posted partition=" + std::to_string(partition) +
+                                  " pages=" + std::to_string(to));
                 posting.done = true;
                 posting.pages.clear();
             }
@@ -132,75 +140,81 @@
 
 // ---- As a new owner of jobs ----
 
-void Postbox::read(Time now) {
+void InventoryRelay::read(Time now) {
     if (reading_ || now < next_read_) {
         return;
     }
-    next_read_ = now + kReadReports * facts_.report_s;
-    std::string prefix = kPrefix + std::to_string(claim_.part()) + "/";
-    reading_ = calls_.send_state(now, StateBudget::Use::user, Range{prefix, ""},
-                                 [this](Time at, CallReply& reply) {
-                                     reading_ = false;
-                                     if (reply.status == 200 && !reply.more) {
-                                         take(at, reply.items);
-                                     }
-                                 });
+    next_read_ = now + kReadReports * settings_.heartbeat_interval_s;
+    std::string prefix = kPrefix + std::to_string(leadership_.partition()) + "/";
+    reading_ = requests_.send_to_store(now, StoreRateLimiter::Use::user, StoreRange{prefix, ""},
+                                       [this](Time at, OutboundResponse& response) {
+                                           reading_ = false;
+                                           if (response.status == 200 && !response.more) {
+                                               apply(at, response.entries);
+                                           }
+                                       });
 }
 
-void Postbox::take(Time now, const std::vector<KeyedRecord>& items) {
-    std::map<int, std::map<std::uint64_t, std::vector<const AccountRecord*>>> found;
-    read_.clear();
+void InventoryRelay::apply(Time now, const std::vector<KeyedRecord>& items) {
+    std::map<int, std::map<std::uint64_t, std::vector<const InventoryRecord*>>> found;
+    read_keys_.clear();
     for (const auto& item : items) {
-        read_.push_back(item.key);
-        const auto* page = std::get_if<AccountRecord>(&item.record);
+        read_keys_.push_back(item.key);
+        const auto* page = std::get_if<InventoryRecord>(&item.record);
         std::string rest = item.key.substr(sizeof(kPrefix) - 1);
         int holder = std::atoi(rest.substr(rest.find('/') + 1).c_str());
-        if (!page || holder >= table_.count()) {
-            calls_.log(Level::error, "event=unreadable_record key=" + item.key);
-        } else if (page->for_term == claim_.term() && page->term == table_.at(holder).version) {
+        if (!page || holder >= partition_map_.count()) {
+            requests_.log(LogLevel::error, "event=record_unreadable key=" + item.key);
+        } else if (page->for_term == leadership_.term() &&
+                   page->term == partition_map_.at(holder).version) {
             found[holder][page->version].push_back(page);
         }
     }
     for (const auto& [holder, versions] : found) {
         const auto& [version, pages] = *versions.rbegin();
-        if (pages.size() != pages.front()->pages || taken_[holder] == version) {
+        if (pages.size() != pages.front()->pages || applied_versions_[holder] == version) {
             continue; // not whole yet, or taken in before
         }
-        taken_[holder] = version;
-        ExchangeReply reply;
-        reply.term = pages.front()->term;
-        reply.version = version;
-        reply.settled = reply.clean = reply.full = true;
-        reply.shares.emplace();
+        applied_versions_[holder] = version;
+        PeerSyncResponse response;
+        response.term = pages.front()->term;
+        response.version = version;
+        response.reconciled = response.no_stale_grants = response.complete = true;
+        response.shards.emplace();
         for (const auto* page : pages) {
-            reply.shares->insert(reply.shares->end(), page->shares.begin(), page->shares.end());
-            reply.held.insert(reply.held.end(), page->held.begin(), page->held.end());
-            reply.open.insert(reply.open.end(), page->open.begin(), page->open.end());
+            response.shards->insert(response.shards->end(), page->shards.begin(),
+                                    page->shards.end());
+            response.tasks.insert(response.tasks.end(), page->tasks.begin(), page->tasks.end());
+            response.pending_launches.insert(response.pending_launches.end(),
+                                             page->pending_launches.begin(),
+                                             page->pending_launches.end());
         }
-        calls_.log(Level::info, "event=account_read part=" + std::to_string(claim_.part()) +
-                                    " holder=" + std::to_string(holder) +
-                                    " tasks=" + std::to_string(reply.held.size()));
-        borrowing_.take_posted(now, holder, reply);
-        owner_.resume(now);
+        requests_.log(LogLevel::info,
+                      "event=inventory_read partition=" + std::to_string(leadership_.partition()) +
+                          " holder=" + std::to_string(holder) +
+                          " tasks=" + std::to_string(response.tasks.size()));
+        borrower_.apply_posted_inventory(now, holder, response);
+        delegate_.resume_scheduling(now);
     }
 }
 
-void Postbox::clear(Time now) {
-    if (read_.empty()) {
+void InventoryRelay::clear(Time now) {
+    if (read_keys_.empty()) {
         return;
     }
-    Txn txn = claim_.guarded();
-    auto most = static_cast<std::size_t>(std::clamp(calls_.most_changes(StateBudget::Use::progress),
-                                                    1, std::max(1, facts_.txn_ops)));
-    std::size_t n = std::min(most, read_.size());
+    StoreTransaction transaction = leadership_.guarded_transaction();
+    auto most =
+        static_cast<std::size_t>(std::clamp(requests_.max_writes(StoreRateLimiter::Use::progress),
+                                            1, std::max(1, settings_.store_transaction_limit)));
+    std::size_t n = std::min(most, read_keys_.size());
     for (std::size_t i = 0; i < n; ++i) {
-        txn.then.push_back({read_[i], {}, {}});
+        transaction.writes.push_back({read_keys_[i], {}, {}});
     }
     // Lost, a key stays until the next listing for the part.
-    if (calls_.send_state(now, StateBudget::Use::progress, std::move(txn),
-                          [](Time, CallReply&) {})) {
-        read_.erase(read_.begin(), read_.begin() + static_cast<std::ptrdiff_t>(n));
+    if (requests_.send_to_store(now, StoreRateLimiter::Use::progress, std::move(transaction),
+                                [](Time, OutboundResponse&) {})) {
+        read_keys_.erase(read_keys_.begin(), read_keys_.begin() + static_cast<std::ptrdiff_t>(n));
     }
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/postbox.h
+++ b/src/core/postbox.h
@@ -7,51 +7,53 @@
 #include "core/borrowing.h"
 #include "core/lending.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Postbox {
+class InventoryRelay {
   public:
-    struct Part { // what it needs of the part it works for
-        virtual ~Part() = default;
+    struct Delegate { // what it needs of the part it works for
+        virtual ~Delegate() = default;
         // Older tasks wait for listings of others.
-        virtual bool awaits_listings() const = 0;
+        virtual bool awaits_inventories() const = 0;
         // A listing has been taken in: what waited for it may be placed.
-        virtual void resume(Time now) = 0;
+        virtual void resume_scheduling(Time now) = 0;
     };
-    Postbox(Claim& claim, const Facts& facts, const PartTable& table, Lending& lending,
-            Borrowing& borrowing, Calls& calls, Part& owner);
+    InventoryRelay(Leadership& leadership, const ClusterSettings& settings,
+                   const PartitionMap& partition_map, SlotLender& lender, SlotBorrower& borrower,
+                   OutboundRequests& requests, Delegate& delegate);
 
     void tick(Time now);
 
   private:
-    struct Posting { // for the owner of one part
+    struct PostedInventory { // for the owner of one part
         std::uint64_t term = 0;
         Time since = 0; // when its claim was seen first
-        std::vector<AccountRecord> pages;
+        std::vector<InventoryRecord> pages;
         std::size_t written = 0;
         bool done = false;
     };
-    static std::string key(int part, int holder, std::size_t page);
+    static std::string inventory_key(int partition, int holder, std::size_t page);
     void post(Time now);
-    bool write(Time now, int part, Posting& posting);
-    std::vector<AccountRecord> cut(const ExchangeReply& reply, std::uint64_t for_term) const;
+    bool write(Time now, int partition, PostedInventory& posting);
+    std::vector<InventoryRecord> split_into_pages(const PeerSyncResponse& response,
+                                                  std::uint64_t for_term) const;
     void read(Time now);
-    void take(Time now, const std::vector<KeyedRecord>& items);
+    void apply(Time now, const std::vector<KeyedRecord>& items);
     void clear(Time now);
 
-    Claim& claim_;
-    const Facts& facts_;
-    const PartTable& table_;
-    Lending& lending_;
-    Borrowing& borrowing_;
-    Calls& calls_;
-    Part& owner_;
-    std::map<int, Posting> postings_;
+    Leadership& leadership_;
+    const ClusterSettings& settings_;
+    const PartitionMap& partition_map_;
+    SlotLender& lender_;
+    SlotBorrower& borrower_;
+    OutboundRequests& requests_;
+    Delegate& delegate_;
+    std::map<int, PostedInventory> posted_;
     bool writing_ = false;
     bool reading_ = false;
     Time next_read_ = 0;
-    std::map<int, std::uint64_t> taken_; // by holder: the version
-    std::vector<std::string> read_;      // keys that are of no use once we have settled
+    std::map<int, std::uint64_t> applied_versions_; // by holder: the version
+    std::vector<std::string> read_keys_;            // keys that are of no use once we have settled
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/promises.h
+++ b/src/core/promises.h
@@ -17,62 +17,65 @@
 #include "core/job_index.h"
 #include "core/team_config.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Promises {
+class LeaseExtender {
   public:
     // `longest_s`: what a promise is asked for, and the most that one is given for.
-    Promises(const Facts& facts, double longest_s, Calls& calls, Authority& authority,
-             const JobIndex& index, TeamConfig& config);
+    LeaseExtender(const ClusterSettings& settings, double longest_s, OutboundRequests& requests,
+                  LeadershipLease& lease, const JobRecordCache& job_cache, QuotaConfig& config);
 
     // Has the state service, which answered last at `contact`, answered of late?
-    bool in_contact(Time now, Time contact) const;
+    bool store_responsive(Time now, Time contact) const;
 
     // ---- As the one who asks ----
     // `contact`: when the state service last answered this node. `complete_to`: every cancellation
     // that any node had seen by then is known here. `cancelled` is told of each job that siblings
     // have seen cancelled since, before their promise counts.
-    using Cancelled = std::function<void(Time, const std::string&)>;
-    void tick(Time now, Time contact, Time complete_to, const Cancelled& cancelled);
+    using OnCancelled = std::function<void(Time, const std::string&)>;
+    void tick(Time now, Time contact, Time complete_to, const OnCancelled& cancelled);
     // Every cancellation that any node had seen by then has been named to this node, under the
     // claim of this term: all siblings have said so.
-    Time complete_to(std::uint64_t term) const;
+    Time cancellations_known_until(std::uint64_t term) const;
     // A sibling has the state service and this node has not: it alone is cut off.
-    bool alone(Time now) const;
+    bool is_isolated(Time now) const;
     // Siblings have answered of late, and none of them has the state service either.
-    bool outage_is_everyones(Time now) const;
+    bool outage_is_cluster_wide(Time now) const;
 
     // ---- As the one who promises ----
     // `owns_or_claims`: this node has the part or is after it.
-    PromiseReply answer(Time now, const PromiseAsk& ask, bool owns_or_claims, Time started,
-                        Time contact);
+    LeaseExtensionResponse handle_request(Time now, const LeaseExtensionRequest& request,
+                                          bool owns_or_claims, Time started, Time contact);
     // May this node claim the part now, as far as promises go?
-    bool may_claim(Time now, int part, Time started) const;
+    bool may_campaign(Time now, int partition, Time started) const;
 
   private:
-    struct Sibling {
+    struct Peer {
         bool in_flight = false;
-        Time answered = -1; // never
-        bool reaches = false;
+        Time responded_at = -1; // never
+        bool store_reachable = false;
         std::uint64_t term = 0;
-        Time until = 0;    // of its promise for that term
-        Time told_to = -1; // what it had seen cancelled by then, it has named under that term
+        Time extended_until = 0; // of its promise for that term
+        Time cancellations_known_until =
+            -1; // what it had seen cancelled by then, it has named under that term
     };
-    void ask(Time now, Time complete_to, const std::string& node, const Cancelled& cancelled);
-    void count();
-    std::pair<bool, bool> lately(Time now) const; // some sibling answered; one has the service
+    void request_extension(Time now, Time complete_to, const std::string& node,
+                           const OnCancelled& cancelled);
+    void update_extension();
+    std::pair<bool, bool>
+    recent_peers(Time now) const; // some sibling answered; one has the service
 
-    int home_;
-    double report_s_;
+    int home_partition_;
+    double heartbeat_interval_s_;
     double lease_s_;
-    double longest_s_;
-    Calls& calls_;
-    Authority& authority_;
-    const JobIndex& index_;
-    TeamConfig& config_;
-    std::map<std::string, Sibling> siblings_; // by node
-    std::map<int, Time> given_;               // until when, by part
-    Time next_ask_ = 0;
+    double max_extension_s_;
+    OutboundRequests& requests_;
+    LeadershipLease& lease_;
+    const JobRecordCache& job_cache_;
+    QuotaConfig& quotas_;
+    std::map<std::string, Peer> peers_; // by node
+    std::map<int, Time> granted_until_; // until when, by part
+    Time next_request_ = 0;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/renting.cpp
+++ b/src/core/renting.cpp
@@ -2,160 +2,168 @@
 
 #include <algorithm>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr std::size_t kMostReleased = 100; // in one request, the cloud's own limit
 } // namespace
 
-Renting::Renting(const Claim& claim, const Facts& facts, const Holdings& holdings,
-                 const MachineTypes& types, MachineTable& machines, Fleet& fleet,
-                 DemandBook& demand, Calls& calls, Part& owner)
-    : claim_(claim), facts_(facts), holdings_(holdings), types_(types), machines_(machines),
-      fleet_(fleet), demand_(demand), calls_(calls), owner_(owner) {}
+Autoscaler::Autoscaler(const Leadership& leadership, const ClusterSettings& settings,
+                       const OwnedShards& owned_shards, const InstanceTypeCatalog& types,
+                       MachineTable& machines, CapacityPlanner& planner, DemandTracker& demand,
+                       OutboundRequests& requests, Delegate& delegate)
+    : leadership_(leadership), settings_(settings), owned_shards_(owned_shards), types_(types),
+      machines_(machines), planner_(planner), demand_(demand), requests_(requests),
+      delegate_(delegate) {}
 
-void Renting::run(Time now, bool may_suspect) {
-    next_ = now + kRentReports * facts_.report_s;
-    demand_.forget_late(now);
-    Totals sum = demand_.totals(now);
+void Autoscaler::run(Time now, bool may_suspect) {
+    next_ = now + kPlanningIntervalHeartbeats * settings_.heartbeat_interval_s;
+    demand_.expire_provisioned(now);
+    ClusterDemand cluster_demand = demand_.cluster_demand(now);
     // Not before the others have said what they have, or it would be rented once more.
-    if (buys() && (owner_.all_heard() || now - claim_.since() > facts_.lease_s)) {
-        rent(now, sum);
+    if (is_provisioner() && (delegate_.heard_from_all_peers() ||
+                             now - leadership_.since() > settings_.worker_lease_s)) {
+        scale_out(now, cluster_demand);
     }
-    for (const auto& name : fleet_.trim(now, machines_, sum)) {
-        Machine& m = *machines_.find(name);
-        m.trimming = !m.trimming;
-        owner_.relist(m);
+    for (const auto& name : planner_.plan_cordons(now, machines_, cluster_demand)) {
+        Machine& machine = *machines_.find(name);
+        machine.cordoned = !machine.cordoned;
+        delegate_.update_slot_lists(machine);
     }
-    auto surplus = fleet_.surplus(now, machines_, sum, may_suspect);
+    auto surplus = planner_.plan_scale_in(now, machines_, cluster_demand, may_suspect);
     std::erase_if(surplus, [&](const auto& name) {
-        const Machine& m = *machines_.find(name);
-        return !holdings_.gives(m.share) || owner_.owes_ends(now, m);
+        const Machine& machine = *machines_.find(name);
+        return !owned_shards_.may_lend(machine.shard) || delegate_.has_unacked_exits(now, machine);
     });
     if (!surplus.empty() && now >= next_release_) {
-        release(now, surplus);
+        scale_in(now, surplus);
     }
 }
 
-void Renting::rent(Time now, const Totals& sum) {
+void Autoscaler::scale_out(Time now, const ClusterDemand& cluster_demand) {
     std::map<std::string, double> in_zone; // slots
     for (const auto& [name, m] : machines_.all()) {
         in_zone[m.zone] += m.type.slots();
     }
-    for (const auto& [name, bought] : demand_.bought()) {
-        const MachineType* t = types_.find(bought.first.type);
-        in_zone[bought.first.zone] += t ? t->slots() : 0;
+    for (const auto& [name, bought] : demand_.provisioned()) {
+        const InstanceType* type = types_.find(bought.first.type);
+        in_zone[bought.first.zone] += type ? type->slots() : 0;
     }
-    for (const Rent& rent : fleet_.rent(now, sum, types_.all(), in_zone)) {
-        calls_.log(Level::info, "event=rent order=" + rent.order + " zone=" + rent.zone +
-                                    " spot=" + (rent.spot ? "1" : "0") +
-                                    " count=" + std::to_string(rent.count));
-        calls_.send(rent, [this, rent](Time at, CallReply& reply) {
-            fleet_.rented(at, rent, reply.status, reply.names.size());
-            const MachineType* t = types_.find(rent.type);
-            for (const auto& name : reply.names) {
-                if (!t || machines_.find(name) || fleet_.was_released(at, name)) {
+    for (const ScaleOut& order :
+         planner_.plan_scale_out(now, cluster_demand, types_.all(), in_zone)) {
+        requests_.log(LogLevel::info, "event=scale_out_requested order=" + order.order_id +
+                                          " zone=" + order.zone +
+                                          " spot=" + (order.spot ? "1" : "0") +
+                                          " count=" + std::to_string(order.count));
+        requests_.send(order, [this, order](Time at, OutboundResponse& response) {
+            planner_.on_scale_out_response(at, order, response.status,
+                                           response.accepted_machines.size());
+            const InstanceType* type = types_.find(order.type);
+            for (const auto& name : response.accepted_machines) {
+                if (!type || machines_.find(name) || planner_.was_released(at, name)) {
                     continue;
                 }
-                ShareId share = share_of_machine(facts_, name, rent.zone);
-                if (const Holdings::Share* own = holdings_.find(share)) {
-                    machines_.add(at, name, *t, rent.zone, rent.spot, share, own->term);
-                    demand_.stale();
+                ShardId shard = shard_of_machine(settings_, name, order.zone);
+                if (const OwnedShards::Shard* own = owned_shards_.find(shard)) {
+                    machines_.add(at, name, *type, order.zone, order.spot, shard, own->term);
+                    demand_.invalidate();
                 } else {
-                    demand_.buy(at, name, rent);
+                    demand_.add_provisioned(at, name, order);
                 }
             }
         });
     }
 }
 
-void Renting::expect(Time now, const Bought& b) {
-    const MachineType* t = types_.find(b.type);
-    ShareId share = share_of_machine(facts_, b.machine, b.zone);
-    const Holdings::Share* own = holdings_.find(share);
-    if (t && own && !machines_.find(b.machine) && !fleet_.was_released(now, b.machine)) {
-        machines_.add(now, b.machine, *t, b.zone, b.spot, share, own->term);
-        demand_.stale();
+void Autoscaler::expect_machine(Time now, const ProvisionedMachine& b) {
+    const InstanceType* type = types_.find(b.type);
+    ShardId shard = shard_of_machine(settings_, b.machine, b.zone);
+    const OwnedShards::Shard* own = owned_shards_.find(shard);
+    if (type && own && !machines_.find(b.machine) && !planner_.was_released(now, b.machine)) {
+        machines_.add(now, b.machine, *type, b.zone, b.spot, shard, own->term);
+        demand_.invalidate();
     }
 }
 
-void Renting::release(Time, std::vector<std::string> names) {
+void Autoscaler::scale_in(Time, std::vector<std::string> names) {
     names.resize(std::min(names.size(), kMostReleased));
     for (const auto& name : names) {
-        Machine& m = *machines_.find(name);
-        m.releasing = true;
-        owner_.relist(m);
-        calls_.log(Level::info,
-                   "event=release machine=" + name + " tasks=" + std::to_string(m.tasks.size()));
+        Machine& machine = *machines_.find(name);
+        machine.releasing = true;
+        delegate_.update_slot_lists(machine);
+        requests_.log(LogLevel::info, "event=machine_released machine=" + name +
+                                          " tasks=" + std::to_string(machine.tasks.size()));
     }
-    calls_.send(Release{names}, [this, names](Time at, CallReply& reply) {
+    requests_.send(ScaleIn{names}, [this, names](Time at, OutboundResponse& response) {
         for (const auto& name : names) {
-            Machine* m = machines_.find(name);
-            if (!m) {
+            Machine* machine = machines_.find(name);
+            if (!machine) {
                 continue;
             }
-            if (reply.status != 200) {
-                m->releasing = false; // it is still a surplus, and tried again before long
-                next_release_ = at + facts_.report_s;
-                owner_.relist(*m);
+            if (response.status != 200) {
+                machine->releasing = false; // it is still a surplus, and tried again before long
+                next_release_ = at + settings_.heartbeat_interval_s;
+                delegate_.update_slot_lists(*machine);
                 continue;
             }
-            next_release_ = at + facts_.report_s / 2; // the cloud's limit is shared by all
-            fleet_.released(at, name);
-            owner_.released(at, name);
+            next_release_ =
+                at + settings_.heartbeat_interval_s / 2; // the cloud's limit is shared by all
+            planner_.on_released(at, name);
+            delegate_.on_machine_released(at, name);
         }
-        owner_.resume(at);
+        delegate_.resume_scheduling(at);
     });
 }
 
-void Renting::list(Time now) {
+void Autoscaler::list_instances(Time now) {
     if (now >= next_list_ && !listing_) {
-        list_from(now, "");
+        list_instances_after(now, "");
     }
 }
 
-void Renting::list_from(Time, std::string after) {
+void Autoscaler::list_instances_after(Time, std::string after) {
     listing_ = true;
-    calls_.send(ListHosts{after}, [this](Time at, CallReply& reply) {
+    requests_.send(ListInstances{after}, [this](Time at, OutboundResponse& response) {
         listing_ = false;
-        next_list_ = at + facts_.list_lag_s;
-        if (reply.status != 200) {
+        next_list_ = at + settings_.list_lag_s;
+        if (response.status != 200) {
             return;
         }
-        for (const auto& host : reply.hosts) {
-            saw_host(at, host);
+        for (const auto& host : response.instances) {
+            on_instance_listed(at, host);
         }
-        if (reply.more && !reply.hosts.empty()) {
-            list_from(at, reply.hosts.back().name);
+        if (response.more && !response.instances.empty()) {
+            list_instances_after(at, response.instances.back().name);
         }
     });
 }
 
-void Renting::saw_host(Time now, const Host& host) {
-    ShareId share = share_of_machine(facts_, host.name, host.zone);
-    const Holdings::Share* own = holdings_.find(share);
+void Autoscaler::on_instance_listed(Time now, const Instance& instance) {
+    ShardId shard = shard_of_machine(settings_, instance.name, instance.zone);
+    const OwnedShards::Shard* own = owned_shards_.find(shard);
     if (!own) {
         return;
     }
-    Machine* m = machines_.find(host.name);
-    if (!m) {
-        const MachineType* t = types_.find(host.type);
+    Machine* machine = machines_.find(instance.name);
+    if (!machine) {
+        const InstanceType* type = types_.find(instance.type);
         // The list lags: what the holder before us released shows in it for a while. One that is up
         // reports.
-        bool moved = own->since > claim_.since() && host.stage == HostStage::running &&
-                     now - own->since < 2 * facts_.list_lag_s;
-        if (!t || moved || fleet_.was_released(now, host.name)) {
+        bool moved = own->since > leadership_.since() && instance.state == InstanceState::running &&
+                     now - own->since < 2 * settings_.list_lag_s;
+        if (!type || moved || planner_.was_released(now, instance.name)) {
             return;
         }
-        m = &machines_.add(now, host.name, *t, host.zone, host.spot, share, own->term);
-        m->age_at_known_s = host.age_s;
-        m->endpoint = host.endpoint;
+        machine = &machines_.add(now, instance.name, *type, instance.zone, instance.spot, shard,
+                                 own->term);
+        machine->age_at_known_s = instance.age_s;
+        machine->endpoint = instance.endpoint;
         // It may be up, and carry tasks, but if so it is on the roster as well.
     }
-    if (host.stage == HostStage::failed && !m->releasing) {
-        calls_.log(Level::info, "event=machine_failed machine=" + host.name);
-        release(now, {host.name});
+    if (instance.state == InstanceState::failed && !machine->releasing) {
+        requests_.log(LogLevel::info, "event=machine_failed machine=" + instance.name);
+        scale_in(now, {instance.name});
     }
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/renting.h
+++ b/src/core/renting.h
@@ -5,54 +5,55 @@
 #include "core/demand_book.h"
 #include "core/holdings.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Renting {
+class Autoscaler {
   public:
-    struct Part { // what it needs of the part it works for
-        virtual ~Part() = default;
-        virtual void relist(Machine& machine) = 0;
+    struct Delegate { // what it needs of the part it works for
+        virtual ~Delegate() = default;
+        virtual void update_slot_lists(Machine& machine) = 0;
         // The machine is gone and everything on it; it is in no table any more when this returns.
-        virtual void released(Time now, const std::string& machine) = 0;
-        virtual void resume(Time now) = 0;
+        virtual void on_machine_released(Time now, const std::string& machine) = 0;
+        virtual void resume_scheduling(Time now) = 0;
         // Its tasks' ends have not been told to the owners of their jobs yet.
-        virtual bool owes_ends(Time now, const Machine& machine) const = 0;
+        virtual bool has_unacked_exits(Time now, const Machine& machine) const = 0;
         // Have the owners of all other parts said what they have?
-        virtual bool all_heard() const = 0;
+        virtual bool heard_from_all_peers() const = 0;
     };
-    Renting(const Claim& claim, const Facts& facts, const Holdings& holdings,
-            const MachineTypes& types, MachineTable& machines, Fleet& fleet, DemandBook& demand,
-            Calls& calls, Part& owner);
+    Autoscaler(const Leadership& leadership, const ClusterSettings& settings,
+               const OwnedShards& owned_shards, const InstanceTypeCatalog& types,
+               MachineTable& machines, CapacityPlanner& planner, DemandTracker& demand,
+               OutboundRequests& requests, Delegate& delegate);
 
-    bool buys() const { return claim_.part() == kBuyer; }
+    bool is_provisioner() const { return leadership_.partition() == kProvisionerPartition; }
     // Listings and, a few times in a report time, what to rent and what to give back.
     // `may_suspect`: silent machines may be taken for dead.
-    void list(Time now);
+    void list_instances(Time now);
     bool due(Time now) const { return now >= next_; }
     void run(Time now, bool may_suspect);
-    void release(Time now, std::vector<std::string> names);
+    void scale_in(Time now, std::vector<std::string> names);
     // The owner that rents says that a machine of this part is on its way.
-    void expect(Time now, const Bought& bought);
+    void expect_machine(Time now, const ProvisionedMachine& machine);
 
   private:
-    static constexpr int kBuyer = 0; // the part whose owner rents for all
-    void rent(Time now, const Totals& sum);
-    void list_from(Time now, std::string after);
-    void saw_host(Time now, const Host& host);
+    static constexpr int kProvisionerPartition = 0; // the part whose owner rents for all
+    void scale_out(Time now, const ClusterDemand& cluster_demand);
+    void list_instances_after(Time now, std::string after);
+    void on_instance_listed(Time now, const Instance& instance);
 
-    const Claim& claim_;
-    const Facts& facts_;
-    const Holdings& holdings_;
-    const MachineTypes& types_;
+    const Leadership& leadership_;
+    const ClusterSettings& settings_;
+    const OwnedShards& owned_shards_;
+    const InstanceTypeCatalog& types_;
     MachineTable& machines_;
-    Fleet& fleet_;
-    DemandBook& demand_;
-    Calls& calls_;
-    Part& owner_;
+    CapacityPlanner& planner_;
+    DemandTracker& demand_;
+    OutboundRequests& requests_;
+    Delegate& delegate_;
     bool listing_ = false;
     Time next_ = 0;
     Time next_list_ = 0;
     Time next_release_ = 0;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/roster.cpp
+++ b/src/core/roster.cpp
@@ -3,149 +3,157 @@
 #include <algorithm>
 #include <utility>
 
-namespace orchidlanding {
+namespace scheduler {
 
-Roster::Roster(Condition guard, const Facts& facts, Calls& calls, Answered answered)
-    : guard_(std::move(guard)), report_s_(facts.report_s),
-      most_(static_cast<std::size_t>(
-          std::clamp(calls.most_changes(StateBudget::Use::user), 1, std::max(1, facts.txn_ops)))),
-      calls_(calls), answered_(std::move(answered)) {}
+MachineRegistry::MachineRegistry(StoreCondition guard, const ClusterSettings& settings,
+                                 OutboundRequests& requests, OnResponse answered)
+    : leadership_condition_(std::move(guard)), heartbeat_interval_s_(settings.heartbeat_interval_s),
+      max_writes_(
+          static_cast<std::size_t>(std::clamp(requests.max_writes(StoreRateLimiter::Use::user), 1,
+                                              std::max(1, settings.store_transaction_limit)))),
+      requests_(requests), on_response_(std::move(answered)) {}
 
-void Roster::write(Time now, int home, const std::string& machine, MachineRecord record) {
-    drops_.erase(machine);
-    writes_[machine] = {home, std::move(record)};
+void MachineRegistry::add(Time now, int home, const std::string& machine, MachineRecord record) {
+    pending_removes_.erase(machine);
+    pending_adds_[machine] = {home, std::move(record)};
     flush(now);
 }
 
-void Roster::drop(Time now, int home, const std::string& machine) {
-    writes_.erase(machine);
-    drops_[machine] = home;
+void MachineRegistry::remove(Time now, int home, const std::string& machine) {
+    pending_adds_.erase(machine);
+    pending_removes_[machine] = home;
     if (!versions_.contains(machine)) {
-        unsure_[machine] = home; // an entry of ours may be under way, or there is one of others
+        unknown_versions_[machine] =
+            home; // an entry of ours may be under way, or there is one of others
     }
     flush(now);
 }
 
-void Roster::stands(const std::string& machine, std::uint64_t version) {
+void MachineRegistry::on_loaded(const std::string& machine, std::uint64_t version) {
     std::uint64_t& known = versions_[machine];
     known = std::max(known, version);
-    writes_.erase(machine);
-    unsure_.erase(machine);
+    pending_adds_.erase(machine);
+    unknown_versions_.erase(machine);
 }
 
-void Roster::forget(const std::string& machine) {
-    writes_.erase(machine);
+void MachineRegistry::forget(const std::string& machine) {
+    pending_adds_.erase(machine);
     versions_.erase(machine);
 }
 
 // New machines first: they stand idle until they are on the roster. Where the budget has not enough
 // left for all, fewer go, or a large transaction would wait behind the single changes of others for
 // ever.
-void Roster::flush(Time now) {
+void MachineRegistry::flush(Time now) {
     if (in_flight_ || now < next_) {
         return;
     }
-    if (!unsure_.empty()) {
-        auto [machine, home] = *unsure_.begin();
+    if (!unknown_versions_.empty()) {
+        auto [machine, home] = *unknown_versions_.begin();
         in_flight_ = read(now, home, machine);
         return;
     }
-    std::size_t most = std::min(most_, writes_.size() + drops_.size());
+    std::size_t most = std::min(max_writes_, pending_adds_.size() + pending_removes_.size());
     while (most > 0 && !send(now, most)) {
         most /= 2;
     }
 }
 
-bool Roster::send(Time now, std::size_t most) {
-    Txn txn{{guard_}, {}};
+bool MachineRegistry::send(Time now, std::size_t most) {
+    StoreTransaction transaction{{leadership_condition_}, {}};
     std::map<std::string, Entry> written;
     std::map<std::string, int> dropped;
-    auto change = [&](int home, const std::string& machine, std::optional<Record> record) {
+    auto change = [&](int home, const std::string& machine, std::optional<StoredRecord> record) {
         std::string key = prefix(home) + machine;
         auto known = versions_.find(machine);
-        txn.when.push_back({key, known == versions_.end() ? 0 : known->second});
-        txn.then.push_back({key, std::move(record), {}});
+        transaction.conditions.push_back({key, known == versions_.end() ? 0 : known->second});
+        transaction.writes.push_back({key, std::move(record), {}});
     };
-    for (auto it = writes_.begin(); it != writes_.end() && txn.then.size() < most; ++it) {
-        change(it->second.home, it->first, it->second.record);
+    for (auto it = pending_adds_.begin();
+         it != pending_adds_.end() && transaction.writes.size() < most; ++it) {
+        change(it->second.home_partition, it->first, it->second.record);
         written.insert(*it);
     }
-    for (auto it = drops_.begin(); it != drops_.end() && txn.then.size() < most; ++it) {
+    for (auto it = pending_removes_.begin();
+         it != pending_removes_.end() && transaction.writes.size() < most; ++it) {
         change(it->second, it->first, {});
         dropped.insert(*it);
     }
-    in_flight_ = calls_.send_state(now, StateBudget::Use::user, std::move(txn),
-                                   [this, written, dropped](Time at, CallReply& reply) {
-                                       in_flight_ = false;
-                                       answered(at, reply, written, dropped);
-                                       flush(at);
-                                   });
+    in_flight_ =
+        requests_.send_to_store(now, StoreRateLimiter::Use::user, std::move(transaction),
+                                [this, written, dropped](Time at, OutboundResponse& response) {
+                                    in_flight_ = false;
+                                    on_response(at, response, written, dropped);
+                                    flush(at);
+                                });
     if (in_flight_) {
         for (const auto& [machine, entry] : written) {
-            writes_.erase(machine);
+            pending_adds_.erase(machine);
         }
         for (const auto& [machine, home] : dropped) {
-            drops_.erase(machine);
+            pending_removes_.erase(machine);
         }
     }
     return in_flight_;
 }
 
-void Roster::answered(Time now, const CallReply& reply, const std::map<std::string, Entry>& written,
-                      const std::map<std::string, int>& dropped) {
+void MachineRegistry::on_response(Time now, const OutboundResponse& response,
+                                  const std::map<std::string, Entry>& written,
+                                  const std::map<std::string, int>& dropped) {
     std::vector<std::string> stand;
-    bool ok = reply.status == 200;
+    bool ok = response.status == 200;
     // Refused: an entry is not what we thought. One that had no answer was carried out after all,
     // or others wrote it before us. Not all of the keys need to be named.
-    bool changed = reply.status == 409 && !reply.failed_by(guard_.key);
+    bool changed = response.status == 409 && !response.failed_on(leadership_condition_.key);
     for (const auto& [machine, entry] : written) {
         if (ok) {
-            versions_[machine] = reply.revision;
-            unsure_.erase(machine);
+            versions_[machine] = response.revision;
+            unknown_versions_.erase(machine);
         } else if (changed) {
-            unsure_[machine] = entry.home;
+            unknown_versions_[machine] = entry.home_partition;
         }
-        if (drops_.contains(machine)) {
+        if (pending_removes_.contains(machine)) {
             continue; // it has gone meanwhile
         }
         if (ok) {
             stand.push_back(machine);
         } else {
-            writes_.emplace(machine, entry);
+            pending_adds_.emplace(machine, entry);
         }
     }
     for (const auto& [machine, home] : dropped) {
         if (ok) {
             versions_.erase(machine);
         } else if (changed) {
-            unsure_[machine] = home;
+            unknown_versions_[machine] = home;
         }
-        if (!ok && !writes_.contains(machine)) {
-            drops_.emplace(machine, home);
+        if (!ok && !pending_adds_.contains(machine)) {
+            pending_removes_.emplace(machine, home);
         }
     }
     if (!ok && !changed) {
-        next_ = now + report_s_ / 6;
+        next_ = now + heartbeat_interval_s_ / 6;
     }
-    answered_(now, reply, stand);
+    on_response_(now, response, stand);
 }
 
-bool Roster::read(Time now, int home, const std::string& machine) {
-    return calls_.send_state(now, StateBudget::Use::user, Get{prefix(home) + machine},
-                             [this, machine](Time at, CallReply& reply) {
-                                 in_flight_ = false;
-                                 if (reply.status == 200 && !reply.items.empty()) {
-                                     versions_[machine] = reply.items[0].version;
-                                 } else if (reply.status == 404) {
-                                     versions_.erase(machine);
-                                     drops_.erase(machine);
-                                 } else {
-                                     next_ = at + report_s_ / 6;
-                                     return;
-                                 }
-                                 unsure_.erase(machine);
-                                 flush(at);
-                             });
+bool MachineRegistry::read(Time now, int home, const std::string& machine) {
+    return requests_.send_to_store(now, StoreRateLimiter::Use::user,
+                                   StoreGet{prefix(home) + machine},
+                                   [this, machine](Time at, OutboundResponse& response) {
+                                       in_flight_ = false;
+                                       if (response.status == 200 && !response.entries.empty()) {
+                                           versions_[machine] = response.entries[0].version;
+                                       } else if (response.status == 404) {
+                                           versions_.erase(machine);
+                                           pending_removes_.erase(machine);
+                                       } else {
+                                           next_ = at + heartbeat_interval_s_ / 6;
+                                           return;
+                                       }
+                                       unknown_versions_.erase(machine);
+                                       flush(at);
+                                   });
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/roster.h
+++ b/src/core/roster.h
@@ -13,22 +13,24 @@
 
 #include "core/calls.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Roster {
+class MachineRegistry {
   public:
     // `guard`: the condition that the part is still this owner's. `answered` is told of each answer
     // to a transaction and, if it was 200, of the machines that stand on the roster now.
-    using Answered = std::function<void(Time, const CallReply&, const std::vector<std::string>&)>;
-    Roster(Condition guard, const Facts& facts, Calls& calls, Answered answered);
+    using OnResponse =
+        std::function<void(Time, const OutboundResponse&, const std::vector<std::string>&)>;
+    MachineRegistry(StoreCondition guard, const ClusterSettings& settings,
+                    OutboundRequests& requests, OnResponse answered);
 
     static constexpr char kPrefix[] = "machine/";
     // Entries stand under the home of the machine's share, whoever holds it.
     static std::string prefix(int home) { return kPrefix + std::to_string(home) + "/"; }
-    void write(Time now, int home, const std::string& machine, MachineRecord record);
-    void drop(Time now, int home, const std::string& machine);
+    void add(Time now, int home, const std::string& machine, MachineRecord record);
+    void remove(Time now, int home, const std::string& machine);
     // The entry has been read at this version, so it need not be written.
-    void stands(const std::string& machine, std::uint64_t version);
+    void on_loaded(const std::string& machine, std::uint64_t version);
     // It is another's to write.
     void forget(const std::string& machine);
     // Sends what is due if nothing is under way; to be called on the timer as well.
@@ -36,27 +38,28 @@
 
   private:
     struct Entry {
-        int home = 0;
+        int home_partition = 0;
         MachineRecord record;
     };
     // One transaction of at most so many changes; false: the budget does not let it go.
     bool send(Time now, std::size_t most);
-    void answered(Time now, const CallReply& reply, const std::map<std::string, Entry>& written,
-                  const std::map<std::string, int>& dropped);
+    void on_response(Time now, const OutboundResponse& response,
+                     const std::map<std::string, Entry>& written,
+                     const std::map<std::string, int>& dropped);
     bool read(Time now, int home, const std::string& machine);
 
-    Condition guard_;
-    double report_s_;
-    std::size_t most_; // changes in a transaction
-    Calls& calls_;
-    Answered answered_;
-    std::map<std::string, Entry> writes_; // not sent yet, or sent in vain
-    std::map<std::string, int> drops_;    // with the home
+    StoreCondition leadership_condition_;
+    double heartbeat_interval_s_;
+    std::size_t max_writes_; // changes in a transaction
+    OutboundRequests& requests_;
+    OnResponse on_response_;
+    std::map<std::string, Entry> pending_adds_;  // not sent yet, or sent in vain
+    std::map<std::string, int> pending_removes_; // with the home
     // Of entries that this owner wrote or read. None: there is no entry, as far as is known.
     std::map<std::string, std::uint64_t> versions_;
-    std::map<std::string, int> unsure_; // to be read before they are changed
+    std::map<std::string, int> unknown_versions_; // to be read before they are changed
     bool in_flight_ = false;
     Time next_ = 0;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/share_desk.cpp
+++ b/src/core/share_desk.cpp
@@ -2,96 +2,103 @@
 
 #include <algorithm>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr double kHeardReports = 1.5; // a machine heard within so many report times is heard
 constexpr double kHears = 0.75;       // of its machines, at least: then an owner hears them
 } // namespace
 
-ShareDesk::ShareDesk(const Claim& claim, const Facts& facts, PartTable& table, Holdings& holdings,
-                     const MachineTypes& types, const Fleet& fleet, MachineBooks books,
-                     Calls& calls, Part& owner)
-    : claim_(claim), facts_(facts), table_(table), holdings_(holdings), types_(types),
-      fleet_(fleet), books_(books), calls_(calls), owner_(owner),
-      mover_(claim, facts, table, holdings, calls, *this), balance_(facts) {}
+ShardManager::ShardManager(const Leadership& leadership, const ClusterSettings& settings,
+                           PartitionMap& partition_map, OwnedShards& owned_shards,
+                           const InstanceTypeCatalog& types, const CapacityPlanner& planner,
+                           MachineState books, OutboundRequests& requests, Delegate& delegate)
+    : leadership_(leadership), settings_(settings), partition_map_(partition_map),
+      owned_shards_(owned_shards), types_(types), planner_(planner), state_(books),
+      requests_(requests), delegate_(delegate),
+      migration_(leadership, settings, partition_map, owned_shards, requests, *this),
+      balancer_(settings) {}
 
-void ShareDesk::follow(Time now) {
-    Holdings::News news = holdings_.follow(now);
-    for (const auto& [share, to] : news.lost) {
-        mover_.lost(share);
-        hand_on(now, share, to);
+void ShardManager::on_map_updated(Time now) {
+    OwnedShards::Changes news = owned_shards_.update(now);
+    for (const auto& [shard, to] : news.lost) {
+        migration_.on_shard_lost(shard);
+        on_migrated(now, shard, to);
     }
-    for (const auto& share : news.gained) {
-        gain(now, share);
+    for (const auto& shard : news.gained) {
+        on_shard_gained(now, shard);
     }
-    owner_.read_rosters(now);
-    mover_.tick(now);
+    delegate_.load_registries(now);
+    migration_.tick(now);
 }
 
 // What runs there is not known yet: our own tasks among it stand as borrowed until its machines
 // have listed them.
-void ShareDesk::gain(Time now, const ShareId& share) {
-    books_.accounts.begin(now, share);
-    books_.borrowing.came_home(share, holdings_.term(share));
-    if (holdings_.find(share)->since > claim_.since()) {
-        calls_.log(Level::info, "event=share_gained share=" + text_of(share) +
-                                    " part=" + std::to_string(claim_.part()) +
-                                    " term=" + std::to_string(holdings_.term(share)));
+void ShardManager::on_shard_gained(Time now, const ShardId& shard) {
+    state_.reconciliation.begin(now, shard);
+    state_.borrower.migrated_in(shard, owned_shards_.term(shard));
+    if (owned_shards_.find(shard)->since > leadership_.since()) {
+        requests_.log(LogLevel::info, "event=shard_acquired shard=" + to_string(shard) +
+                                          " partition=" + std::to_string(leadership_.partition()) +
+                                          " term=" + std::to_string(owned_shards_.term(shard)));
     }
 }
 
-void ShareDesk::take(Time now, const Given& given) {
-    if (holdings_.take(now, given)) {
-        table_.moved(given.share, claim_.part(), given.revision);
-        gain(now, given.share);
-        owner_.read_rosters(now);
+void ShardManager::accept_transfer(Time now, const ShardTransfer& transfer) {
+    if (owned_shards_.accept_transfer(now, transfer)) {
+        partition_map_.on_shard_moved(transfer.shard, leadership_.partition(), transfer.revision);
+        on_shard_gained(now, transfer.shard);
+        delegate_.load_registries(now);
     }
 }
 
-void ShareDesk::tell_given(int to, const Given& given) {
-    table_.moved(given.share, to, given.revision);
-    books_.borrowing.tell_given(to, given);
+void ShardManager::announce_transfer(int to, const ShardTransfer& transfer) {
+    partition_map_.on_shard_moved(transfer.shard, to, transfer.revision);
+    state_.borrower.announce_transfer(to, transfer);
 }
 
-void ShareDesk::hand_on(Time now, const ShareId& share, int to) {
-    books_.accounts.end(share);
-    books_.lending.uncover(share);
+void ShardManager::on_migrated(Time now, const ShardId& shard, int to) {
+    state_.reconciliation.end(shard);
+    state_.lender.unpublish_shard(shard);
     std::vector<std::string> names;
-    for (const auto& [name, m] : books_.machines.all()) {
-        if (m.share == share) {
+    for (const auto& [name, m] : state_.machines.all()) {
+        if (m.shard == shard) {
             names.push_back(name);
         }
     }
     for (const auto& name : names) {
-        Machine& m = *books_.machines.find(name);
-        for (const auto& g : books_.machines.unqueue(m)) { // they have not gone out
-            owner_.gone(now, name, g);
+        Machine& machine = *state_.machines.find(name);
+        for (const auto& g :
+             state_.machines.cancel_queued_starts(machine)) { // they have not gone out
+            delegate_.on_task_removed(now, name, g);
         }
-        if (m.session == 0 && !m.on_roster && !m.roster_write) {
+        if (machine.agent_epoch == 0 && !machine.registered && !machine.registration_pending) {
             // Not up yet: named to the taker, or it would be rented once more.
-            books_.demand.buy(m.known_since, name, {"", m.type.name, m.zone, m.spot, 1});
+            state_.demand.add_provisioned(machine.known_since, name,
+                                          {"", machine.type.name, machine.zone, machine.spot, 1});
         }
-        for (const auto& [task, p] : m.tasks) {
-            if (claim_.ours(p.attempt)) {
-                books_.borrowing.sent_away(task, {p.attempt, to, name, m.zone, share, m.term});
+        for (const auto& [task, p] : machine.tasks) {
+            if (leadership_.is_own_attempt(p.attempt)) {
+                state_.borrower.migrated_out(
+                    task, {p.attempt, to, name, machine.zone, shard, machine.term});
             }
         }
-        books_.roster.forget(name);
-        books_.lending.forget(m);
-        books_.slots.forget(name);
-        books_.machines.remove(name);
+        state_.registry.forget(name);
+        state_.lender.forget(machine);
+        state_.slots.forget(name);
+        state_.machines.remove(name);
     }
-    books_.demand.stale();
+    state_.demand.invalidate();
 }
 
-bool ShareDesk::still(const ShareId& share) const {
-    for (const auto& [name, m] : books_.machines.all()) {
-        bool moves = m.share == share &&
-                     (m.orders != 0 || m.releasing || !m.lots.empty() || !m.outbox.empty() ||
-                      std::any_of(m.tasks.begin(), m.tasks.end(), [](const auto& t) {
-                          return t.second.via != Placement::Via::listed;
-                      }));
+bool ShardManager::is_quiescent(const ShardId& shard) const {
+    for (const auto& [name, m] : state_.machines.all()) {
+        bool moves =
+            m.shard == shard &&
+            (m.command_in_flight != 0 || m.releasing || !m.lent_slots.empty() ||
+             !m.outbox.empty() || std::any_of(m.tasks.begin(), m.tasks.end(), [](const auto& t) {
+                 return t.second.via != Placement::Via::reported;
+             }));
         if (moves) {
             return false;
         }
@@ -99,66 +106,72 @@
     return true;
 }
 
-void ShareDesk::relist(const ShareId& share) {
-    for (auto& [name, m] : books_.machines.all()) {
-        if (m.share == share) {
-            owner_.relist(m);
+void ShardManager::update_slot_lists(const ShardId& shard) {
+    for (auto& [name, m] : state_.machines.all()) {
+        if (m.shard == shard) {
+            delegate_.update_slot_lists(m);
         }
     }
 }
 
-void ShareDesk::list_again(const ShareId& share) {
-    if (books_.accounts.done(share)) {
-        books_.lending.cover(share);
+void ShardManager::republish_inventory(const ShardId& shard) {
+    if (state_.reconciliation.is_reconciled(shard)) {
+        state_.lender.publish_shard(shard);
     }
 }
 
-bool ShareDesk::takes(Time now) const {
-    if (!owner_.settled() || !books_.accounts.all_done()) {
+bool ShardManager::accepts_shards(Time now) const {
+    if (!delegate_.reconciled() || !state_.reconciliation.all_reconciled()) {
         return false;
     }
     std::size_t heard = 0;
-    for (const auto& [name, m] : books_.machines.all()) {
-        heard += m.reported && now - m.last_report < kHeardReports * facts_.report_s;
+    for (const auto& [name, m] : state_.machines.all()) {
+        heard +=
+            m.reporting && now - m.last_heartbeat < kHeardReports * settings_.heartbeat_interval_s;
     }
-    return static_cast<double>(heard) >= kHears * static_cast<double>(books_.machines.reporting());
+    return static_cast<double>(heard) >=
+           kHears * static_cast<double>(state_.machines.reporting_count());
 }
 
-void ShareDesk::balance(Time now) {
+void ShardManager::balance(Time now) {
     // Before the part has settled, and its peers have been heard, nothing is known well enough.
-    if (mover_.busy() || !owner_.settled() || now - claim_.since() < facts_.lease_s ||
-        types_.empty()) {
+    if (migration_.busy() || !delegate_.reconciled() ||
+        now - leadership_.since() < settings_.worker_lease_s || types_.empty()) {
         return;
     }
-    const FleetView& own = books_.demand.standing(now).fleet;
-    std::vector<PartLoad> parts{{claim_.part(), own.slots(), own.capacity, false}};
-    for (const auto& [part, peer] : books_.demand.peers()) {
-        const PartTable::Part& p = table_.at(part);
-        bool home = p.node == facts_.parts[static_cast<std::size_t>(part)].node;
-        parts.push_back({part, peer.fleet.slots(), peer.fleet.capacity,
-                         home && peer.fleet.takes && now - peer.heard_at < facts_.report_s});
-    }
-    std::map<ShareId, ShareLoad> loads;
-    for (const auto& [id, share] : holdings_.all()) {
-        loads[id] = {id, 0, books_.accounts.done(id) && table_.readable(id.home)};
-    }
-    for (const auto& [name, m] : books_.machines.all()) {
-        if (fleet_.usable(now, m)) {
-            loads[m.share].slots += m.type.slots();
+    const PartitionCapacity& own = state_.demand.current(now).capacity;
+    std::vector<PartitionLoad> partitions{
+        {leadership_.partition(), own.total_slots(), own.cpu_headroom, false}};
+    for (const auto& [partition, peer] : state_.demand.peers()) {
+        const PartitionMap::Partition& p = partition_map_.at(partition);
+        bool home = p.leader == settings_.partitions[static_cast<std::size_t>(partition)].node;
+        partitions.push_back({partition, peer.capacity.total_slots(), peer.capacity.cpu_headroom,
+                              home && peer.capacity.accepts_shards &&
+                                  now - peer.received_at < settings_.heartbeat_interval_s});
+    }
+    std::map<ShardId, ShardLoad> loads;
+    for (const auto& [id, shard] : owned_shards_.all()) {
+        loads[id] = {id, 0,
+                     state_.reconciliation.is_reconciled(id) &&
+                         partition_map_.is_readable(id.home_partition)};
+    }
+    for (const auto& [name, m] : state_.machines.all()) {
+        if (planner_.is_usable(now, m)) {
+            loads[m.shard].slots += m.type.slots();
         }
     }
-    std::vector<ShareLoad> shares;
+    std::vector<ShardLoad> shards;
     for (const auto& [id, load] : loads) {
-        shares.push_back(load);
+        shards.push_back(load);
     }
     double largest = 0;
-    for (const auto& t : types_.all()) {
-        largest = std::max(largest, t.slots());
+    for (const auto& type : types_.all()) {
+        largest = std::max(largest, type.slots());
     }
-    auto choice = balance_.choose(now, claim_.part(), parts, shares, largest);
-    if (choice && mover_.begin(now, choice->share, choice->to)) {
-        balance_.began(now);
+    auto choice = balancer_.choose(now, leadership_.partition(), partitions, shards, largest);
+    if (choice && migration_.begin(now, choice->shard, choice->to_partition)) {
+        balancer_.on_migration_started(now);
     }
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/share_desk.h
+++ b/src/core/share_desk.h
@@ -10,67 +10,70 @@
 #include "core/roster.h"
 #include "core/slot_lists.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 // The tables of a part that know machines by their names.
-struct MachineBooks {
+struct MachineState {
     MachineTable& machines;
     SlotLists& slots;
-    Roster& roster;
-    Accounts& accounts;
-    Lending& lending;
-    Borrowing& borrowing;
-    DemandBook& demand;
+    MachineRegistry& registry;
+    Reconciliation& reconciliation;
+    SlotLender& lender;
+    SlotBorrower& borrower;
+    DemandTracker& demand;
 };
 
-class ShareDesk : Mover::Part {
+class ShardManager : ShardMigration::Delegate {
   public:
-    struct Part { // what it needs of the part it works for
-        virtual ~Part() = default;
-        virtual void relist(Machine& machine) = 0;
+    struct Delegate { // what it needs of the part it works for
+        virtual ~Delegate() = default;
+        virtual void update_slot_lists(Machine& machine) = 0;
         // A start that never went out.
-        virtual void gone(Time now, const std::string& machine,
-                          const ListingResult::Gone& gone) = 0;
+        virtual void on_task_removed(Time now, const std::string& machine,
+                                     const HeartbeatResult::RemovedTask& removed) = 0;
         // Shares have come: the rosters that they stand on are to be read.
-        virtual void read_rosters(Time now) = 0;
-        virtual bool settled() const = 0;
+        virtual void load_registries(Time now) = 0;
+        virtual bool reconciled() const = 0;
     };
-    ShareDesk(const Claim& claim, const Facts& facts, PartTable& table, Holdings& holdings,
-              const MachineTypes& types, const Fleet& fleet, MachineBooks books, Calls& calls,
-              Part& owner);
+    ShardManager(const Leadership& leadership, const ClusterSettings& settings,
+                 PartitionMap& partition_map, OwnedShards& owned_shards,
+                 const InstanceTypeCatalog& types, const CapacityPlanner& planner,
+                 MachineState books, OutboundRequests& requests, Delegate& delegate);
 
     // The node has read the map of shares.
-    void follow(Time now);
+    void on_map_updated(Time now);
     // Another owner says that it gave us a share.
-    void take(Time now, const Given& given);
+    void accept_transfer(Time now, const ShardTransfer& transfer);
     // Gives the share to another part, if it is ours to give now.
-    bool give(Time now, const ShareId& share, int to) { return mover_.begin(now, share, to); }
-    void tick(Time now) { mover_.tick(now); }
+    bool migrate(Time now, const ShardId& shard, int to) {
+        return migration_.begin(now, shard, to);
+    }
+    void tick(Time now) { migration_.tick(now); }
     // Gives what `Balance` says.
     void balance(Time now);
     // Can the part be given a share? Not while it has one to account for, nor when it does not hear
     // the machines that it has: such an owner looks as if it had little to do.
-    bool takes(Time now) const;
+    bool accepts_shards(Time now) const;
 
   private:
-    void gain(Time now, const ShareId& share);
-    bool still(const ShareId& share) const override;
-    void relist(const ShareId& share) override;
-    void list_again(const ShareId& share) override;
-    void hand_on(Time now, const ShareId& share, int to) override;
-    void tell_given(int to, const Given& given) override;
+    void on_shard_gained(Time now, const ShardId& shard);
+    bool is_quiescent(const ShardId& shard) const override;
+    void update_slot_lists(const ShardId& shard) override;
+    void republish_inventory(const ShardId& shard) override;
+    void on_migrated(Time now, const ShardId& shard, int to) override;
+    void announce_transfer(int to, const ShardTransfer& transfer) override;
 
-    const Claim& claim_;
-    const Facts& facts_;
-    PartTable& table_; // the node's, told of moves before they are read
-    Holdings& holdings_;
-    const MachineTypes& types_;
-    const Fleet& fleet_;
-    MachineBooks books_;
-    Calls& calls_;
-    Part& owner_;
-    Mover mover_;
-    Balance balance_;
+    const Leadership& leadership_;
+    const ClusterSettings& settings_;
+    PartitionMap& partition_map_; // the node's, told of moves before they are read
+    OwnedShards& owned_shards_;
+    const InstanceTypeCatalog& types_;
+    const CapacityPlanner& planner_;
+    MachineState state_;
+    OutboundRequests& requests_;
+    Delegate& delegate_;
+    ShardMigration migration_;
+    ShardBalancer balancer_;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/shares.cpp
+++ b/src/core/shares.cpp
@@ -4,7 +4,7 @@
 
 #include "core/parts.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 // A twentieth of the machines at most, and a quarter of a part's own at most.
@@ -12,38 +12,42 @@
 constexpr int kLeastOfPart = 4;
 } // namespace
 
-std::string text_of(const ShareId& share) {
-    return std::to_string(share.home) + "/" + std::to_string(share.number);
+std::string to_string(const ShardId& shard) {
+    return std::to_string(shard.home_partition) + "/" + std::to_string(shard.number);
 }
 
-int shares_at(const Facts& facts, int home) {
-    const std::string& zone = facts.parts[static_cast<std::size_t>(home)].zone;
-    auto beside = static_cast<int>(std::count_if(facts.parts.begin(), facts.parts.end(),
-                                                 [&](const auto& p) { return p.zone == zone; }));
+int shards_per_home(const ClusterSettings& settings, int home) {
+    const std::string& zone = settings.partitions[static_cast<std::size_t>(home)].zone;
+    auto beside =
+        static_cast<int>(std::count_if(settings.partitions.begin(), settings.partitions.end(),
+                                       [&](const auto& p) { return p.zone == zone; }));
     return std::max(kLeastOfPart, (kLeastOfAll + beside - 1) / beside);
 }
 
-std::vector<ShareId> all_shares(const Facts& facts) {
-    std::vector<ShareId> all;
-    for (int home = 0; home < static_cast<int>(facts.parts.size()); ++home) {
-        for (int number = 0; number < shares_at(facts, home); ++number) {
+std::vector<ShardId> all_shards(const ClusterSettings& settings) {
+    std::vector<ShardId> all;
+    for (int home = 0; home < static_cast<int>(settings.partitions.size()); ++home) {
+        for (int number = 0; number < shards_per_home(settings, home); ++number) {
             all.push_back({home, number});
         }
     }
     return all;
 }
 
-ShareId share_at(const Facts& facts, int home, const std::string& machine) {
+ShardId shard_at_home(const ClusterSettings& settings, int home, const std::string& machine) {
     // Another text than any that decides the home, so that the two do not go together.
-    std::uint64_t h = hash_of("share/" + machine);
-    return {home, static_cast<int>(h % static_cast<std::uint64_t>(shares_at(facts, home)))};
+    std::uint64_t h = stable_hash("share/" + machine);
+    return {home,
+            static_cast<int>(h % static_cast<std::uint64_t>(shards_per_home(settings, home)))};
 }
 
-ShareId share_of_machine(const Facts& facts, const std::string& machine, const std::string& zone) {
-    return share_at(facts, part_of_machine(facts, machine, zone), machine);
+ShardId shard_of_machine(const ClusterSettings& settings, const std::string& machine,
+                         const std::string& zone) {
+    return shard_at_home(settings, partition_of_machine(settings, machine, zone), machine);
 }
 
-Holders spread(const Holders& now, int part, const std::vector<int>& takers, std::size_t most) {
+ShardHolders reassign_shards(const ShardHolders& now, int partition, const std::vector<int>& takers,
+                             std::size_t most) {
     std::map<int, int> held;
     for (int taker : takers) {
         held[taker] = 0;
@@ -55,15 +59,15 @@
             }
         }
     }
-    Holders changed;
+    ShardHolders changed;
     for (const auto& [home, holders] : now) {
         if (held.empty() || changed.size() == most ||
-            std::find(holders.begin(), holders.end(), part) == holders.end()) {
+            std::find(holders.begin(), holders.end(), partition) == holders.end()) {
             continue;
         }
         std::vector<int>& next = changed.emplace(home, holders).first->second;
         for (int& holder : next) {
-            if (holder != part) {
+            if (holder != partition) {
                 continue;
             }
             auto least =
@@ -76,4 +80,4 @@
     return changed;
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/shares.h
+++ b/src/core/shares.h
@@ -5,22 +5,24 @@
 
 #include "core/types.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-std::string text_of(const ShareId& share);
+std::string to_string(const ShardId& shard);
 
 // How many shares a home has: a share is at most about a twentieth of the machines, however these
 // are spread over the zones.
-int shares_at(const Facts& facts, int home);
-std::vector<ShareId> all_shares(const Facts& facts);
+int shards_per_home(const ClusterSettings& settings, int home);
+std::vector<ShardId> all_shards(const ClusterSettings& settings);
 // Of a machine whose home is known.
-ShareId share_at(const Facts& facts, int home, const std::string& machine);
-ShareId share_of_machine(const Facts& facts, const std::string& machine, const std::string& zone);
+ShardId shard_at_home(const ClusterSettings& settings, int home, const std::string& machine);
+ShardId shard_of_machine(const ClusterSettings& settings, const std::string& machine,
+                         const std::string& zone);
 
 // The holders of each home's shares, by number.
-using Holders = std::map<int, std::vector<int>>;
+using ShardHolders = std::map<int, std::vector<int>>;
 // Who is to hold the shares of a part that has lost its owner: the `takers`, each in turn the one
 // that holds least. Only homes whose holders change are in the result, and at most `most` of these.
-Holders spread(const Holders& now, int part, const std::vector<int>& takers, std::size_t most);
+ShardHolders reassign_shards(const ShardHolders& now, int partition, const std::vector<int>& takers,
+                             std::size_t most);
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/slot_lists.cpp
+++ b/src/core/slot_lists.cpp
@@ -3,29 +3,29 @@
 #include <algorithm>
 #include <cmath>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr double kRounding = 1e-6;
 }
 
-int slots_needed(const MachineType& type, double cpus, double gpus, double ram_gb) {
+int slots_needed(const InstanceType& type, double cpus, double gpus, double ram_gb) {
     double slots = type.slots();
     double most = std::max({gpus, cpus * slots / type.cpus, ram_gb * slots / type.ram_gb});
     return std::max(1, static_cast<int>(std::ceil(most - kRounding)));
 }
 
-int slots_listed(const MachineType& type, double cpus, double gpus, double ram_gb) {
+int min_listed_slots(const InstanceType& type, double cpus, double gpus, double ram_gb) {
     return type.gpus > 0 ? static_cast<int>(std::ceil(gpus - kRounding))
                          : slots_needed(type, cpus, 0, ram_gb);
 }
 
-int slots_idle(double free_cpus, double free_gpus, double free_ram_gb, const MachineType& type) {
+int idle_slots(double free_cpus, double free_gpus, double free_ram_gb, const InstanceType& type) {
     if (type.gpus > 0) {
         return static_cast<int>(std::floor(free_gpus + kRounding));
     }
-    double share = type.ram_gb / type.cpus;
-    return static_cast<int>(std::floor(std::min(free_cpus, free_ram_gb / share) + kRounding));
+    double shard = type.ram_gb / type.cpus;
+    return static_cast<int>(std::floor(std::min(free_cpus, free_ram_gb / shard) + kRounding));
 }
 
 void SlotLists::set(const SlotKind& kind, const std::string& machine, int slots) {
@@ -111,4 +111,4 @@
     images_.erase(machine);
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/slot_lists.h
+++ b/src/core/slot_lists.h
@@ -9,7 +9,7 @@
 
 #include "core/types.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 struct SlotKind {
     std::string type;
@@ -18,11 +18,11 @@
 };
 
 // How many slots of such a machine a task takes up, by what it needs most of.
-int slots_needed(const MachineType& type, double cpus, double gpus, double ram_gb);
+int slots_needed(const InstanceType& type, double cpus, double gpus, double ram_gb);
 // From which list a task may be served. GPU machines are listed by idle GPUs alone, so that tasks
 // of uneven shape still share one; a task that wants none is served from the list of 0 as well.
-int slots_listed(const MachineType& type, double cpus, double gpus, double ram_gb);
-int slots_idle(double free_cpus, double free_gpus, double free_ram_gb, const MachineType& type);
+int min_listed_slots(const InstanceType& type, double cpus, double gpus, double ram_gb);
+int idle_slots(double free_cpus, double free_gpus, double free_ram_gb, const InstanceType& type);
 
 class SlotLists {
   public:
@@ -100,4 +100,4 @@
     std::unordered_map<std::string, Warm> warm_;     // by image
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/state_budget.h
+++ b/src/core/state_budget.h
@@ -3,19 +3,19 @@
 
 #include "core/types.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class StateBudget {
+class StoreRateLimiter {
   public:
     enum class Use { renewal, user, progress, poll };
 
-    StateBudget(double rps, double write_rps, int nodes);
+    StoreRateLimiter(double rps, double write_rps, int nodes);
     // Takes one request and `writes` changes, or says that this use must wait.
-    bool take(Time now, Use use, int writes);
+    bool try_acquire(Time now, Use use, int writes);
     // The most changes that one transaction of this use can ever have.
-    int most_changes(Use use) const;
+    int max_writes(Use use) const;
     // The service said 429: the other nodes use more than we thought.
-    void refused(Time now);
+    void on_throttled(Time now);
 
   private:
     void refill(Time now);
@@ -28,4 +28,4 @@
     Time pause_until_ = 0;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
