--- a/tests/meeting_rows_test.cpp
+++ b/tests/meeting_rows_test.cpp
@@ -10,10 +10,12 @@
 #include "seeds.h"
 #include "world.h"
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 namespace {
 
-int part_of(const World& w, const char* team) { return part_of_team(w.facts(0), team); }
+int part_of(const World& world, const char* team) {
+    return partition_of_team(world.facts(0), team);
+}
 
 // A fleet at work, and what a row does with it.
 struct Scene {
@@ -49,24 +51,24 @@
     int any(int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); }
     std::string submit(JobKind kind, std::uint32_t tasks, const char* team, double cpus,
                        const char* zone = nullptr) {
-        JobSpec s = w.job("req-" + std::to_string(++jobs), tasks, cpus);
-        s.kind = kind;
-        s.team = team;
-        s.one_zone = kind == JobKind::gang && jobs % 2 != 0;
+        JobSpec spec = w.job("req-" + std::to_string(++jobs), tasks, cpus);
+        spec.kind = kind;
+        spec.team = team;
+        spec.one_zone = kind == JobKind::gang && jobs % 2 != 0;
         if (zone) {
-            s.zone = zone;
+            spec.zone = zone;
         }
-        insist(s, 30);
-        return s.id;
+        insist(spec, 30);
+        return spec.id;
     }
     // As users do: again, at another node, until it is accepted.
-    void insist(const JobSpec& s, int tries) {
-        RequestId request = w.submit(any(5), s);
-        w.at(w.now() + 2, [this, s, request, tries] {
-            auto answer = w.answers.find(request);
+    void insist(const JobSpec& spec, int tries) {
+        RequestId request_id = w.submit(any(5), spec);
+        w.at(w.now() + 2, [this, spec, request_id, tries] {
+            auto answer = w.answers.find(request_id);
             bool taken = answer != w.answers.end() && answer->second.status < 500;
             if (!taken && tries > 0) {
-                insist(s, tries - 1);
+                insist(spec, tries - 1);
             }
         });
     }
@@ -90,7 +92,7 @@
             w.cut_peers(node, n, cut);
         }
     }
-    double lease() const { return w.facts(0).lease_s; }
+    double lease() const { return w.facts(0).worker_lease_s; }
 
     World w;
     std::mt19937_64 random;
@@ -352,9 +354,9 @@
          quick()},
         {"ControllersHandOverAndBackAllEndAndOneReturnsWithinASecond",
          [](Scene& s, int instant, const auto& end) {
-             auto shares = s.w.shares(part_of(s.w, "red"));
-             for (std::size_t k = 0; k < shares.size() / 2; ++k) {
-                 s.w.give(part_of(s.w, "red"), shares[k], part_of(s.w, "blue"));
+             auto shards = s.w.shares(part_of(s.w, "red"));
+             for (std::size_t k = 0; k < shards.size() / 2; ++k) {
+                 s.w.give(part_of(s.w, "red"), shards[k], part_of(s.w, "blue"));
              }
              s.w.crash(s.leader, 8);
              s.w.run_for(std::array{9.0, 14.0, 32.0}[instant]); // about when it is handed back
@@ -451,40 +453,40 @@
 
 void play(const Row& row, int instant, Ends ends, double back, std::uint64_t seed) {
     Scene s(seed, row.options);
-    World& w = s.w;
-    ASSERT_TRUE(w.broken.empty()) << w.broken.front();
+    World& world = s.w;
+    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
     auto end = [&] {
         if (ends == Ends::owner || ends == Ends::both) {
-            int owner = w.owner(part_of(w, "red"));
-            w.crash(owner < 0 ? s.leader : owner, back);
+            int leader = world.owner(part_of(world, "red"));
+            world.crash(leader < 0 ? s.leader : leader, back);
         }
         if (ends == Ends::confirming || ends == Ends::both) {
-            w.crash(s.confirming, back);
+            world.crash(s.confirming, back);
         }
     };
     row.play(s, instant, end);
-    w.troubles = {};
+    world.troubles = {};
     for (const auto& f : s.undo) {
         f();
     }
-    ASSERT_TRUE(w.broken.empty()) << w.broken.front() << " at " << w.now();
-    w.run_for(w.facts(0).cancel_s);
-    w.ask_often(); // the troubles are over
-    w.run_for(260);
-    for (const auto& [id, outcome] : w.outcomes()) {
-        if (w.spec(id).kind == JobKind::service && outcome == Outcome::none) {
-            EXPECT_EQ(w.machines_of({id, 0}).size(), 1u) << id;
-            w.cancel(0, id);
+    ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
+    world.run_for(world.facts(0).cancel_s);
+    world.ask_often(); // the troubles are over
+    world.run_for(260);
+    for (const auto& [id, outcome] : world.outcomes()) {
+        if (world.spec_of(id).kind == JobKind::service && outcome == Outcome::none) {
+            EXPECT_EQ(world.machines_of({id, 0}).size(), 1u) << id;
+            world.cancel(0, id);
         }
     }
-    w.run_for(100);
-    ASSERT_TRUE(w.broken.empty()) << w.broken.front();
-    EXPECT_LT(w.longest_unanswered(), 75);
-    EXPECT_LT(w.judge().longest_idle(), 90) << w.judge().idlest();
-    for (const auto& [id, outcome] : w.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << w.describe(id);
+    world.run_for(100);
+    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_LT(world.longest_unanswered(), 75);
+    EXPECT_LT(world.judge().longest_idle(), 90) << world.judge().idlest();
+    for (const auto& [id, outcome] : world.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
     }
-    EXPECT_EQ(w.served_under(0.5), std::vector<std::string>{});
+    EXPECT_EQ(world.served_under(0.5), std::vector<std::string>{});
 }
 
 class MeetingRows : public testing::TestWithParam<int> {};
@@ -524,38 +526,40 @@
 // Each of our transactions, by what it changes.
 struct Kind {
     const char* name;
-    std::function<bool(const Condition* when, const Change&)> is;
+    std::function<bool(const StoreCondition* when, const StoreWrite&)> is;
 };
 const std::vector<Kind>& kinds() {
-    auto job = [](const Change& c, Outcome outcome) {
-        const auto* record = c.put ? std::get_if<JobRecord>(&*c.put) : nullptr;
-        return record && c.key.starts_with(kJobs) && record->outcome == outcome;
+    auto job = [](const StoreWrite& c, Outcome outcome) {
+        const auto* record = c.value ? std::get_if<JobRecord>(&*c.value) : nullptr;
+        return record && c.key.starts_with(kJobPrefix) && record->outcome == outcome;
     };
     static const std::vector<Kind> all = {
         {"Claim",
-         [](auto*, const Change& c) {
-             return c.put && c.key.starts_with("part/") && all_digits(c.key.substr(5));
+         [](auto*, const StoreWrite& c) {
+             return c.value && c.key.starts_with("part/") && all_digits(c.key.substr(5));
          }},
         {"HandOverHome",
-         [](auto*, const Change& c) {
-             return !c.put && c.key.starts_with("part/") && all_digits(c.key.substr(5));
+         [](auto*, const StoreWrite& c) {
+             return !c.value && c.key.starts_with("part/") && all_digits(c.key.substr(5));
          }},
         {"RequestForTheHomePart",
-         [](auto*, const Change& c) { return c.put && c.key.ends_with("/home"); }},
+         [](auto*, const StoreWrite& c) { return c.value && c.key.ends_with("/home"); }},
         {"MoveOfAShareAndTheMap",
-         [](auto*, const Change& c) { return c.key.ends_with("/shares"); }},
+         [](auto*, const StoreWrite& c) { return c.key.ends_with("/shares"); }},
         {"RosterEntry",
-         [](auto*, const Change& c) { return c.put && c.key.starts_with("machine/"); }},
+         [](auto*, const StoreWrite& c) { return c.value && c.key.starts_with("machine/"); }},
         {"RosterDrop",
-         [](auto*, const Change& c) { return !c.put && c.key.starts_with("machine/"); }},
-        {"DoneBits", [](auto*, const Change& c) { return c.put && c.key.starts_with("done/"); }},
-        {"Outcome", [job](auto*, const Change& c) { return job(c, Outcome::done); }},
-        {"Submission", [job](auto*, const Change& c) { return job(c, Outcome::none); }},
-        {"Cancellation", [job](auto*, const Change& c) { return job(c, Outcome::cancelled); }},
-        {"Listing", [](auto*, const Change& c) { return c.put && c.key.starts_with("account/"); }},
+         [](auto*, const StoreWrite& c) { return !c.value && c.key.starts_with("machine/"); }},
+        {"DoneBits",
+         [](auto*, const StoreWrite& c) { return c.value && c.key.starts_with("done/"); }},
+        {"Outcome", [job](auto*, const StoreWrite& c) { return job(c, Outcome::done); }},
+        {"Submission", [job](auto*, const StoreWrite& c) { return job(c, Outcome::none); }},
+        {"Cancellation", [job](auto*, const StoreWrite& c) { return job(c, Outcome::cancelled); }},
+        {"Listing",
+         [](auto*, const StoreWrite& c) { return c.value && c.key.starts_with("account/"); }},
         {"ListingRead",
-         [](auto*, const Change& c) { return !c.put && c.key.starts_with("account/"); }},
-        {"Catalog", [](auto*, const Change& c) { return c.key == "catalog"; }},
+         [](auto*, const StoreWrite& c) { return !c.value && c.key.starts_with("account/"); }},
+        {"Catalog", [](auto*, const StoreWrite& c) { return c.key == "catalog"; }},
     };
     return all;
 }
@@ -571,21 +575,21 @@
             SCOPED_TRACE(std::string(kind.name) + " " + std::to_string(which) + " back " +
                          std::to_string(back));
             Scene s(17, quick());
-            World& w = s.w;
+            World& world = s.w;
             int seen = 0;
             int lost = 0;
-            Time from = w.now();
-            w.troubles.close_looks = 1;
-            w.lose_answer = [&](int node, const Txn& txn) {
-                bool is = std::any_of(txn.then.begin(), txn.then.end(),
-                                      [&](const Change& c) { return kind.is(nullptr, c); });
-                if (!is || w.now() > from + 60) {
+            Time from = world.now();
+            world.troubles.close_looks = 1;
+            world.lose_answer = [&](int node, const StoreTransaction& transaction) {
+                bool is = std::any_of(transaction.writes.begin(), transaction.writes.end(),
+                                      [&](const StoreWrite& c) { return kind.is(nullptr, c); });
+                if (!is || world.now() > from + 60) {
                     return false;
                 }
                 int n = seen++;
                 bool lose = which == 3 ? true : which == 2 ? n % 2 == 0 : n == which;
                 if (lose && ++lost == 1 && back >= 0) {
-                    w.at(w.now() + 0.1, [&w, node, back] { w.crash(node, back); });
+                    world.at(world.now() + 0.1, [&world, node, back] { world.crash(node, back); });
                 }
                 return lose;
             };
@@ -597,42 +601,42 @@
             for (int n = 0; n < 5; ++n) {
                 s.all_peers(n, true);
             }
-            w.crash(s.leader, 14);
-            w.run_for(20);
+            world.crash(s.leader, 14);
+            world.run_for(20);
             for (int n = 0; n < 5; ++n) {
                 s.all_peers(n, false);
             }
             s.cancel_some((s.leader + 2) % 5);
-            for (const auto& share : w.shares(part_of(w, "blue"))) {
-                w.give(part_of(w, "blue"), share, s.any(5));
+            for (const auto& shard : world.shares(part_of(world, "blue"))) {
+                world.give(part_of(world, "blue"), shard, s.any(5));
             }
             for (const auto& machine : s.some_machines(8)) {
-                w.kill_machine(machine);
+                world.kill_machine(machine);
             }
-            w.crash((s.leader + 3) % 5, 0.02); // it fetches the types again
+            world.crash((s.leader + 3) % 5, 0.02); // it fetches the types again
             for (int k = 0; k < 6; ++k) {
                 s.submit(JobKind::array, 40, k % 2 ? "red" : "blue", 2);
-                w.run_for(6);
+                world.run_for(6);
                 s.cancel_some((s.leader + 2) % 5);
             }
-            w.troubles = {};
-            w.run_for(w.facts(0).cancel_s);
-            w.lose_answer = nullptr;
-            w.ask_often();
+            world.troubles = {};
+            world.run_for(world.facts(0).cancel_s);
+            world.lose_answer = nullptr;
+            world.ask_often();
             for (int k = 0; k < 10; ++k) {
-                w.run_for(30);
-                for (const auto& [id, outcome] : w.outcomes()) {
-                    if (w.spec(id).kind == JobKind::service && outcome == Outcome::none) {
-                        w.cancel(0, id);
+                world.run_for(30);
+                for (const auto& [id, outcome] : world.outcomes()) {
+                    if (world.spec_of(id).kind == JobKind::service && outcome == Outcome::none) {
+                        world.cancel(0, id);
                     }
                 }
             }
             EXPECT_GT(seen, 0);
             EXPECT_TRUE(lost > 0 || which == 1) << seen;
-            ASSERT_TRUE(w.broken.empty()) << w.broken.front();
-            EXPECT_LT(w.longest_unanswered(), 75);
-            EXPECT_LT(w.judge().longest_idle(), 90) << w.judge().idlest();
-            for (const auto& [id, outcome] : w.outcomes()) {
+            ASSERT_TRUE(world.broken.empty()) << world.broken.front();
+            EXPECT_LT(world.longest_unanswered(), 75);
+            EXPECT_LT(world.judge().longest_idle(), 90) << world.judge().idlest();
+            for (const auto& [id, outcome] : world.outcomes()) {
                 EXPECT_NE(outcome, Outcome::none) << id;
             }
         }
@@ -648,53 +652,53 @@
 // Four a second for ten minutes, a quarter cancelled, with an outage and an end in it, at the
 // limits of the smallest deployment: 100 requests and 20 changes a second for all.
 TEST(OneTaskJobs, FourASecondForTenMinutesAQuarterCancelled) {
-    World w({.seed = 5, .nodes = 3, .run_s = 6, .limits = 4, .capacity = 14, .notices = true});
+    World world({.seed = 5, .nodes = 3, .run_s = 6, .limits = 4, .capacity = 14, .notices = true});
     std::mt19937_64 random(5);
     auto any = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
-    w.run_for(30);
+    world.run_for(30);
     std::map<std::string, std::pair<RequestId, int>> open; // submissions without a 20x, tries
-    w.ask_often();
+    world.ask_often();
     int jobs = 0;
-    Time from = w.now();
+    Time from = world.now();
     int claims = 0;
-    w.on_log = [&](Time, int, const std::string& text) {
-        claims += text.starts_with("event=part_claimed");
+    world.on_log = [&](Time, int, const std::string& text) {
+        claims += text.starts_with("event=leadership_acquired");
     };
     int node = 0;
-    while (w.now() < from + 600) {
-        JobSpec s = w.job("req-" + std::to_string(++jobs), 1, 1);
-        s.team = any(2) ? "red" : "blue";
-        open[s.id] = {w.submit(any(3), s), 0};
+    while (world.now() < from + 600) {
+        JobSpec spec = world.job("req-" + std::to_string(++jobs), 1, 1);
+        spec.team = any(2) ? "red" : "blue";
+        open[spec.id] = {world.submit(any(3), spec), 0};
         if (jobs % 4 == 0) {
             std::string id = "req-" + std::to_string(std::max(1, jobs - any(16)));
-            w.at(w.now() + 1, [&w, id, n = any(3)] { w.cancel(n, id); });
+            world.at(world.now() + 1, [&world, id, n = any(3)] { world.cancel(n, id); });
         }
         if (jobs == 800) {
-            w.state_down(true);
-            w.at(w.now() + 25, [&w] { w.state_down(false); });
+            world.state_down(true);
+            world.at(world.now() + 25, [&world] { world.state_down(false); });
         }
         if (jobs == 1600) {
-            w.crash(node = w.owner(part_of_team(w.facts(0), "red")), 0.3);
+            world.crash(node = world.owner(partition_of_team(world.facts(0), "red")), 0.3);
         }
-        w.run_for(0.25);
+        world.run_for(0.25);
         for (auto it = open.begin(); it != open.end();) { // again after a second or two
-            auto a = w.answers.find(it->second.first);
-            bool taken = a != w.answers.end() && a->second.status < 500;
+            auto a = world.answers.find(it->second.first);
+            bool taken = a != world.answers.end() && a->second.status < 500;
             if (!taken && ++it->second.second % 8 == 0) {
-                it->second.first = w.submit(any(3), w.spec(it->first));
+                it->second.first = world.submit(any(3), world.spec_of(it->first));
             }
             it = taken ? open.erase(it) : std::next(it);
         }
     }
-    w.run_for(90);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+    world.run_for(90);
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
     EXPECT_TRUE(open.empty()) << open.size() << " not accepted, " << open.begin()->first;
     EXPECT_EQ(jobs, 2400);
-    EXPECT_LT(w.longest_unanswered(), 75);
-    EXPECT_LT(w.longest_cancelled(), 42);
-    EXPECT_EQ(w.judge().late_starts().left_after, 0);
+    EXPECT_LT(world.longest_unanswered(), 75);
+    EXPECT_LT(world.longest_cancelled(), 42);
+    EXPECT_EQ(world.judge().late_starts().left_after, 0);
     std::size_t left = 0;
-    for (const auto& [id, outcome] : w.outcomes()) {
+    for (const auto& [id, outcome] : world.outcomes()) {
         left += outcome == Outcome::none;
     }
     EXPECT_EQ(left, 0u);
@@ -702,9 +706,9 @@
     std::printf("%zu transactions, %zu reads, %zu compared or watched; last task of a cancelled "
                 "job after %.1f s; "
                 "longest unanswered %.1f s\n",
-                w.calls_of("txn"), w.calls_of("get"), w.calls_of("watch"), w.longest_cancelled(),
-                w.longest_unanswered());
+                world.calls_of("txn"), world.calls_of("get"), world.calls_of("watch"),
+                world.longest_cancelled(), world.longest_unanswered());
 }
 
 } // namespace
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -11,10 +11,10 @@
 #include "seeds.h"
 #include "world.h"
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 namespace {
 
-int red(const World& w) { return part_of_team(w.facts(0), "red"); }
+int red(const World& world) { return partition_of_team(world.facts(0), "red"); }
 
 // What meets the refusal of the leader, the cancellations and the outage.
 enum class With {
@@ -74,23 +74,23 @@
 double play(const Day& day) {
     const Times& t = kTimes[day.times];
     bool many = day.with == With::many_cancellations;
-    World w({.seed = 1 + static_cast<std::uint64_t>(day.with),
-             .nodes = 5,
-             .run_s = 3000,
-             .limits = 30,
-             .capacity = 60,
-             .report_s = t.report_s,
-             .lease_s = t.lease_s,
-             .cancel_s = t.cancel_s,
-             .state_rps = many ? 4000.0 : 300.0,
-             .state_write_rps = many ? 2000.0 : 100.0});
-    w.run_for(t.lease_s + 3);
+    World world({.seed = 1 + static_cast<std::uint64_t>(day.with),
+                 .nodes = 5,
+                 .run_s = 3000,
+                 .limits = 30,
+                 .capacity = 60,
+                 .report_s = t.report_s,
+                 .lease_s = t.lease_s,
+                 .cancel_s = t.cancel_s,
+                 .state_rps = many ? 4000.0 : 300.0,
+                 .state_write_rps = many ? 2000.0 : 100.0});
+    world.run_for(t.lease_s + 3);
     std::vector<std::string> to_cancel;
     auto submit = [&](const std::string& id, JobKind kind, std::uint32_t tasks, const char* team) {
-        JobSpec s = w.job(id, tasks);
-        s.kind = kind;
-        s.team = team;
-        w.submit(static_cast<int>(to_cancel.size()) % 5, s);
+        JobSpec spec = world.job(id, tasks);
+        spec.kind = kind;
+        spec.team = team;
+        world.submit(static_cast<int>(to_cancel.size()) % 5, spec);
         to_cancel.push_back(id);
     };
     for (const char* team : {"red", "blue"}) {
@@ -101,51 +101,51 @@
         submit("stay-" + n, JobKind::array, 20, team);
         to_cancel.pop_back(); // that one is not cancelled
     }
-    w.run_for(6 * t.report_s + 40);
+    world.run_for(6 * t.report_s + 40);
     for (int i = 0; many && i < 1100; ++i) {
         submit("more-" + std::to_string(i), JobKind::array, 1, "red");
-        w.run_for(0.02);
+        world.run_for(0.02);
     }
-    int leader = w.owner(red(w));
+    int leader = world.owner(red(world));
     auto other = [&](int n) { return (leader + 1 + n % 4) % 5; };
     EXPECT_GE(leader, 0);
     for (const auto& id : to_cancel) {
         if (!id.starts_with("more-")) {
-            EXPECT_EQ(w.machines_of({id, 0}).size(), 1u) << id;
+            EXPECT_EQ(world.machines_of({id, 0}).size(), 1u) << id;
         }
     }
 
     if (day.with == With::share_moves) {
-        auto shares = w.shares(red(w));
-        for (std::size_t i = 0; i < shares.size() / 2; ++i) {
-            w.give(red(w), shares[i], part_of_team(w.facts(0), "blue"));
+        auto shards = world.shares(red(world));
+        for (std::size_t i = 0; i < shards.size() / 2; ++i) {
+            world.give(red(world), shards[i], partition_of_team(world.facts(0), "blue"));
         }
     }
     if (day.with == With::late_reports) {
-        w.troubles.late_reports = 0.3;
+        world.troubles.late_reports = 0.3;
     }
     if (day.with == With::late_writes) {
-        w.troubles.late_writes = 0.2;
+        world.troubles.late_writes = 0.2;
     }
     if (day.with == With::held_orders) {
-        w.troubles.held_orders = 0.5;
+        world.troubles.held_orders = 0.5;
     }
     if (day.with == With::deaf_machines) {
         int n = 0;
-        for (const auto& machine : w.machines_up()) {
+        for (const auto& machine : world.machines_up()) {
             if (++n % 4 == 0) {
-                w.deafen(machine, true);
+                world.deafen(machine, true);
             }
         }
     }
     bool silent = day.with == With::silent_state;
-    silent ? w.state_silent(leader, true) : w.state_refuses(leader, true);
-    Time refused = w.now();
-    w.run_for(day.refused_s * day.told_at);
+    silent ? world.state_silent(leader, true) : world.state_refuses(leader, true);
+    Time refused = world.now();
+    world.run_for(day.refused_s * day.told_at);
     int n = 0;
     std::vector<std::pair<std::string, RequestId>> asked;
     for (const auto& id : to_cancel) {
-        asked.emplace_back(id, w.cancel(other(day.by_several ? n++ : 0), id));
+        asked.emplace_back(id, world.cancel(other(day.by_several ? n++ : 0), id));
     }
     std::optional<double> back;
     switch (day.with) {
@@ -155,20 +155,20 @@
     default: break;
     }
     if (back) {
-        w.after_output = [&, back](int node, const Call*,
-                                   const Answer* a) -> std::optional<double> {
-            const auto* body = a ? std::get_if<JobAnswer>(&a->body) : nullptr;
+        world.after_output = [&, back](int node, const OutboundRequest*,
+                                       const Response* a) -> std::optional<double> {
+            const auto* body = a ? std::get_if<JobStatusBody>(&a->body) : nullptr;
             return body && body->stage == "cancelled" && node == other(0) ? back : std::nullopt;
         };
     }
     // An answer takes a moment, and there may be many.
-    w.run_for(std::max(0.3, refused + day.refused_s - w.now()));
-    w.after_output = nullptr;
-    w.state_down(true);
+    world.run_for(std::max(0.3, refused + day.refused_s - world.now()));
+    world.after_output = nullptr;
+    world.state_down(true);
     std::size_t told = 0;
     for (const auto& [id, request] : asked) {
-        auto answer = w.answers.find(request);
-        told += answer != w.answers.end() && answer->second.status == 200;
+        auto answer = world.answers.find(request);
+        told += answer != world.answers.end() && answer->second.status == 200;
     }
     EXPECT_GE(told, 1u);
     switch (day.with) {
@@ -176,52 +176,52 @@
     case With::sibling_cut_off:
         for (int a = 0; a < 5; ++a) {
             for (int b = 0; b < (day.with == With::peers_refuse ? 5 : 1); ++b) {
-                w.cut_peers(a, day.with == With::peers_refuse ? b : other(1), true);
+                world.cut_peers(a, day.with == With::peers_refuse ? b : other(1), true);
             }
         }
         break;
-    case With::leader_frozen: w.freeze(leader, t.lease_s); break;
-    case With::leader_ends: w.crash(leader, 0.3); break;
+    case With::leader_frozen: world.freeze(leader, t.lease_s); break;
+    case With::leader_ends: world.crash(leader, 0.3); break;
     default: break;
     }
-    w.run_for(t.cancel_s + 30);
+    world.run_for(t.cancel_s + 30);
     if (day.with == With::confirmed_in_the_outage_too) {
         // Back for the others and not for the leader, for as long as it takes to tell a user; the
         // promises that the leader had have not ended.
-        w.state_down(false);
-        w.run_for(0.4);
-        w.cancel(other(1), "stay-red");
-        w.cancel(other(2), "stay-blue");
-        w.run_for(0.4);
-        w.state_down(true);
-        w.run_for(t.cancel_s + 30);
+        world.state_down(false);
+        world.run_for(0.4);
+        world.cancel(other(1), "stay-red");
+        world.cancel(other(2), "stay-blue");
+        world.run_for(0.4);
+        world.state_down(true);
+        world.run_for(t.cancel_s + 30);
     }
-    w.state_down(false);
-    w.state_silent(leader, false);
-    w.state_refuses(leader, false);
-    w.troubles = {};
-    for (const auto& machine : w.machines_up()) {
-        w.deafen(machine, false);
+    world.state_down(false);
+    world.state_silent(leader, false);
+    world.state_refuses(leader, false);
+    world.troubles = {};
+    for (const auto& machine : world.machines_up()) {
+        world.deafen(machine, false);
     }
     for (int a = 0; a < 5; ++a) {
         for (int b = 0; b < 5; ++b) {
-            w.cut_peers(a, b, false);
+            world.cut_peers(a, b, false);
         }
     }
-    w.run_for(t.cancel_s + 3 * t.lease_s);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+    world.run_for(t.cancel_s + 3 * t.lease_s);
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
     for (const auto& [id, request] : asked) {
-        auto answer = w.answers.find(request);
-        if (answer != w.answers.end() && answer->second.status == 200) {
-            EXPECT_EQ(w.outcomes().at(id), Outcome::cancelled) << id;
+        auto answer = world.answers.find(request);
+        if (answer != world.answers.end() && answer->second.status == 200) {
+            EXPECT_EQ(world.outcomes().at(id), Outcome::cancelled) << id;
         }
     }
     if (day.with != With::confirmed_in_the_outage_too) {
         for (const char* id : {"stay-red", "stay-blue"}) { // not lost with the others
-            EXPECT_EQ(w.machines_of({id, 0}).size(), 1u) << id << w.describe(id);
+            EXPECT_EQ(world.machines_of({id, 0}).size(), 1u) << id << world.describe(id);
         }
     }
-    return w.longest_cancelled() / t.cancel_s;
+    return world.longest_cancelled() / t.cancel_s;
 }
 
 class Meetings : public testing::TestWithParam<int> {};
@@ -261,64 +261,65 @@
 
 // An operator changes both teams' limits and guarantees again and again, within a second at times,
 // until `end`; then they are as at first.
-void change_limits(World& w, std::shared_ptr<std::mt19937_64> random, Time end) {
+void change_limits(World& world, std::shared_ptr<std::mt19937_64> random, Time end) {
     auto between = [&](double from, double to) {
         return std::uniform_real_distribution<>(from, to)(*random);
     };
-    for (TeamFacts team : w.facts(0).teams) {
-        if (w.now() < end) {
-            team.cpus_max *= between(0.15, 1.3);
-            team.cpus = between(0, team.cpus_max);
+    for (TeamQuota quota : world.facts(0).teams) {
+        if (world.now() < end) {
+            quota.max_cpus *= between(0.15, 1.3);
+            quota.guaranteed_cpus = between(0, quota.max_cpus);
         }
-        w.configure(team); // refused in an outage, as its writer is
+        world.configure(quota); // refused in an outage, as its writer is
     }
-    if (w.now() < end) {
-        w.at(w.now() + between(0, 1) * between(0, 20),
-             [&w, random, end] { change_limits(w, random, end); });
+    if (world.now() < end) {
+        world.at(world.now() + between(0, 1) * between(0, 20),
+                 [&world, random, end] { change_limits(world, random, end); });
     }
 }
 
 // Three troubles at once, again and again, with users who submit, ask and cancel; then none.
 void play_at_random(std::uint64_t seed, bool limits_change = false) {
     const Times& t = kTimes[seed % 3];
-    World w({.seed = seed,
-             .nodes = 5,
-             .drop = seed % 2 ? 0.01 : 0.0,
-             .run_s = 30,
-             .limits = 12,
-             .capacity = 60,
-             .report_s = t.report_s,
-             .lease_s = t.lease_s,
-             .cancel_s = t.cancel_s,
-             .state_rps = 250,
-             .state_write_rps = 50,
-             .notices = seed % 4 < 2});
+    World world({.seed = seed,
+                 .nodes = 5,
+                 .drop = seed % 2 ? 0.01 : 0.0,
+                 .run_s = 30,
+                 .limits = 12,
+                 .capacity = 60,
+                 .report_s = t.report_s,
+                 .lease_s = t.lease_s,
+                 .cancel_s = t.cancel_s,
+                 .state_rps = 250,
+                 .state_write_rps = 50,
+                 .notices = seed % 4 < 2});
     std::mt19937_64 random(seed * 7919);
     auto any = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
     auto up = [&] {
-        auto all = w.machines_up();
+        auto all = world.machines_up();
         std::shuffle(all.begin(), all.end(), random);
         all.resize(all.size() / 4);
         return all;
     };
-    w.run_for(t.lease_s + 3);
-    w.ask_often();
+    world.run_for(t.lease_s + 3);
+    world.ask_often();
     if (limits_change) {
-        change_limits(w, std::make_shared<std::mt19937_64>(seed), 300);
+        change_limits(world, std::make_shared<std::mt19937_64>(seed), 300);
     }
     int jobs = 0;
     auto submit = [&] {
-        JobSpec s = w.job("req-" + std::to_string(++jobs), 2 + any(any(3) ? 2 : 20), 1 + any(3));
-        s.team = any(2) ? "red" : "blue";
-        s.kind = any(5) ? JobKind::array : any(2) ? JobKind::gang : JobKind::service;
-        s.one_zone = s.kind == JobKind::gang && any(2) != 0;
-        w.submit(any(5), s);
+        JobSpec spec =
+            world.job("req-" + std::to_string(++jobs), 2 + any(any(3) ? 2 : 20), 1 + any(3));
+        spec.team = any(2) ? "red" : "blue";
+        spec.kind = any(5) ? JobKind::array : any(2) ? JobKind::gang : JobKind::service;
+        spec.one_zone = spec.kind == JobKind::gang && any(2) != 0;
+        world.submit(any(5), spec);
     };
-    auto cancel = [&] { w.cancel(any(5), "req-" + std::to_string(1 + any(jobs))); };
+    auto cancel = [&] { world.cancel(any(5), "req-" + std::to_string(1 + any(jobs))); };
     for (int round = 0; round < 4; ++round) {
         for (int k = 0; k < 5; ++k) {
             submit();
-            w.run_for(2);
+            world.run_for(2);
         }
         std::vector<std::function<void()>> undo;
         std::set<std::string> cut;
@@ -326,159 +327,161 @@
         for (int k = 2 + any(3); k > 0; --k) {
             switch (any(26)) {
             case 0:
-                w.state_refuses(node, true);
-                undo.emplace_back([&w, node] { w.state_refuses(node, false); });
+                world.state_refuses(node, true);
+                undo.emplace_back([&world, node] { world.state_refuses(node, false); });
                 break;
             case 1: // from state service and peers, not from workers and users
-                w.state_silent(node, true);
+                world.state_silent(node, true);
                 for (int to = 0; to < 5; ++to) {
-                    w.cut_peers(node, to, true);
+                    world.cut_peers(node, to, true);
                 }
-                undo.emplace_back([&w, node] {
-                    w.state_silent(node, false);
+                undo.emplace_back([&world, node] {
+                    world.state_silent(node, false);
                     for (int to = 0; to < 5; ++to) {
-                        w.cut_peers(node, to, false);
+                        world.cut_peers(node, to, false);
                     }
                 });
                 break;
-            case 2: w.troubles.late_writes = 0.2; break;
-            case 3: w.troubles.late_reports = 0.3; break;
-            case 4: w.troubles.held_orders = 0.4; break;
-            case 5: w.troubles.state_slow_s = 0.2 * t.report_s * (1 + any(4)); break;
+            case 2: world.troubles.late_writes = 0.2; break;
+            case 3: world.troubles.late_reports = 0.3; break;
+            case 4: world.troubles.held_orders = 0.4; break;
+            case 5: world.troubles.state_slow_s = 0.2 * t.report_s * (1 + any(4)); break;
             case 6:
                 for (const auto& machine : up()) {
-                    w.deafen(machine, true);
+                    world.deafen(machine, true);
                     cut.insert(machine);
                 }
                 break;
             case 7:
                 for (const auto& machine : up()) {
-                    w.cut_machine(machine, true);
+                    world.cut_machine(machine, true);
                     cut.insert(machine);
                 }
                 break;
-            case 8: w.crash(node, any(2) ? 0.02 : any(8)); break;
+            case 8: world.crash(node, any(2) ? 0.02 : any(8)); break;
             case 9:
                 for (int n = 0; n < 5; ++n) { // all end, one is back within a second
-                    w.crash(n, n == node ? 0.2 : 2 + any(10));
+                    world.crash(n, n == node ? 0.2 : 2 + any(10));
                 }
                 break;
-            case 10: w.freeze(node, 2 + any(30)); break;
+            case 10: world.freeze(node, 2 + any(30)); break;
             case 11:
-                w.cut_workers(node, true);
-                undo.emplace_back([&w, node] { w.cut_workers(node, false); });
+                world.cut_workers(node, true);
+                undo.emplace_back([&world, node] { world.cut_workers(node, false); });
                 break;
             case 12:
                 for (int a = 0; a < 5; ++a) {
                     for (int b = 0; b < 5; ++b) {
-                        w.cut_peers(a, b, true);
+                        world.cut_peers(a, b, true);
                     }
                 }
-                undo.emplace_back([&w] {
+                undo.emplace_back([&world] {
                     for (int a = 0; a < 5; ++a) {
                         for (int b = 0; b < 5; ++b) {
-                            w.cut_peers(a, b, false);
+                            world.cut_peers(a, b, false);
                         }
                     }
                 });
                 break;
-            case 14: w.troubles.lost_answers = 0.3; break;
-            case 15: w.troubles.reports_for_next = 0.3; break;
-            case 16: w.troubles.quick_boots = 0.8; break;
-            case 17: w.troubles.mute_boots = 0.2; break;
-            case 18: w.troubles.slow_links_s = 0.1 * t.report_s; break;
-            case 19: w.troubles.close_looks = 0.5; break;
-            case 20: w.troubles.cancel_at_end = 0.5; break;
+            case 14: world.troubles.lost_answers = 0.3; break;
+            case 15: world.troubles.reports_for_next = 0.3; break;
+            case 16: world.troubles.quick_boots = 0.8; break;
+            case 17: world.troubles.mute_boots = 0.2; break;
+            case 18: world.troubles.slow_links_s = 0.1 * t.report_s; break;
+            case 19: world.troubles.close_looks = 0.5; break;
+            case 20: world.troubles.cancel_at_end = 0.5; break;
             case 21: // up to a quarter hangs within the lease or beyond it
                 for (const auto& machine : up()) {
-                    w.hang(machine, t.lease_s * (1 + any(15)) / 10);
+                    world.hang(machine, t.lease_s * (1 + any(15)) / 10);
                 }
                 break;
             case 22:
                 for (const auto& machine : up()) {
-                    w.mute(machine, true);
+                    world.mute(machine, true);
                     cut.insert(machine);
                 }
                 break;
             case 23: // many called off at once that run and have long to go; their machines hang
                 for (int n = 0; n < 6 && jobs > 0; ++n) {
                     std::string id = "req-" + std::to_string(1 + any(jobs));
-                    for (const auto& machine : w.machines_of({id, 0})) {
-                        w.hang(machine, t.lease_s * (1 + any(15)) / 10);
+                    for (const auto& machine : world.machines_of({id, 0})) {
+                        world.hang(machine, t.lease_s * (1 + any(15)) / 10);
                     }
-                    w.cancel(any(5), id);
+                    world.cancel(any(5), id);
                 }
                 break;
             case 24:
                 for (int n = 0; n < 5; ++n) {
-                    w.odd_requests("req-" + std::to_string(1 + any(jobs)));
+                    world.odd_requests("req-" + std::to_string(1 + any(jobs)));
                 }
                 break;
             case 25: // leaders change again and again
                 for (int n = 0; n < 10; ++n) {
-                    w.at(w.now() + n * 12,
-                         [&w, n, node] { w.crash((node + n) % 5, n % 3 == 0 ? 0.02 : 6); });
+                    world.at(world.now() + n * 12, [&world, n, node] {
+                        world.crash((node + n) % 5, n % 3 == 0 ? 0.02 : 6);
+                    });
                 }
                 break;
             case 13: {
-                auto shares = w.shares(node);
-                for (std::size_t i = 0; i < shares.size() / 2; ++i) {
-                    w.give(node, shares[i], any(5));
+                auto shards = world.shares(node);
+                for (std::size_t i = 0; i < shards.size() / 2; ++i) {
+                    world.give(node, shards[i], any(5));
                 }
                 break;
             }
             }
-            w.run_for(any(4));
+            world.run_for(any(4));
             cancel();
         }
-        w.run_for(any(static_cast<int>(t.lease_s)));
+        world.run_for(any(static_cast<int>(t.lease_s)));
         if (any(2)) {
-            w.state_down(true);
-            w.run_for(5 + any(static_cast<int>(t.cancel_s + 20)));
+            world.state_down(true);
+            world.run_for(5 + any(static_cast<int>(t.cancel_s + 20)));
             cancel();
-            w.state_down(false);
+            world.state_down(false);
         }
-        w.run_for(any(10));
+        world.run_for(any(10));
         cancel();
         for (const auto& back : undo) {
             back();
         }
-        w.troubles = {};
+        world.troubles = {};
         for (const auto& machine : cut) {
-            auto all = w.machines_up();
+            auto all = world.machines_up();
             if (std::find(all.begin(), all.end(), machine) != all.end()) {
-                w.deafen(machine, false);
-                w.cut_machine(machine, false);
+                world.deafen(machine, false);
+                world.cut_machine(machine, false);
             }
         }
-        for (const auto& machine : w.machines_up()) {
-            w.mute(machine, false);
+        for (const auto& machine : world.machines_up()) {
+            world.mute(machine, false);
         }
-        w.run_for(any(40));
-        ASSERT_TRUE(w.broken.empty()) << w.broken.front() << " at " << w.now();
+        world.run_for(any(40));
+        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
     }
-    w.run_for(t.cancel_s + 120); // the last changes of leaders
-    for (const TeamFacts& team : w.facts(0).teams) {
+    world.run_for(t.cancel_s + 120); // the last changes of leaders
+    for (const TeamQuota& quota : world.facts(0).teams) {
         if (limits_change) {
-            w.configure(team);
+            world.configure(quota);
         }
     }
-    w.ask_often(); // all troubles are over
+    world.ask_often(); // all troubles are over
     for (int k = 0; k < 100; ++k) {
-        w.run_for(10);
-        for (const auto& [id, outcome] : w.outcomes()) {
-            if (w.spec(id).kind == JobKind::service) {
-                w.cancel(k % 5, id);
+        world.run_for(10);
+        for (const auto& [id, outcome] : world.outcomes()) {
+            if (world.spec_of(id).kind == JobKind::service) {
+                world.cancel(k % 5, id);
             }
         }
     }
-    ASSERT_TRUE(w.broken.empty()) << w.broken.front();
-    EXPECT_LT(w.longest_unanswered(), 75);
-    EXPECT_LT(w.judge().longest_idle(), 90) << w.judge().idlest() << w.describe(w.judge().idlest());
-    for (const auto& [id, outcome] : w.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << w.describe(id);
+    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_LT(world.longest_unanswered(), 75);
+    EXPECT_LT(world.judge().longest_idle(), 90)
+        << world.judge().idlest() << world.describe(world.judge().idlest());
+    for (const auto& [id, outcome] : world.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
     }
-    EXPECT_LT(w.longest_cancelled(), t.cancel_s);
+    EXPECT_LT(world.longest_cancelled(), t.cancel_s);
 }
 
 class MeetingsRandom : public testing::TestWithParam<int> {};
@@ -508,105 +511,105 @@
 // stands and all siblings promise, but it could not read the jobs. It answered its workers for as
 // long as the outage lasted, while another node had told users of a cancellation.
 TEST(MeetingsAlone, AnOwnerThatCouldNotReadTheJobsKeepsNoTask) {
-    World w({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
-    w.run_for(40);
-    w.submit(0, w.job("req-1", 20));
-    w.submit(1, w.job("req-2", 20));
-    w.run_for(40);
-    int leader = w.owner(red(w));
-    ASSERT_EQ(w.machines_of({"req-1", 0}).size(), 1u);
-    w.crash(leader, 0.02);
+    World world({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
+    world.run_for(40);
+    world.submit(0, world.job("req-1", 20));
+    world.submit(1, world.job("req-2", 20));
+    world.run_for(40);
+    int leader = world.owner(red(world));
+    ASSERT_EQ(world.machines_of({"req-1", 0}).size(), 1u);
+    world.crash(leader, 0.02);
     int life = 0; // the jobs do not come in time
-    w.intercept = [&](int node, const CallBody& call) {
-        const auto* range = std::get_if<Range>(&call);
-        return node == leader && range && range->prefix == kJobs && ++life > 0;
+    world.intercept = [&](int node, const OutboundBody& call) {
+        const auto* range = std::get_if<StoreRange>(&call);
+        return node == leader && range && range->prefix == kJobPrefix && ++life > 0;
     };
-    RequestId id = w.cancel((leader + 1) % 5, "req-1");
-    w.run_for(2);
-    ASSERT_EQ(w.answers.at(id).status, 200);
+    RequestId id = world.cancel((leader + 1) % 5, "req-1");
+    world.run_for(2);
+    ASSERT_EQ(world.answers.at(id).status, 200);
     ASSERT_GT(life, 0);
-    w.state_down(true);
-    w.run_for(80);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
-    EXPECT_LT(w.longest_cancelled(), w.facts(0).cancel_s);
-    w.intercept = nullptr;
-    w.state_down(false);
-    w.run_for(60);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
-    EXPECT_EQ(w.machines_of({"req-2", 0}).size(), 1u);
+    world.state_down(true);
+    world.run_for(80);
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_LT(world.longest_cancelled(), world.facts(0).cancel_s);
+    world.intercept = nullptr;
+    world.state_down(false);
+    world.run_for(60);
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_EQ(world.machines_of({"req-2", 0}).size(), 1u);
 }
 
 // Guests of a cancelled job on the machines of the node that alone is refused: their own owner told
 // users and cannot reach this one with its words, only promises get through.
 TEST(MeetingsAlone, APromiseStopsGuestsOfTheCancelledJobToo) {
-    World w({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
-    w.run_for(40);
-    w.submit(0, w.job("req-1", 60)); // on the machines of every part
-    w.run_for(60);
-    int owner = w.owner(red(w));
+    World world({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
+    world.run_for(40);
+    world.submit(0, world.job("req-1", 60)); // on the machines of every part
+    world.run_for(60);
+    int leader = world.owner(red(world));
     // The node with the most guests among those that own no team's part.
-    int host = (owner + 1) % 5;
+    int host = (leader + 1) % 5;
     auto guests_at = [&](int node) {
         int n = 0;
         for (std::uint32_t i = 0; i < 60; ++i) {
-            for (const auto& machine : w.machines_of({"req-1", i})) {
-                n += w.node_of(machine) == node;
+            for (const auto& machine : world.machines_of({"req-1", i})) {
+                n += world.node_of(machine) == node;
             }
         }
         return n;
     };
     ASSERT_GT(guests_at(host), 0);
-    w.state_refuses(host, true);
-    w.intercept = [&](int node, const CallBody& call) {
-        const auto* peer = std::get_if<PeerCall>(&call);
+    world.state_refuses(host, true);
+    world.intercept = [&](int node, const OutboundBody& call) {
+        const auto* peer = std::get_if<PeerSyncCall>(&call);
         return peer && (node == host || peer->node == "n" + std::to_string(host));
     };
-    w.run_for(0.5);
-    RequestId id = w.cancel((host + 1) % 5, "req-1");
-    w.run_for(0.5);
-    ASSERT_EQ(w.answers.at(id).status, 200);
-    w.state_down(true);
-    w.run_for(80);
+    world.run_for(0.5);
+    RequestId id = world.cancel((host + 1) % 5, "req-1");
+    world.run_for(0.5);
+    ASSERT_EQ(world.answers.at(id).status, 200);
+    world.state_down(true);
+    world.run_for(80);
     EXPECT_EQ(guests_at(host), 0);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
-    EXPECT_LT(w.longest_cancelled(), w.facts(0).cancel_s);
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_LT(world.longest_cancelled(), world.facts(0).cancel_s);
 }
 
 // The owner ends while a machine with a long task cannot be reached. The machine comes back at the
 // end of its lease for one report, and does not hear another answer for a while: that one answer
 // has to carry the stop, though the machine has not shown the new owner's token.
 TEST(MeetingsAlone, OneAnswerToAMachineThatWasCutOffCarriesTheStop) {
-    World w({.nodes = 5,
-             .run_s = 3000,
-             .limits = 30,
-             .capacity = 60,
-             .report_s = 6,
-             .lease_s = 31,
-             .cancel_s = 56});
-    w.run_for(60);
-    w.submit(0, w.job("req-1", 4));
-    w.run_for(60);
-    std::string machine = *w.machines_of({"req-1", 0}).begin();
-    int owner = w.node_of(machine);
-    w.cut_machine(machine, true);
-    w.cloud_down(true); // nor can it be released
-    w.run_for(0.5);
-    RequestId id = w.cancel((owner + 1) % 5, "req-1");
-    w.run_for(0.5);
-    ASSERT_EQ(w.answers.at(id).status, 200);
-    w.crash(owner, 0.3);
-    w.run_for(27);
-    ASSERT_EQ(w.machines_of({"req-1", 0}).size(), 1u); // its lease has not ended
-    w.cut_machine(machine, false);
-    Time back = w.now();
-    for (int k = 0; k < 1000 && w.renewed(machine) < back; ++k) {
-        w.run_for(0.01);
+    World world({.nodes = 5,
+                 .run_s = 3000,
+                 .limits = 30,
+                 .capacity = 60,
+                 .report_s = 6,
+                 .lease_s = 31,
+                 .cancel_s = 56});
+    world.run_for(60);
+    world.submit(0, world.job("req-1", 4));
+    world.run_for(60);
+    std::string machine = *world.machines_of({"req-1", 0}).begin();
+    int leader = world.node_of(machine);
+    world.cut_machine(machine, true);
+    world.cloud_down(true); // nor can it be released
+    world.run_for(0.5);
+    RequestId id = world.cancel((leader + 1) % 5, "req-1");
+    world.run_for(0.5);
+    ASSERT_EQ(world.answers.at(id).status, 200);
+    world.crash(leader, 0.3);
+    world.run_for(27);
+    ASSERT_EQ(world.machines_of({"req-1", 0}).size(), 1u); // its lease has not ended
+    world.cut_machine(machine, false);
+    Time back = world.now();
+    for (int k = 0; k < 1000 && world.renewed(machine) < back; ++k) {
+        world.run_for(0.01);
     }
-    ASSERT_GE(w.renewed(machine), back);
-    w.deafen(machine, true);
-    w.run_for(60);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
-    EXPECT_LT(w.longest_cancelled(), w.facts(0).cancel_s);
+    ASSERT_GE(world.renewed(machine), back);
+    world.deafen(machine, true);
+    world.run_for(60);
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_LT(world.longest_cancelled(), world.facts(0).cancel_s);
 }
 
 // No worker reaches any controller, direct commands reach them. Each node takes itself for deaf,
@@ -615,32 +618,32 @@
 TEST(MeetingsAlone, WorkersHeardAgainAfterAllWereMuteAreServedSoon) {
     for (double mute_s : {8.0, 20.0, 45.0, 90.0}) {
         SCOPED_TRACE(std::to_string(mute_s));
-        World w({.nodes = 5, .run_s = 20, .limits = 10, .capacity = 60, .notices = true});
-        w.run_for(40);
+        World world({.nodes = 5, .run_s = 20, .limits = 10, .capacity = 60, .notices = true});
+        world.run_for(40);
         for (int k = 1; k <= 10; ++k) {
-            w.submit(k % 5, w.job("req-" + std::to_string(k), 12));
+            world.submit(k % 5, world.job("req-" + std::to_string(k), 12));
         }
-        w.run_for(25);
+        world.run_for(25);
         auto mute = [&](bool is) {
-            for (const auto& machine : w.machines_up()) {
-                w.mute(machine, is);
+            for (const auto& machine : world.machines_up()) {
+                world.mute(machine, is);
             }
         };
         mute(true);
-        w.run_for(mute_s);
+        world.run_for(mute_s);
         mute(false);
-        Time heard = w.now();
-        w.submit(1, w.job("req-99", 4));
-        while (w.starts({"req-99", 0}) == 0 && w.now() < heard + 200) {
-            w.run_for(0.5);
+        Time heard = world.now();
+        world.submit(1, world.job("req-99", 4));
+        while (world.starts({"req-99", 0}) == 0 && world.now() < heard + 200) {
+            world.run_for(0.5);
         }
         std::printf("mute %.0f s: served after %.1f s, given up as deaf %zu times\n", mute_s,
-                    w.now() - heard, w.logged("event=part_dropped"));
-        EXPECT_LT(w.now() - heard, w.facts(0).lease_s);
-        w.run_for(60);
-        EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+                    world.now() - heard, world.logged("event=leadership_resigned"));
+        EXPECT_LT(world.now() - heard, world.facts(0).worker_lease_s);
+        world.run_for(60);
+        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
     }
 }
 
 } // namespace
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -17,24 +17,24 @@
 #include "policy/defaults.h"
 #include "wire/codec.h"
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 namespace {
 
-Facts facts() {
-    Facts f;
-    f.node = "n0";
-    f.parts = {{"n0", "a"}};
-    f.teams = {{"red", 8, 16, 0, 0}};
-    f.report_s = 3;
-    f.lease_s = 17;
-    f.cancel_s = 42;
-    f.state_rps = 100;
-    f.state_write_rps = 20;
-    f.value_kb = 4;
-    f.txn_ops = 12;
-    f.cloud_rps = 6;
-    f.list_lag_s = 8;
-    return f;
+ClusterSettings facts() {
+    ClusterSettings settings;
+    settings.node = "n0";
+    settings.partitions = {{"n0", "a"}};
+    settings.teams = {{"red", 8, 16, 0, 0}};
+    settings.heartbeat_interval_s = 3;
+    settings.worker_lease_s = 17;
+    settings.cancel_s = 42;
+    settings.store_requests_per_s = 100;
+    settings.store_writes_per_s = 20;
+    settings.store_value_limit_kb = 4;
+    settings.store_transaction_limit = 12;
+    settings.cloud_requests_per_s = 6;
+    settings.list_lag_s = 8;
+    return settings;
 }
 
 constexpr int kSockets = 8 * 16;
@@ -62,7 +62,7 @@
     NetServer()
         : core_(facts(), policy::defaults(facts())),
           loop_(
-              core_, [](const Call&) {}, [](const LogLine&) {}),
+              core_, [](const OutboundRequest&) {}, [](const LogLine&) {}),
           server_(loop_, {kSockets, 3}) {}
     void SetUp() override {
         ASSERT_TRUE(server_.bind("127.0.0.1", 0));
@@ -163,13 +163,15 @@
     });
     int port = stand_in.bind_to_any_port("127.0.0.1");
     std::thread serving([&] { stand_in.listen_after_bind(); });
-    std::promise<CallReply> first;
-    std::promise<CallReply> second;
+    std::promise<OutboundResponse> first;
+    std::promise<OutboundResponse> second;
     net::Clients clients(
         {"127.0.0.1:" + std::to_string(port), "127.0.0.1:1", {}, 3, 0, 0, 12},
-        [&](CallReply reply) { (reply.call == 1 ? first : second).set_value(std::move(reply)); });
-    clients.send({1, Get{"job/req-1"}});
-    clients.send({2, ListHosts{""}});
+        [&](OutboundResponse response) {
+            (response.request_id == 1 ? first : second).set_value(std::move(response));
+        });
+    clients.send({1, StoreGet{"job/req-1"}});
+    clients.send({2, ListInstances{""}});
     EXPECT_EQ(first.get_future().get().status, 404);
     EXPECT_EQ(second.get_future().get().status, 0);
     clients.stop();
@@ -199,17 +201,17 @@
     std::promise<std::pair<int, int>> answered; // status, and calls given up before
     net::Clients clients(
         {"127.0.0.1:" + std::to_string(port), "127.0.0.1:1", {}, 20, 0, 0, kLost + 1},
-        [&](CallReply reply) {
-            if (reply.call == kLost + 1) {
-                answered.set_value({reply.status, given_up});
+        [&](OutboundResponse response) {
+            if (response.request_id == kLost + 1) {
+                answered.set_value({response.status, given_up});
             } else {
                 ++given_up;
             }
         });
     for (int i = 1; i <= kLost; ++i) {
-        clients.send({static_cast<CallId>(i), Get{"job/lost"}});
+        clients.send({static_cast<OutboundRequestId>(i), StoreGet{"job/lost"}});
     }
-    clients.send({kLost + 1, Get{"job/req-1"}});
+    clients.send({kLost + 1, StoreGet{"job/req-1"}});
     EXPECT_EQ(answered.get_future().get(), std::pair(404, 0));
     gate.set_value();
     clients.stop();
@@ -238,4 +240,4 @@
 }
 
 } // namespace
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/poll_test.cpp
+++ b/tests/poll_test.cpp
@@ -3,30 +3,30 @@
 
 #include "core/poll_desk.h"
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 namespace {
 
-Facts facts() {
-    Facts f;
-    f.parts.resize(5);
-    f.state_rps = 350;
-    f.state_write_rps = 150;
-    f.txn_ops = 12;
-    f.report_s = 6;
-    return f;
+ClusterSettings facts() {
+    ClusterSettings settings;
+    settings.partitions.resize(5);
+    settings.store_requests_per_s = 350;
+    settings.store_writes_per_s = 150;
+    settings.store_transaction_limit = 12;
+    settings.heartbeat_interval_s = 6;
+    return settings;
 }
 
 std::string id(int n) { return "req-" + std::to_string(n); }
 
 // A desk with what it sent and answered, and the versions that the state service holds.
 struct Desk {
-    StateBudget budget{350, 150, 5};
-    Calls calls{budget, 1};
-    JobIndex index;
-    PollDesk desk{facts(), calls, index,
-                  [](const std::string&, std::uint32_t&, std::uint32_t&) { return false; }};
+    StoreRateLimiter budget{350, 150, 5};
+    OutboundRequests calls{budget, 1};
+    JobRecordCache index;
+    JobStatusReader desk{facts(), calls, index,
+                         [](const std::string&, std::uint32_t&, std::uint32_t&) { return false; }};
     std::map<std::string, KeyedRecord> kv;
-    std::vector<Call> sent;
+    std::vector<OutboundRequest> sent;
     std::map<RequestId, std::pair<int, std::string>> answers; // status and stage
     std::size_t requests = 0;
     std::size_t changes = 0;
@@ -34,48 +34,48 @@
     void hold(const std::string& job, std::uint64_t version, Outcome outcome = Outcome::none) {
         kv["job/" + job] = {"job/" + job, JobRecord{outcome, {}}, version};
     }
-    void poll(Time now, RequestId request, const std::string& job) {
-        desk.poll(now, request, job);
+    void poll(Time now, RequestId request_id, const std::string& job) {
+        desk.poll(now, request_id, job);
         step(now);
     }
     void step(Time now) {
         desk.flush(now);
         Outputs out;
-        calls.take(out);
-        for (const auto& a : out.answers) {
-            const auto* job = std::get_if<JobAnswer>(&a.body);
-            answers[a.request] = {a.status, job ? job->stage : ""};
+        calls.drain_into(out);
+        for (const auto& a : out.responses) {
+            const auto* job = std::get_if<JobStatusBody>(&a.body);
+            answers[a.request_id] = {a.status, job ? job->stage : ""};
         }
-        for (auto& c : out.calls) {
+        for (auto& c : out.requests) {
             ++requests;
             sent.push_back(std::move(c));
         }
     }
     // The state service answers the call as it stands now.
-    void serve(Time now, const Call& call) {
-        CallReply reply;
-        reply.call = call.id;
-        reply.status = 200;
-        if (const auto* get = std::get_if<Get>(&call.body)) {
+    void serve(Time now, const OutboundRequest& call) {
+        OutboundResponse response;
+        response.request_id = call.id;
+        response.status = 200;
+        if (const auto* get = std::get_if<StoreGet>(&call.body)) {
             auto it = kv.find(get->key);
             if (it == kv.end()) {
-                reply.status = 404;
+                response.status = 404;
             } else {
-                reply.items.push_back(it->second);
+                response.entries.push_back(it->second);
             }
         } else {
-            const auto& txn = std::get<Txn>(call.body);
-            EXPECT_LE(txn.when.size(), 48u);
-            changes += txn.then.size();
-            for (const auto& c : txn.when) {
-                auto it = kv.find(c.key);
-                if ((it == kv.end() ? 0 : it->second.version) != c.version) {
-                    reply.status = 409;
-                    reply.failed.push_back(c.key);
+            const auto& txn = std::get<StoreTransaction>(call.body);
+            EXPECT_LE(txn.conditions.size(), 48u);
+            changes += txn.writes.size();
+            for (const auto& condition : txn.conditions) {
+                auto it = kv.find(condition.key);
+                if ((it == kv.end() ? 0 : it->second.version) != condition.version) {
+                    response.status = 409;
+                    response.failed_keys.push_back(condition.key);
                 }
             }
         }
-        calls.answered(now, reply);
+        calls.handle_response(now, response);
     }
     void serve_all(Time now) {
         for (const auto& call : std::exchange(sent, {})) {
@@ -90,7 +90,7 @@
     Desk d;
     for (int n = 0; n < 1000; ++n) {
         d.hold(id(n), 7 + n);
-        d.index.saw(0, id(n), 7 + n, JobRecord{});
+        d.index.observe(0, id(n), 7 + n, JobRecord{});
     }
     constexpr double kStep = 0.005;
     for (int n = 0; n < 4000; ++n) { // four rounds
@@ -114,7 +114,7 @@
     d.hold("req-1", 5);
     d.poll(0, 1, "req-1");
     ASSERT_EQ(d.sent.size(), 1u);
-    Call first = d.sent[0];
+    OutboundRequest first = d.sent[0];
     d.sent.clear();
     d.serve(0.01, first); // was read while open ...
     d.hold("req-1", 9, Outcome::done);
@@ -130,7 +130,7 @@
 TEST(Polls, ThatComeDuringAReadWaitForAnotherThatTheyAllShare) {
     Desk d;
     d.poll(0, 1, "req-1"); // nobody has submitted it yet
-    Call first = d.sent[0];
+    OutboundRequest first = d.sent[0];
     d.sent.clear();
     d.poll(0.01, 2, "req-1");
     d.poll(0.01, 3, "req-1");
@@ -149,7 +149,7 @@
     Desk d;
     for (int n = 0; n < 10; ++n) {
         d.hold(id(n), 3);
-        d.index.saw(0, id(n), 3, JobRecord{});
+        d.index.observe(0, id(n), 3, JobRecord{});
     }
     d.hold(id(4), 8, Outcome::cancelled);
     d.poll(0, 100, id(0)); // goes alone
@@ -167,20 +167,20 @@
 
 TEST(Polls, GetA503WhenTheStateServiceIsAwayOrTheBudgetIsSpent) {
     Desk d;
-    d.index.saw(0, "req-1", 3, JobRecord{});
+    d.index.observe(0, "req-1", 3, JobRecord{});
     d.poll(0, 1, "req-1");
-    CallReply away;
-    away.call = d.sent.at(0).id;
+    OutboundResponse away;
+    away.request_id = d.sent.at(0).id;
     away.status = 503;
-    d.calls.answered(0.1, away);
+    d.calls.handle_response(0.1, away);
     d.step(0.1);
     EXPECT_EQ(d.answers.at(1).first, 503);
-    while (d.budget.take(1, StateBudget::Use::poll, 0)) {
+    while (d.budget.try_acquire(1, StoreRateLimiter::Use::poll, 0)) {
     }
-    d.budget.refused(1);
+    d.budget.on_throttled(1);
     d.poll(1, 2, "req-1");
     for (Time t = 1; t < 2.2; t += 0.1) {
-        while (d.budget.take(t, StateBudget::Use::poll, 0)) {
+        while (d.budget.try_acquire(t, StoreRateLimiter::Use::poll, 0)) {
         }
         d.step(t);
     }
@@ -188,4 +188,4 @@
 }
 
 } // namespace
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -9,27 +9,27 @@
 #include "scale/hollow_worker.h"
 #include "scale/state_store.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 namespace {
 
 using Kind = Event::Kind;
 constexpr char kJob[] = "req-1";
 constexpr double kCancel_s = 42;
 
-MachineType machine_type() { return {"m8", 8, 0, 32, 20, 1, 1.0, 0.4, 10, {"a", "b"}}; }
+InstanceType machine_type() { return {"m8", 8, 0, 32, 20, 1, 1.0, 0.4, 10, {"a", "b"}}; }
 
 JobSpec spec_of(const std::string& id) {
-    JobSpec s;
-    s.id = id;
-    s.job_class = "scan";
-    s.team = "red";
-    s.tasks = 3;
-    s.cpus = 2;
-    s.ram_gb = 2;
-    s.image = "img";
-    s.image_gb = 1;
-    s.zone = "a";
-    return s;
+    JobSpec spec;
+    spec.id = id;
+    spec.job_class = "scan";
+    spec.team = "red";
+    spec.tasks = 3;
+    spec.cpus = 2;
+    spec.ram_gb = 2;
+    spec.image = "img";
+    spec.image_gb = 1;
+    spec.zone = "a";
+    return spec;
 }
 
 class CheckerTest : public testing::Test {
@@ -232,38 +232,38 @@
   protected:
     HollowWorkerTest() {
         around.job = [](const std::string& id) -> std::optional<JobSpec> { return spec_of(id); };
-        around.run_s = [](const TaskRef&) { return 10.0; };
-        around.completed = [this](const TaskRef& t) { return completed.contains(t); };
-        around.came = [this](Time, const std::string&, const TaskRef& t) { there.insert(t); };
-        around.went = [this](Time, const std::string&, const TaskRef& t, bool done) {
+        around.run_s = [](const TaskId&) { return 10.0; };
+        around.completed = [this](const TaskId& t) { return completed.contains(t); };
+        around.came = [this](Time, const std::string&, const TaskId& t) { there.insert(t); };
+        around.went = [this](Time, const std::string&, const TaskId& t, bool done) {
             there.erase(t);
             if (done) {
                 completed.insert(t);
             }
         };
     }
-    static Command start(std::uint32_t task, std::uint64_t attempt) {
-        return {Op::start, {kJob, task}, attempt, 0};
+    static WorkerCommand start(std::uint32_t task, std::uint64_t attempt) {
+        return {CommandType::start, {kJob, task}, attempt, 0};
     }
-    std::set<TaskRef> there;
-    std::set<TaskRef> completed;
+    std::set<TaskId> there;
+    std::set<TaskId> completed;
     HollowWorker::Surroundings around;
     HollowWorker worker{0, {"i-1", "127.0.0.1:1", "a", false}, machine_type(), 17, around};
 };
 
 TEST_F(HollowWorkerTest, ATaskFetchesRunsExitsAndIsCleared) {
     EXPECT_EQ(worker.order(1, {5, 1, {start(0, 9)}}), 200);
-    Report r = worker.report(1.5, true);
-    ASSERT_EQ(r.tasks.size(), 1U);
-    EXPECT_EQ(r.tasks[0].stage, TaskStage::fetching);
-    EXPECT_EQ(r.token, 5U);
+    Heartbeat heartbeat = worker.report(1.5, true);
+    ASSERT_EQ(heartbeat.tasks.size(), 1U);
+    EXPECT_EQ(heartbeat.tasks[0].stage, TaskStage::fetching);
+    EXPECT_EQ(heartbeat.fencing_token, 5U);
     worker.advance(2.1); // one GB at one a second
     EXPECT_TRUE(there.contains({kJob, 0}));
     worker.answered(10, 1, 9, {5, {}});
     worker.advance(12.2);
     EXPECT_TRUE(completed.contains({kJob, 0}));
-    EXPECT_EQ(worker.report(12.3, true).tasks[0].why, ExitWhy::done);
-    EXPECT_EQ(worker.order(12.4, {5, 1, {{Op::clear, {kJob, 0}, 9, 0}}}), 200);
+    EXPECT_EQ(worker.report(12.3, true).tasks[0].exit_reason, ExitReason::done);
+    EXPECT_EQ(worker.order(12.4, {5, 1, {{CommandType::clear, {kJob, 0}, 9, 0}}}), 200);
     EXPECT_TRUE(worker.report(12.5, true).tasks.empty());
 }
 
@@ -289,13 +289,13 @@
 
 TEST_F(HollowWorkerTest, RefusesWhatHasNoRoomOrRunsAlready) {
     worker.order(1, {5, 1, {start(0, 9), start(0, 10), start(1, 9), start(2, 9)}});
-    Report r = worker.report(1, true);
-    ASSERT_EQ(r.tasks.size(), 4U);
-    EXPECT_EQ(r.tasks[1].why, ExitWhy::busy);
+    Heartbeat heartbeat = worker.report(1, true);
+    ASSERT_EQ(heartbeat.tasks.size(), 4U);
+    EXPECT_EQ(heartbeat.tasks[1].exit_reason, ExitReason::busy);
     for (std::uint32_t i = 0; i < 3; ++i) { // four places, three of them taken
-        worker.order(1, {5, 1, {{Op::start, {"req-2", i}, 9, 0}}});
+        worker.order(1, {5, 1, {{CommandType::start, {"req-2", i}, 9, 0}}});
     }
-    EXPECT_EQ(worker.report(1, true).tasks.back().why, ExitWhy::no_room);
+    EXPECT_EQ(worker.report(1, true).tasks.back().exit_reason, ExitReason::insufficient_capacity);
 }
 
 class StateStoreTest : public testing::Test {
@@ -365,8 +365,8 @@
     EXPECT_EQ(cloud.up(1 + plan.machine_type().boot_s), names);
     cloud.died(60, names[0]);
     bool more = false;
-    EXPECT_EQ(cloud.list(61, "", 500, more).back().stage, HostStage::running);
-    EXPECT_EQ(cloud.list(91, "", 500, more).back().stage, HostStage::failed);
+    EXPECT_EQ(cloud.list(61, "", 500, more).back().state, InstanceState::running);
+    EXPECT_EQ(cloud.list(91, "", 500, more).back().state, InstanceState::failed);
 }
 
 TEST(ScaleOptions, ARunThatWouldTakeTooMuchIsRefusedBeforeItBegins) {
@@ -391,4 +391,4 @@
 }
 
 } // namespace
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/tests/seeds.h
+++ b/tests/seeds.h
@@ -8,7 +8,7 @@
 #include <cstdlib>
 #include <string>
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 
 inline int seeds_asked() {
     const char* seeds = std::getenv("ORCHIDLANDING_SEEDS");
@@ -28,4 +28,4 @@
     }
 }
 
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/share_test.cpp
+++ b/tests/share_test.cpp
@@ -11,44 +11,44 @@
 #include "seeds.h"
 #include "world.h"
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 namespace {
 
-Facts five_nodes() { return World({.nodes = 5}).facts(0); }
+ClusterSettings five_nodes() { return World({.nodes = 5}).facts(0); }
 
 TEST(Shares, AreAtMostATwentiethOfAllMachinesAndHomeIsTheFixedHash) {
     for (const auto& zones :
          {std::vector<std::string>(5, "a"), std::vector<std::string>{"a", "b", "a", "b", "c"},
           std::vector<std::string>{"a", "b", "c"}}) {
-        Facts f;
+        ClusterSettings settings;
         for (std::size_t n = 0; n < zones.size(); ++n) {
-            f.parts.push_back({"n" + std::to_string(n), zones[n]});
+            settings.partitions.push_back({"n" + std::to_string(n), zones[n]});
         }
-        std::map<ShareId, int> count;
+        std::map<ShardId, int> count;
         int machines = 0;
         for (const auto& zone : {"a", "b", "c", "d"}) { // nobody is at home in d
             for (int i = 0; i < 2000; ++i, ++machines) {
                 std::string name = "i-" + std::to_string(100000 + i);
-                ShareId share = share_of_machine(f, name, zone);
-                EXPECT_EQ(share.home, part_of_machine(f, name, zone));
-                EXPECT_EQ(share, share_at(f, share.home, name));
-                ++count[share];
+                ShardId shard = shard_of_machine(settings, name, zone);
+                EXPECT_EQ(shard.home_partition, partition_of_machine(settings, name, zone));
+                EXPECT_EQ(shard, shard_at_home(settings, shard.home_partition, name));
+                ++count[shard];
             }
         }
-        EXPECT_EQ(count.size(), all_shares(f).size());
-        for (const auto& [share, n] : count) {
-            EXPECT_LT(n, 0.08 * machines) << text_of(share);
+        EXPECT_EQ(count.size(), all_shards(settings).size());
+        for (const auto& [shard, n] : count) {
+            EXPECT_LT(n, 0.08 * machines) << to_string(shard);
         }
     }
 }
 
 TEST(Shares, OfALostPartAreSpreadEvenlyOverThoseWhoAreThere) {
-    Facts f = five_nodes();
-    Holders now;
-    for (const auto& share : all_shares(f)) {
-        now[share.home].push_back(share.home);
+    ClusterSettings settings = five_nodes();
+    ShardHolders now;
+    for (const auto& shard : all_shards(settings)) {
+        now[shard.home_partition].push_back(shard.home_partition);
     }
-    Holders next = spread(now, 1, {0, 2, 3, 4}, 10);
+    ShardHolders next = reassign_shards(now, 1, {0, 2, 3, 4}, 10);
     ASSERT_EQ(next.size(), 1u);
     for (const auto& [home, holders] : next) {
         now[home] = holders;
@@ -61,33 +61,33 @@
     }
     EXPECT_EQ(held.count(1), 0u);
     int most = std::max({held[0], held[2], held[3], held[4]});
-    EXPECT_LE(most, 1.25 * static_cast<double>(all_shares(f).size()) / 4);
-    EXPECT_TRUE(spread(now, 1, {0, 2}, 10).empty()); // it holds none any more
-    EXPECT_TRUE(spread(now, 0, {}, 10).empty());     // nobody is there
+    EXPECT_LE(most, 1.25 * static_cast<double>(all_shards(settings).size()) / 4);
+    EXPECT_TRUE(reassign_shards(now, 1, {0, 2}, 10).empty()); // it holds none any more
+    EXPECT_TRUE(reassign_shards(now, 0, {}, 10).empty());     // nobody is there
 }
 
 // ---- When to move ----
 
 TEST(ShareBalance, GivesToTheLeastLoadedUntilTheDifferenceIsSmall) {
-    Facts f = five_nodes();
-    Balance balance(f);
+    ClusterSettings settings = five_nodes();
+    ShardBalancer balance(settings);
     auto choose = [&](Time now, double mine, double theirs, double capacity = 1) {
-        std::vector<ShareLoad> shares;
+        std::vector<ShardLoad> shards;
         for (int n = 0; n < 10; ++n) {
-            shares.push_back({{0, n}, mine / 10, true});
+            shards.push_back({{0, n}, mine / 10, true});
         }
         return balance.choose(now, 0,
                               {{0, mine, capacity, false},
                                {1, theirs, 1, true},
                                {2, theirs * 2, 1, true},
                                {3, 0, 1, false}}, // not heard of lately
-                              shares, 8);
+                              shards, 8);
     };
     EXPECT_FALSE(choose(100, 1000, 900)); // near enough
     auto move = choose(100, 1000, 500);
     ASSERT_TRUE(move);
-    EXPECT_EQ(move->to, 1);
-    balance.began(100);
+    EXPECT_EQ(move->to_partition, 1);
+    balance.on_migration_started(100);
     EXPECT_FALSE(choose(100.1, 1000, 500));   // one at a time
     EXPECT_TRUE(choose(104, 1000, 800));      // it goes on below where it began
     EXPECT_FALSE(choose(108, 1000, 900));     // until they are alike
@@ -97,24 +97,24 @@
 }
 
 TEST(ShareBalance, HasABoundOnMovesInAnHour) {
-    Facts f = five_nodes();
-    Balance balance(f);
+    ClusterSettings settings = five_nodes();
+    ShardBalancer balance(settings);
     int moves = 0;
     for (Time now = 0; now < 3600; now += 1) {
-        std::vector<ShareLoad> shares{{{0, 1}, 10, true}};
-        if (balance.choose(now, 0, {{0, 1000, 1, false}, {1, 10, 1, true}}, shares, 8)) {
-            balance.began(now);
+        std::vector<ShardLoad> shards{{{0, 1}, 10, true}};
+        if (balance.choose(now, 0, {{0, 1000, 1, false}, {1, 10, 1, true}}, shards, 8)) {
+            balance.on_migration_started(now);
             ++moves;
         }
     }
-    EXPECT_GE(moves, shares_at(f, 0));
-    EXPECT_LE(moves, 5 * shares_at(f, 0) + 1);
+    EXPECT_GE(moves, shards_per_home(settings, 0));
+    EXPECT_LE(moves, 5 * shards_per_home(settings, 0) + 1);
 }
 
 TEST(ShareBalance, CapacityFallsWhileTheTimerIsLateAndComesBackByDegrees) {
-    Facts f = five_nodes();
-    double tick = Controller::tick_s(f);
-    Capacity capacity(f, tick);
+    ClusterSettings settings = five_nodes();
+    double tick = Controller::tick_s(settings);
+    CpuHeadroom capacity(settings, tick);
     Time now = 0;
     auto run = [&](double seconds, double gap) {
         for (Time end = now + seconds; now < end; now += gap) {
@@ -123,50 +123,50 @@
     };
     run(60, tick * 1.1);
     EXPECT_EQ(capacity.value(), 1);
-    run(2 * f.report_s + 1, 1); // four times as long as it should be
+    run(2 * settings.heartbeat_interval_s + 1, 1); // four times as long as it should be
     EXPECT_LT(capacity.value(), 1);
     run(120, 1);
     EXPECT_NEAR(capacity.value(), 0.1, 0.01);
-    run(2 * f.lease_s + 2, tick);
+    run(2 * settings.worker_lease_s + 2, tick);
     EXPECT_GT(capacity.value(), 0.15);
     EXPECT_LT(capacity.value(), 0.5);
-    run(20 * f.lease_s, tick);
+    run(20 * settings.worker_lease_s, tick);
     EXPECT_EQ(capacity.value(), 1);
 }
 
 // ---- The table and the holdings ----
 
 struct Table {
-    Facts facts = five_nodes();
-    StateBudget budget{1000, 1000, 1};
-    Calls calls{budget, 1};
-    Authority authority{11};
-    PartTable table{facts};
+    ClusterSettings facts = five_nodes();
+    StoreRateLimiter budget{1000, 1000, 1};
+    OutboundRequests calls{budget, 1};
+    LeadershipLease authority{11};
+    PartitionMap table{facts};
     std::uint64_t revision = 10;
 
-    CallReply read(std::vector<KeyedRecord> more = {}) {
-        CallReply r;
+    OutboundResponse read(std::vector<KeyedRecord> more = {}) {
+        OutboundResponse r;
         r.status = 200;
         r.revision = revision;
         for (int p = 0; p < 5; ++p) {
-            r.items.push_back({part_key(p), PartRecord{"n" + std::to_string(p), true},
-                               static_cast<std::uint64_t>(2 + p)});
+            r.entries.push_back({partition_key(p), PartitionRecord{"n" + std::to_string(p), true},
+                                 static_cast<std::uint64_t>(2 + p)});
         }
-        r.items.insert(r.items.end(), more.begin(), more.end());
+        r.entries.insert(r.entries.end(), more.begin(), more.end());
         return r;
     }
     KeyedRecord shares(int home, std::vector<int> holders, std::uint64_t version) {
-        return {PartTable::shares_key(home), ShareRecord{std::move(holders)}, version};
+        return {PartitionMap::shards_key(home), ShardHoldersRecord{std::move(holders)}, version};
     }
     std::vector<int> at_home(int home) {
-        return std::vector<int>(static_cast<std::size_t>(shares_at(facts, home)), home);
+        return std::vector<int>(static_cast<std::size_t>(shards_per_home(facts, home)), home);
     }
     std::size_t errors() {
         Outputs out;
-        calls.take(out);
+        calls.drain_into(out);
         return static_cast<std::size_t>(
             std::count_if(out.log.begin(), out.log.end(), [](const LogLine& line) {
-                return line.text.starts_with("event=unreadable_record");
+                return line.text.starts_with("event=record_unreadable");
             }));
     }
 };
@@ -174,28 +174,28 @@
 TEST(ShareMap, WithoutOneEverythingIsAtHome) {
     Table t;
     EXPECT_EQ(t.table.revision(), 0u);
-    EXPECT_FALSE(t.table.may_change(12));
-    ASSERT_TRUE(t.table.take(t.read(), t.calls));
-    for (const auto& share : all_shares(t.facts)) {
-        EXPECT_EQ(t.table.holder(share), share.home);
+    EXPECT_FALSE(t.table.can_reassign(12));
+    ASSERT_TRUE(t.table.load(t.read(), t.calls));
+    for (const auto& shard : all_shards(t.facts)) {
+        EXPECT_EQ(t.table.holder(shard), shard.home_partition);
     }
-    EXPECT_TRUE(t.table.may_change(12));
-    EXPECT_FALSE(t.table.may_change(1)); // its conditions would not fit into a transaction
+    EXPECT_TRUE(t.table.can_reassign(12));
+    EXPECT_FALSE(t.table.can_reassign(1)); // its conditions would not fit into a transaction
 }
 
 TEST(ShareMap, ANodeOfTheVersionBeforeKeepsAllSharesWhereTheyAre) {
     Table t;
-    CallReply r = t.read();
-    std::get<PartRecord>(r.items[3].record).knows_shares = false;
-    ASSERT_TRUE(t.table.take(r, t.calls));
-    EXPECT_FALSE(t.table.may_change(12));
+    OutboundResponse r = t.read();
+    std::get<PartitionRecord>(r.entries[3].record).supports_sharding = false;
+    ASSERT_TRUE(t.table.load(r, t.calls));
+    EXPECT_FALSE(t.table.can_reassign(12));
 }
 
 TEST(ShareMap, ADamagedOneIsNamedAndFencedAndWhatWasKnownHolds) {
     Table t;
     auto moved = t.at_home(2);
     moved[0] = 4;
-    ASSERT_TRUE(t.table.take(t.read({t.shares(2, moved, 7)}), t.calls));
+    ASSERT_TRUE(t.table.load(t.read({t.shares(2, moved, 7)}), t.calls));
     EXPECT_EQ(t.table.holder({2, 0}), 4);
     EXPECT_EQ(t.errors(), 0u);
     auto short_one = t.at_home(2);
@@ -204,72 +204,73 @@
     unknown_part[1] = 5;
     std::uint64_t version = 8;
     for (const KeyedRecord& bad :
-         {KeyedRecord{PartTable::shares_key(2), Unreadable{}, version++},
+         {KeyedRecord{PartitionMap::shards_key(2), UnreadableRecord{}, version++},
           t.shares(2, short_one, version++), t.shares(2, unknown_part, version++)}) {
         ++t.revision;
-        ASSERT_TRUE(t.table.take(t.read({bad}), t.calls)); // the parts themselves are readable
+        ASSERT_TRUE(t.table.load(t.read({bad}), t.calls)); // the parts themselves are readable
         EXPECT_EQ(t.errors(), 1u);
         ++t.revision;
-        ASSERT_TRUE(t.table.take(t.read({bad}), t.calls));
+        ASSERT_TRUE(t.table.load(t.read({bad}), t.calls));
         EXPECT_EQ(t.errors(), 0u); // said once
         EXPECT_EQ(t.table.holder({2, 0}), 4);
-        EXPECT_FALSE(t.table.readable(2));
-        EXPECT_TRUE(t.table.readable(1));
+        EXPECT_FALSE(t.table.is_readable(2));
+        EXPECT_TRUE(t.table.is_readable(1));
     }
     // A claim that has not held them gets none by what was read before: that may be older than the
     // last change.
-    t.authority.granted(1, 0);
-    t.authority.claimed(4, t.revision);
-    Claim claim(0, 4, t.authority);
-    Holdings holdings(claim, t.table);
-    for (const auto& share : holdings.follow(0).gained) {
-        EXPECT_NE(share.home, 2);
-    }
-    EXPECT_FALSE(holdings.serves({2, 0}));
+    t.authority.on_granted(1, 0);
+    t.authority.on_elected(4, t.revision);
+    Leadership leadership(0, 4, t.authority);
+    OwnedShards owned_shards(leadership, t.table);
+    for (const auto& shard : owned_shards.update(0).gained) {
+        EXPECT_NE(shard.home_partition, 2);
+    }
+    EXPECT_FALSE(owned_shards.may_serve({2, 0}));
     // A node that has never seen a readable one knows nobody who holds them.
     Table fresh;
-    ASSERT_TRUE(fresh.table.take(fresh.read({t.shares(2, short_one, 9)}), fresh.calls));
+    ASSERT_TRUE(fresh.table.load(fresh.read({t.shares(2, short_one, 9)}), fresh.calls));
     EXPECT_EQ(fresh.table.holder({2, 0}), -1);
     EXPECT_EQ(fresh.table.holder({1, 0}), 1);
 }
 
 TEST(ShareMap, AnUnreadablePartIsBelievedInNothing) {
     Table t;
-    CallReply r = t.read();
-    r.items[0].record = Unreadable{};
-    EXPECT_FALSE(t.table.take(r, t.calls));
+    OutboundResponse r = t.read();
+    r.entries[0].record = UnreadableRecord{};
+    EXPECT_FALSE(t.table.load(r, t.calls));
     EXPECT_EQ(t.table.revision(), 0u);
 }
 
 struct Holding : Table {
-    std::unique_ptr<Claim> claim;
-    std::unique_ptr<Holdings> holdings;
+    std::unique_ptr<Leadership> claim;
+    std::unique_ptr<OwnedShards> holdings;
 
     explicit Holding(std::uint64_t term) {
-        authority.granted(1, 0);
-        authority.claimed(2, term);
-        claim = std::make_unique<Claim>(0, 2, authority);
-        holdings = std::make_unique<Holdings>(*claim, table);
+        authority.on_granted(1, 0);
+        authority.on_elected(2, term);
+        claim = std::make_unique<Leadership>(0, 2, authority);
+        holdings = std::make_unique<OwnedShards>(*claim, table);
     }
-    Holdings::News read_map(std::uint64_t at, std::vector<int> holders, std::uint64_t version) {
+    OwnedShards::Changes read_map(std::uint64_t at, std::vector<int> holders,
+                                  std::uint64_t version) {
         revision = at;
-        EXPECT_TRUE(table.take(read({shares(2, std::move(holders), version)}), calls));
-        return holdings->follow(0);
+        EXPECT_TRUE(table.load(read({shares(2, std::move(holders), version)}), calls));
+        return holdings->update(0);
     }
 };
 
 TEST(ShareHoldings, CountOnlyFromAMapReadAfterTheClaimAndRiseWithEachHolding) {
     Holding h(20);
     EXPECT_TRUE(h.read_map(19, h.at_home(2), 7).gained.empty()); // older than the claim
-    EXPECT_FALSE(h.holdings->known());
+    EXPECT_FALSE(h.holdings->has_map());
     EXPECT_EQ(h.read_map(25, h.at_home(2), 7).gained.size(), h.at_home(2).size());
     EXPECT_EQ(h.holdings->term({2, 0}), 25u);
     auto given = h.at_home(2);
     given[0] = 3;
     auto news = h.read_map(30, given, 29);
     ASSERT_EQ(news.lost.size(), 1u);
-    EXPECT_EQ(news.lost[0], (std::pair(ShareId{2, 0}, 3)));
-    EXPECT_FALSE(h.holdings->serves({2, 0}));
+    EXPECT_EQ(news.lost[0], (std::pair(ShardId{2, 0}, 3)));
+    EXPECT_FALSE(h.holdings->may_serve({2, 0}));
     EXPECT_TRUE(h.read_map(28, h.at_home(2), 7).gained.empty()); // a read that was overtaken
     EXPECT_EQ(h.read_map(35, h.at_home(2), 33).gained.size(), 1u);
     EXPECT_EQ(h.holdings->term({2, 0}), 35u);
@@ -280,24 +281,25 @@
     Holding h(20);
     auto others = h.at_home(2);
     others[0] = 3;
-    EXPECT_FALSE(h.holdings->take(0, {{2, 0}, 26, 20})); // no map has been seen yet
+    EXPECT_FALSE(h.holdings->accept_transfer(0, {{2, 0}, 26, 20})); // no map has been seen yet
     h.read_map(25, others, 7);
-    EXPECT_FALSE(h.holdings->take(0, {{2, 0}, 26, 19})); // given to a claim before this one
-    EXPECT_FALSE(h.holdings->take(0, {{2, 0}, 24, 20})); // read better since
-    ASSERT_TRUE(h.holdings->take(0, {{2, 0}, 30, 20}));
+    EXPECT_FALSE(
+        h.holdings->accept_transfer(0, {{2, 0}, 26, 19})); // given to a claim before this one
+    EXPECT_FALSE(h.holdings->accept_transfer(0, {{2, 0}, 24, 20})); // read better since
+    ASSERT_TRUE(h.holdings->accept_transfer(0, {{2, 0}, 30, 20}));
     EXPECT_EQ(h.holdings->term({2, 0}), 30u);
     EXPECT_TRUE(h.read_map(28, others, 7).lost.empty()); // read before it was given
     EXPECT_TRUE(h.read_map(31, h.at_home(2), 30).gained.empty());
     EXPECT_EQ(h.holdings->term({2, 0}), 30u);
-    h.holdings->gave({2, 0}, 40);
-    EXPECT_FALSE(h.holdings->take(0, {{2, 0}, 30, 20})); // the same word, late
+    h.holdings->migrated_out({2, 0}, 40);
+    EXPECT_FALSE(h.holdings->accept_transfer(0, {{2, 0}, 30, 20})); // the same word, late
     EXPECT_EQ(h.holdings->find({2, 0}), nullptr);
 }
 
 // ---- A move, step by step ----
 
-struct Moving : Holding, Mover::Part {
-    std::unique_ptr<Mover> mover;
+struct Moving : Holding, ShardMigration::Delegate {
+    std::unique_ptr<ShardMigration> mover;
     bool quiet = true;
     std::vector<int> handed_on;
     std::vector<std::pair<int, std::uint64_t>> told;
@@ -305,26 +307,28 @@
 
     Moving() : Holding(4) { // the version of part/2 in `read`
         read_map(25, at_home(2), 7);
-        mover = std::make_unique<Mover>(*claim, facts, table, *holdings, calls, *this);
-    }
-    bool still(const ShareId&) const override { return quiet; }
-    void relist(const ShareId&) override {}
-    void list_again(const ShareId&) override { ++listed_again; }
-    void hand_on(Time, const ShareId&, int to) override { handed_on.push_back(to); }
-    void tell_given(int to, const Given& given) override { told.emplace_back(to, given.term); }
-    std::vector<Call> sent() {
+        mover = std::make_unique<ShardMigration>(*claim, facts, table, *holdings, calls, *this);
+    }
+    bool is_quiescent(const ShardId&) const override { return quiet; }
+    void update_slot_lists(const ShardId&) override {}
+    void republish_inventory(const ShardId&) override { ++listed_again; }
+    void on_migrated(Time, const ShardId&, int to) override { handed_on.push_back(to); }
+    void announce_transfer(int to, const ShardTransfer& transfer) override {
+        told.emplace_back(to, transfer.term);
+    }
+    std::vector<OutboundRequest> sent() {
         Outputs out;
-        calls.take(out);
-        return out.calls;
+        calls.drain_into(out);
+        return out.requests;
     }
-    void reply(Time now, const Call& call, int status, std::uint64_t at = 0) {
-        CallReply r;
-        r.call = call.id;
+    void reply(Time now, const OutboundRequest& call, int status, std::uint64_t at = 0) {
+        OutboundResponse r;
+        r.request_id = call.id;
         r.status = status;
         r.revision = at;
-        calls.answered(now, r);
+        calls.handle_response(now, r);
     }
-    Holdings::State state() const { return holdings->find({2, 0})->state; }
+    OwnedShards::State state() const { return holdings->find({2, 0})->state; }
 };
 
 TEST(ShareMover, GivesNoSlotFromTheStartAndNoAnswerFromTheTransactionOn) {
@@ -332,19 +336,19 @@
     m.quiet = false;
     ASSERT_TRUE(m.mover->begin(100, {2, 0}, 3));
     EXPECT_FALSE(m.mover->begin(100, {2, 1}, 3)); // one at a time
-    EXPECT_FALSE(m.holdings->gives({2, 0}));
-    EXPECT_TRUE(m.holdings->serves({2, 0}));
+    EXPECT_FALSE(m.holdings->may_lend({2, 0}));
+    EXPECT_TRUE(m.holdings->may_serve({2, 0}));
     m.mover->tick(100.1);
     EXPECT_TRUE(m.sent().empty()); // starts are on their way
     m.quiet = true;
     m.mover->tick(100.2);
     auto calls = m.sent();
     ASSERT_EQ(calls.size(), 1u);
-    const Txn& txn = std::get<Txn>(calls[0].body);
-    EXPECT_EQ(txn.when.size(), 6u); // every part, and the key of the map
-    ASSERT_EQ(txn.then.size(), 1u);
-    EXPECT_EQ(txn.then[0].key, "part/2/shares");
-    EXPECT_FALSE(m.holdings->serves({2, 0}));
+    const StoreTransaction& transaction = std::get<StoreTransaction>(calls[0].body);
+    EXPECT_EQ(transaction.conditions.size(), 6u); // every part, and the key of the map
+    ASSERT_EQ(transaction.writes.size(), 1u);
+    EXPECT_EQ(transaction.writes[0].key, "part/2/shares");
+    EXPECT_FALSE(m.holdings->may_serve({2, 0}));
     m.reply(100.3, calls[0], 200, 31);
     EXPECT_EQ(m.handed_on, (std::vector<int>{3}));
     EXPECT_EQ(m.told, (std::vector<std::pair<int, std::uint64_t>>{{3, 5}})); // and its claim's term
@@ -356,9 +360,9 @@
     Moving m;
     m.quiet = false;
     ASSERT_TRUE(m.mover->begin(100, {2, 0}, 3));
-    m.mover->tick(100 + 2 * m.facts.report_s);
+    m.mover->tick(100 + 2 * m.facts.heartbeat_interval_s);
     EXPECT_TRUE(m.sent().empty());
-    m.mover->tick(100.1 + 2 * m.facts.report_s);
+    m.mover->tick(100.1 + 2 * m.facts.heartbeat_interval_s);
     EXPECT_EQ(m.sent().size(), 1u);
 }
 
@@ -369,7 +373,7 @@
         m.mover->tick(100);
         m.reply(100.1, m.sent().at(0), status, 30);
         EXPECT_FALSE(m.mover->busy());
-        EXPECT_TRUE(m.holdings->gives({2, 0}));
+        EXPECT_TRUE(m.holdings->may_lend({2, 0}));
         EXPECT_EQ(m.listed_again, 1); // listings have left it out
     }
 }
@@ -385,20 +389,20 @@
         EXPECT_TRUE(m.sent().empty()); // not at once
         m.mover->tick(102);
         auto second = m.sent().at(0);
-        EXPECT_EQ(std::get<Txn>(second.body).when.back().version,
-                  std::get<Txn>(first.body).when.back().version);
+        EXPECT_EQ(std::get<StoreTransaction>(second.body).conditions.back().version,
+                  std::get<StoreTransaction>(first.body).conditions.back().version);
         m.reply(102.1, second, 503); // not executed, but the first may be yet
-        EXPECT_EQ(m.state(), Holdings::State::doubt);
+        EXPECT_EQ(m.state(), OwnedShards::State::in_doubt);
         m.mover->tick(103);
         m.reply(103.1, m.sent().at(0), 409, 40);
-        EXPECT_EQ(m.state(), Holdings::State::doubt); // the map as it was read says nothing
+        EXPECT_EQ(m.state(), OwnedShards::State::in_doubt); // the map as it was read says nothing
         m.mover->tick(104);
         EXPECT_TRUE(m.sent().empty());
         auto holders = m.at_home(2);
         holders[took_effect ? 0 : 1] = 3; // else another change refused it
         auto news = m.read_map(41, holders, 33);
-        for (const auto& [share, to] : news.lost) {
-            m.mover->lost(share);
+        for (const auto& [shard, to] : news.lost) {
+            m.mover->on_shard_lost(shard);
         }
         m.mover->tick(105);
         EXPECT_FALSE(m.mover->busy());
@@ -411,14 +415,14 @@
     Moving m;
     EXPECT_FALSE(m.mover->begin(100, {1, 0}, 3)); // not ours
     EXPECT_FALSE(m.mover->begin(100, {2, 0}, 2)); // to ourselves
-    CallReply r = m.read();
-    std::erase_if(r.items, [](const auto& i) { return i.key == "part/3"; });
+    OutboundResponse r = m.read();
+    std::erase_if(r.entries, [](const auto& i) { return i.key == "part/3"; });
     r.revision = 50;
-    ASSERT_TRUE(m.table.take(r, m.calls));
+    ASSERT_TRUE(m.table.load(r, m.calls));
     EXPECT_FALSE(m.mover->begin(100, {2, 0}, 3)); // its owner is gone
-    r = m.read({{PartTable::shares_key(2), Unreadable{}, 51}});
+    r = m.read({{PartitionMap::shards_key(2), UnreadableRecord{}, 51}});
     r.revision = 51;
-    ASSERT_TRUE(m.table.take(r, m.calls));
+    ASSERT_TRUE(m.table.load(r, m.calls));
     EXPECT_FALSE(m.mover->begin(100, {2, 0}, 3));
 }
 
@@ -429,44 +433,44 @@
 }
 
 // A world of five controllers and at least `machines` that run the tasks of a large job.
-void fill(World& w, std::size_t machines, const std::string& team = "red") {
-    w.run_for(3);
-    JobSpec s = w.job("req-1", static_cast<std::uint32_t>(machines * 4), 2);
-    s.team = team;
-    w.submit(0, s);
-    w.run_for(30);
-    ASSERT_GE(w.machines_up().size(), machines);
+void fill(World& world, std::size_t machines, const std::string& team = "red") {
+    world.run_for(3);
+    JobSpec spec = world.job("req-1", static_cast<std::uint32_t>(machines * 4), 2);
+    spec.team = team;
+    world.submit(0, spec);
+    world.run_for(30);
+    ASSERT_GE(world.machines_up().size(), machines);
 }
 
 // A share that the part holds and that has machines.
-ShareId busy_share(const World& w, int part) {
-    std::map<ShareId, int> count;
-    for (const auto& machine : w.machines_up()) {
-        ++count[share_of_machine(w.facts(0), machine, w.zone_of(machine))];
-    }
-    ShareId best{-1, -1};
-    for (const auto& share : w.shares(part)) {
-        if (count[share] > 0 && (best.home < 0 || count[share] > count[best])) {
-            best = share;
+ShardId busy_share(const World& world, int partition) {
+    std::map<ShardId, int> count;
+    for (const auto& machine : world.machines_up()) {
+        ++count[shard_of_machine(world.facts(0), machine, world.zone_of(machine))];
+    }
+    ShardId best{-1, -1};
+    for (const auto& shard : world.shares(partition)) {
+        if (count[shard] > 0 && (best.home_partition < 0 || count[shard] > count[best])) {
+            best = shard;
         }
     }
     return best;
 }
 
-void cut_all_peers(World& w, bool cut) {
+void cut_all_peers(World& world, bool cut) {
     for (int a = 0; a < 5; ++a) {
         for (int b = 0; b <= a; ++b) {
-            w.cut_peers(a, b, cut);
+            world.cut_peers(a, b, cut);
         }
     }
 }
 
 // The part that holds the share; -1: none that is owned now.
-int holder(const World& w, const ShareId& share) {
-    for (int part = 0; part < 5; ++part) {
-        for (const auto& held : w.shares(part)) {
-            if (held == share) {
-                return part;
+int holder(const World& world, const ShardId& shard) {
+    for (int partition = 0; partition < 5; ++partition) {
+        for (const auto& held : world.shares(partition)) {
+            if (held == shard) {
+                return partition;
             }
         }
     }
@@ -476,62 +480,62 @@
 TEST(ShareMoves, AHundredOfOneShareToAndFroStopNoTask) {
     WorldOptions options = five();
     options.run_s = 420;
-    World w(options);
-    fill(w, 24);
-    w.run_for(20); // the parts have settled
+    World world(options);
+    fill(world, 24);
+    world.run_for(20); // the parts have settled
     int from = 0;
-    ShareId share = busy_share(w, from);
-    ASSERT_GE(share.home, 0);
-    std::map<TaskRef, std::uint64_t> before;
+    ShardId shard = busy_share(world, from);
+    ASSERT_GE(shard.home_partition, 0);
+    std::map<TaskId, std::uint64_t> before;
     for (std::uint32_t i = 0; i < 96; ++i) {
-        before[{"req-1", i}] = w.attempt_of({"req-1", i});
+        before[{"req-1", i}] = world.attempt_of({"req-1", i});
     }
     int moves = 0;
     for (; moves < 100; ++moves) {
         int to = (from + 1 + moves % 4) % 5;
-        ASSERT_TRUE(w.give(from, share, to)) << moves;
-        for (int k = 0; k < 100 && holder(w, share) != to; ++k) {
-            w.run_for(0.1);
+        ASSERT_TRUE(world.give(from, shard, to)) << moves;
+        for (int k = 0; k < 100 && holder(world, shard) != to; ++k) {
+            world.run_for(0.1);
         }
-        ASSERT_EQ(holder(w, share), to) << moves;
+        ASSERT_EQ(holder(world, shard), to) << moves;
         from = to;
-        w.run_for(0.5);
-        ASSERT_TRUE(w.broken.empty()) << w.broken.front();
+        world.run_for(0.5);
+        ASSERT_TRUE(world.broken.empty()) << world.broken.front();
     }
     for (const auto& [task, attempt] : before) {
-        EXPECT_EQ(w.attempt_of(task), attempt) << task.index;
-        EXPECT_EQ(w.starts(task), 1);
+        EXPECT_EQ(world.attempt_of(task), attempt) << task.index;
+        EXPECT_EQ(world.starts(task), 1);
     }
-    w.run_for(600);
-    EXPECT_TRUE(w.all_done("req-1"));
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+    world.run_for(600);
+    EXPECT_TRUE(world.all_done("req-1"));
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
 TEST(ShareMoves, TheTakerGivesSlotsOfTheShareAndTheGiverNoMore) {
-    World w(five());
-    fill(w, 24);
-    w.run_for(20);
-    ShareId share = busy_share(w, 0);
-    ASSERT_TRUE(w.give(0, share, 3));
-    w.run_for(8);
-    ASSERT_EQ(holder(w, share), 3);
+    World world(five());
+    fill(world, 24);
+    world.run_for(20);
+    ShardId shard = busy_share(world, 0);
+    ASSERT_TRUE(world.give(0, shard, 3));
+    world.run_for(8);
+    ASSERT_EQ(holder(world, shard), 3);
     std::size_t on = 0;
-    JobSpec s = w.job("req-2", 60, 2);
-    s.team = "blue";
-    w.submit(0, s);
-    w.run_for(60);
-    for (const auto& machine : w.machines_up()) {
-        if (share_of_machine(w.facts(0), machine, w.zone_of(machine)) == share) {
+    JobSpec spec = world.job("req-2", 60, 2);
+    spec.team = "blue";
+    world.submit(0, spec);
+    world.run_for(60);
+    for (const auto& machine : world.machines_up()) {
+        if (shard_of_machine(world.facts(0), machine, world.zone_of(machine)) == shard) {
             for (std::uint32_t i = 0; i < 60; ++i) {
-                on += w.machines_of({"req-2", i}).contains(machine);
+                on += world.machines_of({"req-2", i}).contains(machine);
             }
         }
     }
-    w.run_for(200);
-    EXPECT_TRUE(w.all_done("req-1"));
-    EXPECT_TRUE(w.all_done("req-2"));
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
-    EXPECT_EQ(w.logged("event=share_moved"), 1u);
+    world.run_for(200);
+    EXPECT_TRUE(world.all_done("req-1"));
+    EXPECT_TRUE(world.all_done("req-2"));
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_EQ(world.logged("event=shard_migrated"), 1u);
 }
 
 // The giver, the taker or both end right after the giver's n-th call since the move began, each n
@@ -545,48 +549,48 @@
 TEST_P(ShareCrash, AfterEachSingleOutputLosesNothing) {
     int outputs = 1;
     for (int n = 0; n < outputs; ++n) {
-        World w(five(7));
-        fill(w, 20);
-        w.run_for(20);
+        World world(five(7));
+        fill(world, 20);
+        world.run_for(20);
         const int from = 0;
         const int to = 3;
-        ShareId share = busy_share(w, from);
-        ASSERT_GE(share.home, 0);
+        ShardId shard = busy_share(world, from);
+        ASSERT_GE(shard.home_partition, 0);
         int calls = 0;
         bool moving = true;
-        w.intercept = [&](int node, const CallBody&) {
-            moving = moving && holder(w, share) != to;
+        world.intercept = [&](int node, const OutboundBody&) {
+            moving = moving && holder(world, shard) != to;
             if (node == from && (moving || calls <= n) && calls++ == n) {
-                w.at(w.now(), [&w, from, to] {
+                world.at(world.now(), [&world, from, to] {
                     if (GetParam().giver) {
-                        w.crash(from, 15);
+                        world.crash(from, 15);
                     }
                     if (GetParam().taker) {
-                        w.crash(to, 15);
+                        world.crash(to, 15);
                     }
                 });
             }
             return false;
         };
-        ASSERT_TRUE(w.give(from, share, to));
-        w.run_for(8);
-        w.intercept = nullptr;
+        ASSERT_TRUE(world.give(from, shard, to));
+        world.run_for(8);
+        world.intercept = nullptr;
         if (n == 0) {
             World calm(five(7)); // how many outputs a move has
             fill(calm, 20);
             calm.run_for(20);
             outputs = 0;
-            calm.intercept = [&](int node, const CallBody&) {
-                outputs += node == from && holder(calm, share) != to;
+            calm.intercept = [&](int node, const OutboundBody&) {
+                outputs += node == from && holder(calm, shard) != to;
                 return false;
             };
-            ASSERT_TRUE(calm.give(from, share, to));
+            ASSERT_TRUE(calm.give(from, shard, to));
             calm.run_for(8);
             ASSERT_GT(outputs, 3);
         }
-        w.run_for(240);
-        ASSERT_TRUE(w.broken.empty()) << w.broken.front() << " after output " << n;
-        ASSERT_TRUE(w.all_done("req-1")) << "after output " << n;
+        world.run_for(240);
+        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " after output " << n;
+        ASSERT_TRUE(world.all_done("req-1")) << "after output " << n;
     }
 }
 INSTANTIATE_TEST_SUITE_P(OfGiverTakerBoth, ShareCrash,
@@ -595,16 +599,16 @@
 
 TEST(ShareMoves, AFrozenGiverOrTakerIsOutlived) {
     for (int frozen : {0, 3}) {
-        World w(five(3));
-        fill(w, 20);
-        w.run_for(20);
-        ShareId share = busy_share(w, 0);
-        ASSERT_TRUE(w.give(0, share, 3));
-        w.run_for(0.3);
-        w.freeze(frozen, 40);
-        w.run_for(240);
-        EXPECT_TRUE(w.broken.empty()) << w.broken.front();
-        EXPECT_TRUE(w.all_done("req-1"));
+        World world(five(3));
+        fill(world, 20);
+        world.run_for(20);
+        ShardId shard = busy_share(world, 0);
+        ASSERT_TRUE(world.give(0, shard, 3));
+        world.run_for(0.3);
+        world.freeze(frozen, 40);
+        world.run_for(240);
+        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+        EXPECT_TRUE(world.all_done("req-1"));
     }
 }
 
@@ -612,197 +616,199 @@
     WorldOptions options = five(4);
     options.run_s = 120;
     for (double after : {0.0, 0.02, 0.1, 0.3}) {
-        World w(options);
-        fill(w, 20);
-        w.run_for(20);
-        ShareId share = busy_share(w, 0);
-        ASSERT_TRUE(w.give(0, share, 3));
-        w.run_for(after);
-        w.state_down(true);
-        w.run_for(40); // longer than any lease: siblings' promises
-        w.state_down(false);
-        w.run_for(300);
-        EXPECT_TRUE(w.all_done("req-1"));
+        World world(options);
+        fill(world, 20);
+        world.run_for(20);
+        ShardId shard = busy_share(world, 0);
+        ASSERT_TRUE(world.give(0, shard, 3));
+        world.run_for(after);
+        world.state_down(true);
+        world.run_for(40); // longer than any lease: siblings' promises
+        world.state_down(false);
+        world.run_for(300);
+        EXPECT_TRUE(world.all_done("req-1"));
         for (std::uint32_t i = 0; i < 80; ++i) {
-            EXPECT_EQ(w.starts({"req-1", i}), 1) << i << " after " << after;
+            EXPECT_EQ(world.starts({"req-1", i}), 1) << i << " after " << after;
         }
-        EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
     }
 }
 
 TEST(ShareMoves, GiverAndTakerCutFromEachOther) {
-    World w(five(5));
-    fill(w, 20);
-    w.run_for(20);
-    w.cut_peers(0, 3, true);
-    ShareId share = busy_share(w, 0);
-    ASSERT_TRUE(w.give(0, share, 3));
-    w.run_for(30);
-    EXPECT_EQ(holder(w, share), 3);
-    w.cut_peers(0, 3, false);
-    w.run_for(240);
-    EXPECT_TRUE(w.all_done("req-1"));
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+    World world(five(5));
+    fill(world, 20);
+    world.run_for(20);
+    world.cut_peers(0, 3, true);
+    ShardId shard = busy_share(world, 0);
+    ASSERT_TRUE(world.give(0, shard, 3));
+    world.run_for(30);
+    EXPECT_EQ(holder(world, shard), 3);
+    world.cut_peers(0, 3, false);
+    world.run_for(240);
+    EXPECT_TRUE(world.all_done("req-1"));
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
 TEST(ShareMoves, ACancelledJobsTasksAreStoppedOverAMove) {
     for (double after : {0.0, 0.05, 0.5, 1.0}) {
         WorldOptions options = five(6);
         options.run_s = 300;
-        World w(options);
-        fill(w, 20);
-        w.run_for(20);
-        ShareId share = busy_share(w, 0);
-        ASSERT_TRUE(w.give(0, share, 3));
-        w.run_for(after);
-        RequestId request = w.cancel(2, "req-1");
-        w.run_for(20);
-        EXPECT_EQ(w.answers.at(request).status, 200);
-        EXPECT_EQ(w.used("red"), 0);
-        EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+        World world(options);
+        fill(world, 20);
+        world.run_for(20);
+        ShardId shard = busy_share(world, 0);
+        ASSERT_TRUE(world.give(0, shard, 3));
+        world.run_for(after);
+        RequestId request_id = world.cancel(2, "req-1");
+        world.run_for(20);
+        EXPECT_EQ(world.answers.at(request_id).status, 200);
+        EXPECT_EQ(world.used("red"), 0);
+        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
     }
 }
 
 // A share moves while a gang is gathered, runs, or is stopped in good order.
 TEST(ShareMoves, InTheMidstOfAGang) {
     for (double at : {10.2, 12.0, 14.0, 20.0, 26.0}) {
-        World w(five(8));
-        fill(w, 12);
-        JobSpec g = w.job("req-2", 10, 4);
+        World world(five(8));
+        fill(world, 12);
+        JobSpec g = world.job("req-2", 10, 4);
         g.kind = JobKind::gang;
         g.team = "blue";
         g.checkpoint_s = 5;
         g.save_s = 1;
         g.spot = false;
-        w.at(w.now() + 5, [&] { w.submit(1, g); });
-        w.at(w.now() + 24, [&] {
+        world.at(world.now() + 5, [&] { world.submit(1, g); });
+        world.at(world.now() + 24, [&] {
             for (std::uint32_t i = 0; i < 10; ++i) {
-                for (const auto& machine : w.machines_of({"req-2", i})) {
-                    w.take_machine(machine, 8);
+                for (const auto& machine : world.machines_of({"req-2", i})) {
+                    world.take_machine(machine, 8);
                     return;
                 }
             }
         });
         for (int k = 0; k < 4; ++k) {
-            w.at(w.now() + at + 0.3 * k, [&w, k] {
+            world.at(world.now() + at + 0.3 * k, [&world, k] {
                 for (int from = 0; from < 5; ++from) {
-                    ShareId share = busy_share(w, from);
-                    if (share.home >= 0) {
-                        w.give(from, share, (from + 1 + k) % 5);
+                    ShardId shard = busy_share(world, from);
+                    if (shard.home_partition >= 0) {
+                        world.give(from, shard, (from + 1 + k) % 5);
                     }
                 }
             });
         }
-        w.run_for(300);
-        EXPECT_GT(w.logged("event=share_moved"), 3u);
-        EXPECT_TRUE(w.all_done("req-2")) << w.describe("req-2");
-        EXPECT_GE(w.gang_runs("req-2"), 1);
-        EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+        world.run_for(300);
+        EXPECT_GT(world.logged("event=shard_migrated"), 3u);
+        EXPECT_TRUE(world.all_done("req-2")) << world.describe("req-2");
+        EXPECT_GE(world.gang_runs("req-2"), 1);
+        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
     }
 }
 
 TEST(ShareMap, ADamagedOneLosesNothingWhileItsHoldersLive) {
-    World w(five(9));
-    fill(w, 20);
-    w.run_for(20);
-    ShareId share = busy_share(w, 0);
-    ASSERT_TRUE(w.give(0, share, 3));
-    w.run_for(8);
-    ASSERT_TRUE(w.stands(PartTable::shares_key(share.home)));
-    w.put(PartTable::shares_key(share.home), Unreadable{});
-    w.run_for(10);
-    EXPECT_EQ(holder(w, share), 3); // it goes on
-    EXPECT_FALSE(w.give(3, share, 0));
-    EXPECT_GE(w.logged("event=unreadable_record"), 5u); // each node has named it
-    w.run_for(150);
-    EXPECT_TRUE(w.all_done("req-1"));
+    World world(five(9));
+    fill(world, 20);
+    world.run_for(20);
+    ShardId shard = busy_share(world, 0);
+    ASSERT_TRUE(world.give(0, shard, 3));
+    world.run_for(8);
+    ASSERT_TRUE(world.stands(PartitionMap::shards_key(shard.home_partition)));
+    world.put(PartitionMap::shards_key(shard.home_partition), UnreadableRecord{});
+    world.run_for(10);
+    EXPECT_EQ(holder(world, shard), 3); // it goes on
+    EXPECT_FALSE(world.give(3, shard, 0));
+    EXPECT_GE(world.logged("event=record_unreadable"), 5u); // each node has named it
+    world.run_for(150);
+    EXPECT_TRUE(world.all_done("req-1"));
     // A new claim of its part holds none of them, and says so to their machines.
-    w.submit(1, w.job("req-2", 10, 2));
-    w.crash(3, 60);
-    w.run_for(30);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+    world.submit(1, world.job("req-2", 10, 2));
+    world.crash(3, 60);
+    world.run_for(30);
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
 TEST(ShareMoves, BesideANodeOfTheVersionBeforeThereAreNone) {
-    World w(five(10));
-    fill(w, 20);
-    w.run_for(20);
-    w.crash(2, 100);
-    w.put(part_key(2), PartRecord{"n2", false}); // as if an older program had claimed it
-    w.run_for(3);
-    EXPECT_FALSE(w.give(0, busy_share(w, 0), 3));
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+    World world(five(10));
+    fill(world, 20);
+    world.run_for(20);
+    world.crash(2, 100);
+    world.put(partition_key(2),
+              PartitionRecord{"n2", false}); // as if an older program had claimed it
+    world.run_for(3);
+    EXPECT_FALSE(world.give(0, busy_share(world, 0), 3));
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
 TEST(ShareTakeover, TheSharesOfALostControllerGoToAllWhoAreThere) {
     WorldOptions options = five(11);
     options.run_s = 60;
-    World w(options);
-    fill(w, 40, "blue");
-    w.run_for(20);
-    std::size_t all = all_shares(w.facts(0)).size();
-    w.crash(1, 120);
-    w.run_for(40);
+    World world(options);
+    fill(world, 40, "blue");
+    world.run_for(20);
+    std::size_t all = all_shards(world.facts(0)).size();
+    world.crash(1, 120);
+    world.run_for(40);
     std::size_t held = 0;
     std::size_t most = 0;
-    for (int part : {0, 2, 3, 4}) {
-        held += w.shares(part).size();
-        most = std::max(most, w.shares(part).size());
+    for (int partition : {0, 2, 3, 4}) {
+        held += world.shares(partition).size();
+        most = std::max(most, world.shares(partition).size());
     }
-    EXPECT_NE(w.owner(1), 1); // its teams have an owner ...
-    EXPECT_GE(w.owner(1), 0);
-    EXPECT_TRUE(w.shares(1).empty()); // ... who holds no machines for it
+    EXPECT_NE(world.owner(1), 1); // its teams have an owner ...
+    EXPECT_GE(world.owner(1), 0);
+    EXPECT_TRUE(world.shares(1).empty()); // ... who holds no machines for it
     EXPECT_EQ(held, all);
     EXPECT_LE(static_cast<double>(most), 1.25 * static_cast<double>(all) / 4);
-    w.run_for(400);
-    EXPECT_EQ(w.owner(1), 1); // it has its teams back
-    EXPECT_TRUE(w.all_done("req-1"));
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+    world.run_for(400);
+    EXPECT_EQ(world.owner(1), 1); // it has its teams back
+    EXPECT_TRUE(world.all_done("req-1"));
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
 TEST(ShareTakeover, AControllerThatComesBackGetsSharesByDegrees) {
     WorldOptions options = five(12);
     options.run_s = 900;
     options.limits = 20;
-    World w(options);
-    fill(w, 60);
-    w.run_for(20);
-    w.crash(1, 40);
-    w.run_for(39);
-    ASSERT_EQ(w.shares(1).size(), 0u);
+    World world(options);
+    fill(world, 60);
+    world.run_for(20);
+    world.crash(1, 40);
+    world.run_for(39);
+    ASSERT_EQ(world.shares(1).size(), 0u);
     std::size_t before = 0;
     for (int k = 0; k < 100; ++k) {
-        w.run_for(1);
-        std::size_t now = w.shares(1).size();
+        world.run_for(1);
+        std::size_t now = world.shares(1).size();
         EXPECT_LE(now, before + 4); // at most one from each of the others
         before = now;
     }
-    std::set<ShareId> held;
-    for (const auto& share : w.shares(1)) {
-        held.insert(share);
+    std::set<ShardId> held;
+    for (const auto& shard : world.shares(1)) {
+        held.insert(shard);
     }
     std::size_t machines = 0;
-    for (const auto& machine : w.machines_up()) {
-        machines += held.contains(share_of_machine(w.facts(0), machine, w.zone_of(machine)));
+    for (const auto& machine : world.machines_up()) {
+        machines +=
+            held.contains(shard_of_machine(world.facts(0), machine, world.zone_of(machine)));
     }
     EXPECT_GE(machines, 8u); // two thirds of an even part
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
 // A lost controller's machines find their new holders before their leases end.
 TEST(ShareTakeover, NoTaskIsLostToTheLeasesOfALostControllersMachines) {
     WorldOptions options = five(14);
     options.run_s = 120;
-    World w(options);
-    fill(w, 40, "blue");
-    w.run_for(20);
-    w.crash(1, 300);
-    w.run_for(200);
-    EXPECT_EQ(w.logged("event=machine_lapsed"), 0u);
+    World world(options);
+    fill(world, 40, "blue");
+    world.run_for(20);
+    world.crash(1, 300);
+    world.run_for(200);
+    EXPECT_EQ(world.logged("event=machine_lease_expired"), 0u);
     for (std::uint32_t i = 0; i < 160; ++i) {
-        EXPECT_LE(w.starts({"req-1", i}), 1) << i;
+        EXPECT_LE(world.starts({"req-1", i}), 1) << i;
     }
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
 // Controllers refuse each other's calls while one of them is lost: its older tasks do not wait
@@ -811,35 +817,36 @@
     WorldOptions options = five(13);
     options.run_s = 25;
     options.limits = 4; // so that tasks wait when their owner is lost
-    World w(options);
-    w.run_for(3);
-    JobSpec s = w.job("req-1", 150, 2);
-    w.submit(0, s);
-    w.run_for(40);
-    ASSERT_FALSE(w.all_done("req-1"));
-    cut_all_peers(w, true);
-    int part = part_of_team(w.facts(0), "red");
+    World world(options);
+    world.run_for(3);
+    JobSpec spec = world.job("req-1", 150, 2);
+    world.submit(0, spec);
+    world.run_for(40);
+    ASSERT_FALSE(world.all_done("req-1"));
+    cut_all_peers(world, true);
+    int partition = partition_of_team(world.facts(0), "red");
     auto started = [&] {
         int n = 0;
-        for (std::uint32_t i = 0; i < s.tasks; ++i) {
-            n += w.starts({"req-1", i});
+        for (std::uint32_t i = 0; i < spec.tasks; ++i) {
+            n += world.starts({"req-1", i});
         }
         return n;
     };
-    w.crash(w.owner(part), 200);
-    w.run_for(16); // its lease is over, and another has read what there is to read
+    world.crash(world.owner(partition), 200);
+    world.run_for(16); // its lease is over, and another has read what there is to read
     int before = started();
-    w.run_for(20);
-    EXPECT_GT(w.logged("event=account_posted"), 2u);
+    world.run_for(20);
+    EXPECT_GT(world.logged("event=inventory_posted"), 2u);
     EXPECT_GT(started(), before);
-    w.run_for(60);
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
-    cut_all_peers(w, false);
-    w.run_for(300);
-    EXPECT_TRUE(w.all_done("req-1"));
-    EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+    world.run_for(60);
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cut_all_peers(world, false);
+    world.run_for(300);
+    EXPECT_TRUE(world.all_done("req-1"));
+    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
     for (int page = 0; page < 3; ++page) { // read, and of no use any more
-        EXPECT_FALSE(w.stands("account/" + std::to_string(part) + "/0/" + std::to_string(page)));
+        EXPECT_FALSE(
+            world.stands("account/" + std::to_string(partition) + "/0/" + std::to_string(page)));
     }
 }
 
@@ -848,114 +855,114 @@
 void play(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     constexpr int kNodes = 5;
-    World w({.seed = seed,
-             .nodes = kNodes,
-             .drop = seed % 3 == 0 ? 0.03 : 0,
-             .late = seed % 3 == 0 ? 0.03 : 0,
-             .run_s = 12,
-             .error = 0.01,
-             .limits = 10,
-             .capacity = 64});
+    World world({.seed = seed,
+                 .nodes = kNodes,
+                 .drop = seed % 3 == 0 ? 0.03 : 0,
+                 .late = seed % 3 == 0 ? 0.03 : 0,
+                 .run_s = 12,
+                 .error = 0.01,
+                 .limits = 10,
+                 .capacity = 64});
     std::mt19937_64 random(seed);
     auto any = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
     int only = seed % 8 == 7 ? -1 : static_cast<int>(seed % 8); // -1: all faults together
     std::function<void()> move = [&] {
         int from = any(kNodes);
-        auto shares = w.shares(from);
-        if (!shares.empty()) {
-            ShareId share =
-                any(2) ? busy_share(w, from) : shares[any(static_cast<int>(shares.size()))];
-            if (share.home >= 0) {
-                w.give(from, share, any(kNodes));
+        auto shards = world.shares(from);
+        if (!shards.empty()) {
+            ShardId shard =
+                any(2) ? busy_share(world, from) : shards[any(static_cast<int>(shards.size()))];
+            if (shard.home_partition >= 0) {
+                world.give(from, shard, any(kNodes));
             }
         }
     };
     std::set<std::string> services;
     int jobs = 0;
-    JobSpec base = w.job("req-0", 160, 2); // so that there are sixty machines
+    JobSpec base = world.job("req-0", 160, 2); // so that there are sixty machines
     base.team = "blue";
-    w.run_for(3);
-    w.submit(0, base);
+    world.run_for(3);
+    world.submit(0, base);
     for (int k = 0; k < 100; ++k) {
-        w.run_for(1.5);
+        world.run_for(1.5);
         for (int m = 0; m < 3; ++m) {
             move();
         }
         if (k < 60 && k % 2 == 0) {
-            JobSpec s = w.job("req-" + std::to_string(++jobs), 4 + any(40), 1 + any(3));
-            s.team = any(2) ? "red" : "blue";
-            s.spot = any(2) != 0;
+            JobSpec spec = world.job("req-" + std::to_string(++jobs), 4 + any(40), 1 + any(3));
+            spec.team = any(2) ? "red" : "blue";
+            spec.spot = any(2) != 0;
             int kind = any(5);
             if (kind == 0) {
-                s.kind = JobKind::gang;
-                s.tasks = 2 + static_cast<std::uint32_t>(any(10));
-                s.one_zone = any(2) != 0;
-                s.checkpoint_s = 3;
-                s.save_s = any(2);
+                spec.kind = JobKind::gang;
+                spec.tasks = 2 + static_cast<std::uint32_t>(any(10));
+                spec.one_zone = any(2) != 0;
+                spec.checkpoint_s = 3;
+                spec.save_s = any(2);
             } else if (kind == 1) {
-                s.kind = JobKind::service;
-                s.tasks = 1 + static_cast<std::uint32_t>(any(5));
-                s.spread = any(2) != 0;
-                services.insert(s.id);
+                spec.kind = JobKind::service;
+                spec.tasks = 1 + static_cast<std::uint32_t>(any(5));
+                spec.spread = any(2) != 0;
+                services.insert(spec.id);
             }
-            w.submit(any(kNodes), s);
+            world.submit(any(kNodes), spec);
         }
         std::string job = "req-" + std::to_string(1 + any(std::max(1, jobs)));
         int fault = only >= 0 ? only : any(8);
         bool strikes = any(4) == 0;
-        auto up = w.machines_up();
+        auto up = world.machines_up();
         if (strikes && fault == 0) {
-            w.crash(any(kNodes), 1 + any(20));
+            world.crash(any(kNodes), 1 + any(20));
         } else if (strikes && fault == 1) {
-            w.freeze(any(kNodes), 1 + any(30));
+            world.freeze(any(kNodes), 1 + any(30));
         } else if (strikes && fault == 2) {
-            w.state_down(true);
+            world.state_down(true);
         } else if (strikes && fault == 3) {
-            w.cut_peers(any(kNodes), any(kNodes), true);
+            world.cut_peers(any(kNodes), any(kNodes), true);
         } else if (strikes && fault == 4) {
-            any(2) ? w.cut_workers(any(kNodes), true) : w.state_refuses(any(kNodes), true);
+            any(2) ? world.cut_workers(any(kNodes), true) : world.state_refuses(any(kNodes), true);
         } else if (strikes && fault == 5 && !up.empty()) {
             const std::string& machine = up[any(static_cast<int>(up.size()))];
-            any(2) ? w.take_machine(machine, 6) : w.cut_machine(machine, any(2) != 0);
+            any(2) ? world.take_machine(machine, 6) : world.cut_machine(machine, any(2) != 0);
         } else if (strikes && fault == 6) {
-            w.cancel(any(kNodes), job);
+            world.cancel(any(kNodes), job);
         } else if (strikes && fault == 7 && !up.empty()) {
-            w.kill_machine(up[any(static_cast<int>(up.size()))]);
+            world.kill_machine(up[any(static_cast<int>(up.size()))]);
         } else if (any(3) == 0) {
-            w.state_down(false);
+            world.state_down(false);
             for (int n = 0; n < kNodes; ++n) {
-                w.state_refuses(n, false);
-                w.cut_workers(n, false);
+                world.state_refuses(n, false);
+                world.cut_workers(n, false);
             }
-            cut_all_peers(w, false);
-            w.poll(any(kNodes), job);
+            cut_all_peers(world, false);
+            world.poll(any(kNodes), job);
         }
-        ASSERT_TRUE(w.broken.empty()) << w.broken.front() << " at " << w.now();
+        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
     }
-    w.state_down(false);
+    world.state_down(false);
     for (int n = 0; n < kNodes; ++n) {
-        w.state_refuses(n, false);
-        w.cut_workers(n, false);
+        world.state_refuses(n, false);
+        world.cut_workers(n, false);
     }
-    cut_all_peers(w, false);
-    for (const auto& machine : w.machines_up()) {
-        w.cut_machine(machine, false);
+    cut_all_peers(world, false);
+    for (const auto& machine : world.machines_up()) {
+        world.cut_machine(machine, false);
     }
-    w.run_for(30);
+    world.run_for(30);
     for (const auto& id : services) {
         for (int n = 0; n < kNodes; ++n) {
-            w.cancel(n, id);
-            w.run_for(0.2);
+            world.cancel(n, id);
+            world.run_for(0.2);
         }
     }
     for (int k = 0; k < 70; ++k) { // to the end, with moves
-        w.run_for(10);
+        world.run_for(10);
         move();
     }
-    ASSERT_TRUE(w.broken.empty()) << w.broken.front();
-    EXPECT_GT(w.logged("event=share_moved"), 20u);
-    for (const auto& [id, outcome] : w.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << w.describe(id);
+    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_GT(world.logged("event=shard_migrated"), 20u);
+    for (const auto& [id, outcome] : world.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
     }
 }
 
@@ -966,4 +973,4 @@
 TEST(ShareSeeds, AsManyAsAreAskedFor) { play_seeds_asked(17, play); }
 
 } // namespace
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/wire_format.h
+++ b/tests/wire_format.h
@@ -17,7 +17,7 @@
 
 #include "wire/codec.h"
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 
 // A field of a handwritten map; the value is packed already, so that a test can put anything there.
 struct PackedField {
@@ -46,14 +46,14 @@
 };
 
 // The first line of an HTTP request, and its body after a line feed.
-std::string request_bytes(const CallBody& call);
+std::string request_bytes(const OutboundBody& call);
 std::string body_of(const std::string& request);
 // Compares as hex text, which a failure prints readably.
 void expect_same_bytes(const std::string& actual, const std::string& expected);
 
 // A record as a transaction writes it, and as a read of its key takes it in.
-std::string stored_bytes(const std::string& key, const Record& record);
-Record read_record(const std::string& key, const std::string& bytes);
+std::string stored_bytes(const std::string& key, const StoredRecord& record);
+StoredRecord read_record(const std::string& key, const std::string& bytes);
 
 std::vector<WireForm> record_forms();
 std::vector<WireForm> peer_forms();
@@ -62,4 +62,4 @@
 std::vector<WireForm> store_forms();
 std::vector<WireForm> cloud_forms();
 
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/wire_format_clients_test.cpp
+++ b/tests/wire_format_clients_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 namespace {
 
 constexpr std::uint64_t kLargeAttempt = (1ULL << 50) + 3;
@@ -107,8 +107,8 @@
 }
 
 // What is only written: users and workers read it.
-WireForm answer_form(const std::string& name, const AnswerBody& answer) {
-    return {name, [=] { return wire::encode_answer(answer); }, nullptr};
+WireForm answer_form(const std::string& name, const ResponseBody& answer) {
+    return {name, [=] { return wire::encode_response(answer); }, nullptr};
 }
 
 std::vector<WireForm> submission_forms() {
@@ -123,16 +123,16 @@
 
 std::vector<WireForm> user_answer_forms() {
     return {
-        answer_form("user/answer_job_full", JobAnswer{"req-000412", "running", 70000, 16}),
-        answer_form("user/answer_job_pending", JobAnswer{"req-1", "pending", 0, 0}),
-        answer_form("user/answer_job_done", JobAnswer{"req-1", "done", {}, {}}),
-        answer_form("user/answer_job_done_count", JobAnswer{"req-1", "done", 3, {}}),
-        answer_form("user/answer_job_running_count", JobAnswer{"req-1", "running", {}, 3}),
-        answer_form("user/answer_job_cancelled", JobAnswer{"req-1", "cancelled", {}, {}}),
-        answer_form("user/answer_error", Plain{"no such job"}),
-        answer_form("user/answer_error_empty", Plain{}),
-        answer_form("user/answer_redirect", Redirect{"n1"}),
-        answer_form("user/answer_redirect_unknown", Redirect{}),
+        answer_form("user/answer_job_full", JobStatusBody{"req-000412", "running", 70000, 16}),
+        answer_form("user/answer_job_pending", JobStatusBody{"req-1", "pending", 0, 0}),
+        answer_form("user/answer_job_done", JobStatusBody{"req-1", "done", {}, {}}),
+        answer_form("user/answer_job_done_count", JobStatusBody{"req-1", "done", 3, {}}),
+        answer_form("user/answer_job_running_count", JobStatusBody{"req-1", "running", {}, 3}),
+        answer_form("user/answer_job_cancelled", JobStatusBody{"req-1", "cancelled", {}, {}}),
+        answer_form("user/answer_error", TextBody{"no such job"}),
+        answer_form("user/answer_error_empty", TextBody{}),
+        answer_form("user/answer_redirect", LeaderRedirect{"n1"}),
+        answer_form("user/answer_redirect_unknown", LeaderRedirect{}),
     };
 }
 
@@ -182,73 +182,79 @@
                        {"petals", packed_list({})}});
 }
 
-void expect_task(const ListedTask& actual, const TaskRef& task, std::uint64_t attempt,
-                 TaskStage stage, ExitWhy why) {
+void expect_task(const TaskStatus& actual, const TaskId& task, std::uint64_t attempt,
+                 TaskStage stage, ExitReason why) {
     EXPECT_EQ(actual.task, task);
     EXPECT_EQ(actual.attempt, attempt);
     EXPECT_EQ(actual.stage, stage);
-    EXPECT_EQ(actual.why, why);
+    EXPECT_EQ(actual.exit_reason, why);
 }
 
-void expect_tasks_of_full_report(const std::vector<ListedTask>& tasks) {
+void expect_tasks_of_full_report(const std::vector<TaskStatus>& tasks) {
     ASSERT_EQ(tasks.size(), 12u);
-    expect_task(tasks[0], {"req-1", 0}, 1, TaskStage::fetching, ExitWhy::none);
-    expect_task(tasks[1], {"req-1", 1}, 2, TaskStage::waiting, ExitWhy::none);
-    expect_task(tasks[2], {"req-1", 70000}, 3, TaskStage::running, ExitWhy::none);
-    expect_task(tasks[3], {"req-1", 3}, 4, TaskStage::saving, ExitWhy::none);
-    const std::vector<ExitWhy> reasons{ExitWhy::done,  ExitWhy::stopped, ExitWhy::peers,
-                                       ExitWhy::alone, ExitWhy::error,   ExitWhy::no_room,
-                                       ExitWhy::busy,  ExitWhy::unknown};
+    expect_task(tasks[0], {"req-1", 0}, 1, TaskStage::fetching, ExitReason::none);
+    expect_task(tasks[1], {"req-1", 1}, 2, TaskStage::waiting, ExitReason::none);
+    expect_task(tasks[2], {"req-1", 70000}, 3, TaskStage::running, ExitReason::none);
+    expect_task(tasks[3], {"req-1", 3}, 4, TaskStage::saving, ExitReason::none);
+    const std::vector<ExitReason> reasons{ExitReason::done,
+                                          ExitReason::stopped,
+                                          ExitReason::gang_member_lost,
+                                          ExitReason::gang_incomplete,
+                                          ExitReason::error,
+                                          ExitReason::insufficient_capacity,
+                                          ExitReason::busy,
+                                          ExitReason::unknown};
     for (std::uint32_t i = 0; i < reasons.size(); ++i) {
         expect_task(tasks[4 + i], {"req-000412", i}, kLargeAttempt, TaskStage::exited, reasons[i]);
     }
 }
 
-void expect_full_report(const Report& report) {
-    EXPECT_EQ(report.machine, "i-1");
-    EXPECT_EQ(report.endpoint, "10.0.0.9:9000");
-    EXPECT_EQ(report.type, "g8");
-    EXPECT_EQ(report.zone, "east");
-    EXPECT_TRUE(report.spot);
-    EXPECT_EQ(report.session, 1764000000000u);
-    EXPECT_EQ(report.tick, 70000u);
-    EXPECT_EQ(report.token, 300u);
-    EXPECT_EQ(report.notice_s, 110.5);
-    expect_tasks_of_full_report(report.tasks);
+void expect_full_report(const Heartbeat& heartbeat) {
+    EXPECT_EQ(heartbeat.machine, "i-1");
+    EXPECT_EQ(heartbeat.endpoint, "10.0.0.9:9000");
+    EXPECT_EQ(heartbeat.type, "g8");
+    EXPECT_EQ(heartbeat.zone, "east");
+    EXPECT_TRUE(heartbeat.spot);
+    EXPECT_EQ(heartbeat.agent_epoch, 1764000000000u);
+    EXPECT_EQ(heartbeat.sequence, 70000u);
+    EXPECT_EQ(heartbeat.fencing_token, 300u);
+    EXPECT_EQ(heartbeat.preemption_notice_s, 110.5);
+    expect_tasks_of_full_report(heartbeat.tasks);
 }
 
-void expect_minimal_report(const Report& report) {
-    EXPECT_EQ(report.machine, "i-2");
-    EXPECT_EQ(report.endpoint, "e");
-    EXPECT_EQ(report.type, "c1");
-    EXPECT_EQ(report.zone, "west");
-    EXPECT_FALSE(report.spot);
-    EXPECT_EQ(report.session, 1u);
-    EXPECT_EQ(report.tick, 2u);
-    EXPECT_EQ(report.token, 0u);
-    EXPECT_FALSE(report.notice_s);
-    EXPECT_TRUE(report.tasks.empty());
+void expect_minimal_report(const Heartbeat& heartbeat) {
+    EXPECT_EQ(heartbeat.machine, "i-2");
+    EXPECT_EQ(heartbeat.endpoint, "e");
+    EXPECT_EQ(heartbeat.type, "c1");
+    EXPECT_EQ(heartbeat.zone, "west");
+    EXPECT_FALSE(heartbeat.spot);
+    EXPECT_EQ(heartbeat.agent_epoch, 1u);
+    EXPECT_EQ(heartbeat.sequence, 2u);
+    EXPECT_EQ(heartbeat.fencing_token, 0u);
+    EXPECT_FALSE(heartbeat.preemption_notice_s);
+    EXPECT_TRUE(heartbeat.tasks.empty());
 }
 
 // A worker's report, and the same as its answer to commands: taken (200) or refused (409).
 WireForm report_form(const std::string& name, const std::function<std::string()>& bytes,
-                     const std::function<void(const Report&)>& expect) {
+                     const std::function<void(const Heartbeat&)>& expect) {
     return {"worker/" + name, bytes, [=](const std::string& pinned) {
-                expect(wire::parse_report(pinned));
+                expect(wire::parse_heartbeat(pinned));
                 for (int status : {200, 409}) {
-                    CallReply reply = wire::decode_reply(1, Orders{}, status, pinned);
-                    EXPECT_EQ(reply.status, status);
-                    EXPECT_TRUE(reply.report);
-                    expect(reply.report.value_or(Report{}));
+                    OutboundResponse response =
+                        wire::decode_response(1, WorkerCommands{}, status, pinned);
+                    EXPECT_EQ(response.status, status);
+                    EXPECT_TRUE(response.heartbeat);
+                    expect(response.heartbeat.value_or(Heartbeat{}));
                 }
             }};
 }
 
-std::vector<Command> all_commands() {
-    return {{Op::start, {"req-000412", 69999}, kLargeAttempt, 0},
-            {Op::stop, {"req-1", 0}, 5, 4.5},
-            {Op::stop, {"req-1", 1}, 6, 0},
-            {Op::clear, {"req-2", 3}, 7, 0}};
+std::vector<WorkerCommand> all_commands() {
+    return {{CommandType::start, {"req-000412", 69999}, kLargeAttempt, 0},
+            {CommandType::stop, {"req-1", 0}, 5, 4.5},
+            {CommandType::stop, {"req-1", 1}, 6, 0},
+            {CommandType::clear, {"req-2", 3}, 7, 0}};
 }
 
 // Polls and cancels have no body: the path names the job.
@@ -265,7 +271,8 @@
 }
 
 TEST(WireFormat, CommandsGoToTheWorkersEndpoint) {
-    wire::HttpCall http = wire::encode_call(Orders{"i-1", "10.0.0.9:9000", 300, 1, {}});
+    wire::HttpRequest http =
+        wire::encode_request(WorkerCommands{"i-1", "10.0.0.9:9000", 300, 1, {}});
     EXPECT_EQ(http.service, wire::Service::worker);
     EXPECT_EQ(http.endpoint, "10.0.0.9:9000");
     EXPECT_EQ(http.wait_s, 0);
@@ -281,10 +288,10 @@
     // What requests are told apart by.
     forms.push_back({"paths",
                      [] {
-                         return std::string(wire::kJobsPath) + "\n" + wire::kCancelEnd + "\n" +
-                                wire::kReportPath + "\n" + wire::kReadyPath + "\n" +
-                                wire::kPeerPath + "\n" + wire::kPromisePath + "\n" +
-                                wire::kCancelledPath + "\n" + wire::kStandingPath + "\n" +
+                         return std::string(wire::kJobsPath) + "\n" + wire::kCancelSuffix + "\n" +
+                                wire::kHeartbeatPath + "\n" + wire::kReadyPath + "\n" +
+                                wire::kPeerSyncPath + "\n" + wire::kLeaseExtensionPath + "\n" +
+                                wire::kCancellationsPath + "\n" + wire::kQuotaStatusPath + "\n" +
                                 wire::kContentType;
                      },
                      nullptr});
@@ -292,16 +299,16 @@
 }
 
 std::vector<WireForm> worker_forms() {
-    const Orders full{"i-1", "10.0.0.9:9000", 300, 1764000000000, all_commands()};
-    const Orders minimal{"i-1", "10.0.0.9:9000", 0, 0, {}};
+    const WorkerCommands full{"i-1", "10.0.0.9:9000", 300, 1764000000000, all_commands()};
+    const WorkerCommands minimal{"i-1", "10.0.0.9:9000", 0, 0, {}};
     return {
         report_form("report_full", full_report, expect_full_report),
         report_form("report_minimal", minimal_report, expect_minimal_report),
-        answer_form("worker/answer_full", ReportAnswer{300, all_commands()}),
-        answer_form("worker/answer_minimal", ReportAnswer{}),
+        answer_form("worker/answer_full", HeartbeatBody{300, all_commands()}),
+        answer_form("worker/answer_minimal", HeartbeatBody{}),
         {"worker/orders_full", [=] { return request_bytes(full); }, nullptr},
         {"worker/orders_minimal", [=] { return request_bytes(minimal); }, nullptr},
     };
 }
 
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/wire_format_peer_test.cpp
+++ b/tests/wire_format_peer_test.cpp
@@ -3,110 +3,110 @@
 
 #include <gtest/gtest.h>
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 namespace {
 
 constexpr char kPeer[] = "n1";
 constexpr std::uint64_t kLargeTerm = 1ULL << 40;
 
-Want gang_want() {
-    Want want;
-    want.job = "req-000412";
-    want.kind = JobKind::gang;
-    want.attempt = kLargeTerm + 77;
-    want.members = {0, 2, 70000};
-    want.gang_tasks = 70001;
-    want.count = 3;
-    want.cpus = 8.5;
-    want.gpus = 2.25;
-    want.ram_gb = 64.5;
-    want.image = "img-07";
-    want.image_gb = 6.2;
-    want.types = {"g8", "c16"};
-    want.zone = "east";
-    want.priority = Priority::production;
-    want.age_s = 12.5;
-    want.due_s = 99.5;
-    return want;
-}
-
-Want service_want() {
-    Want want;
-    want.job = "req-2";
-    want.kind = JobKind::service;
-    want.count = 5;
-    want.types.emplace();
-    want.priority = Priority::low;
-    return want;
-}
-
-Want minimal_want(Priority priority) {
-    Want want;
-    want.priority = priority;
-    return want;
+SlotRequest gang_want() {
+    SlotRequest request;
+    request.job = "req-000412";
+    request.kind = JobKind::gang;
+    request.attempt = kLargeTerm + 77;
+    request.gang_members = {0, 2, 70000};
+    request.gang_size = 70001;
+    request.count = 3;
+    request.cpus = 8.5;
+    request.gpus = 2.25;
+    request.ram_gb = 64.5;
+    request.image = "img-07";
+    request.image_gb = 6.2;
+    request.types = {"g8", "c16"};
+    request.zone = "east";
+    request.priority = Priority::production;
+    request.age_s = 12.5;
+    request.due_s = 99.5;
+    return request;
+}
+
+SlotRequest service_want() {
+    SlotRequest request;
+    request.job = "req-2";
+    request.kind = JobKind::service;
+    request.count = 5;
+    request.types.emplace();
+    request.priority = Priority::low;
+    return request;
+}
+
+SlotRequest minimal_want(Priority priority) {
+    SlotRequest request;
+    request.priority = priority;
+    return request;
 }
 
 // Wants that differ in every flag: seen over all of them, no flag is set as another one is.
-std::vector<Want> wants_with_each_flag() {
-    std::vector<Want> wants{gang_want(), service_want(), minimal_want(Priority::high),
-                            minimal_want(Priority::normal)};
+std::vector<SlotRequest> wants_with_each_flag() {
+    std::vector<SlotRequest> wants{gang_want(), service_want(), minimal_want(Priority::high),
+                                   minimal_want(Priority::normal)};
     for (std::size_t i = 0; i < wants.size(); ++i) {
         auto set_in_this_want = [i](int flag_number) { return ((flag_number >> i) & 1) != 0; };
-        Want& want = wants[i];
-        want.one_zone = set_in_this_want(1);
-        want.spread = set_in_this_want(2);
-        want.preempt = set_in_this_want(3);
-        want.partial = set_in_this_want(4);
-        want.spot = set_in_this_want(5);
-        want.borrows = set_in_this_want(6);
-        want.longest = set_in_this_want(7);
-        want.kept = set_in_this_want(8);
+        SlotRequest& request = wants[i];
+        request.one_zone = set_in_this_want(1);
+        request.spread = set_in_this_want(2);
+        request.preempt = set_in_this_want(3);
+        request.accepts_partial = set_in_this_want(4);
+        request.spot = set_in_this_want(5);
+        request.over_guarantee = set_in_this_want(6);
+        request.bottleneck_team = set_in_this_want(7);
+        request.starving = set_in_this_want(8);
     }
     return wants;
 }
 
-Told full_told() {
-    Told told;
-    told.what = Told::What::shape;
-    told.machine = "i-1";
-    told.id = {kLargeTerm + 1, 2};
-    told.grace_s = 4.5;
-    told.kind = JobKind::gang;
-    told.cpus = 1.5;
-    told.gpus = 2.5;
-    told.ram_gb = 3.5;
-    told.image = "img-07";
-    told.image_gb = 5.5;
-    return told;
+RemoteTaskCommand full_told() {
+    RemoteTaskCommand command;
+    command.type = RemoteTaskCommand::Type::describe;
+    command.machine = "i-1";
+    command.launch = {kLargeTerm + 1, 2};
+    command.grace_s = 4.5;
+    command.kind = JobKind::gang;
+    command.cpus = 1.5;
+    command.gpus = 2.5;
+    command.ram_gb = 3.5;
+    command.image = "img-07";
+    command.image_gb = 5.5;
+    return command;
 }
 
-Told minimal_told(Told::What what, JobKind kind) {
-    Told told;
-    told.what = what;
-    told.kind = kind;
-    return told;
+RemoteTaskCommand minimal_told(RemoteTaskCommand::Type what, JobKind kind) {
+    RemoteTaskCommand command;
+    command.type = what;
+    command.kind = kind;
+    return command;
 }
 
 Demand full_demand() { return {10.5, 20.5, 3000.25, {{"east", 6.5}, {"west", 7.5}}}; }
 
-Exchange full_exchange() {
-    Exchange exchange;
-    exchange.from = 3;
-    exchange.term = kLargeTerm + 5;
-    exchange.number = 400;
-    exchange.to = 127;
-    exchange.wants = wants_with_each_flag();
-    exchange.most = 70000;
-    exchange.told = {full_told(), minimal_told(Told::What::stop, JobKind::array),
-                     minimal_told(Told::What::clear, JobKind::service),
-                     minimal_told(Told::What::back, JobKind::array)};
-    exchange.bought = {{"i-2", "g8", "east", true}, {"i-3", "c16", "west", false}};
-    exchange.given = {{{3, 7}, 1000000007, 55}, {{0, 300}, 1, kLargeTerm}};
-    exchange.seen_term = 65536;
-    exchange.seen = 255;
-    exchange.demand = full_demand();
-    exchange.fleet = {320.5, 64.5, 0.25, true};
-    return exchange;
+PeerSyncRequest full_exchange() {
+    PeerSyncRequest request;
+    request.from_partition = 3;
+    request.term = kLargeTerm + 5;
+    request.sequence = 400;
+    request.to_partition = 127;
+    request.slot_requests = wants_with_each_flag();
+    request.max_slots = 70000;
+    request.commands = {full_told(), minimal_told(RemoteTaskCommand::Type::stop, JobKind::array),
+                        minimal_told(RemoteTaskCommand::Type::clear, JobKind::service),
+                        minimal_told(RemoteTaskCommand::Type::return_slot, JobKind::array)};
+    request.provisioned = {{"i-2", "g8", "east", true}, {"i-3", "c16", "west", false}};
+    request.transfers = {{{3, 7}, 1000000007, 55}, {{0, 300}, 1, kLargeTerm}};
+    request.acked_term = 65536;
+    request.acked_version = 255;
+    request.demand = full_demand();
+    request.capacity = {320.5, 64.5, 0.25, true};
+    return request;
 }
 
 // From a controller that says nothing of call numbers, processors and shares.
@@ -128,14 +128,14 @@
                        {"spot", packed(5.5)}});
 }
 
-Exchange older_exchange_expected() {
-    Exchange exchange;
-    exchange.from = 1;
-    exchange.term = 9;
-    exchange.to = 2;
-    exchange.demand = {1, 2.5, 3.5, {}};
-    exchange.fleet = {4.5, 5.5, 1, false};
-    return exchange;
+PeerSyncRequest older_exchange_expected() {
+    PeerSyncRequest request;
+    request.from_partition = 1;
+    request.term = 9;
+    request.to_partition = 2;
+    request.demand = {1, 2.5, 3.5, {}};
+    request.capacity = {4.5, 5.5, 1, false};
+    return request;
 }
 
 // A later version may say more than is known here.
@@ -148,60 +148,60 @@
 }
 
 // Numbers that no sender means are brought into range.
-Exchange exchange_out_of_range(double capacity) {
-    Exchange exchange;
-    exchange.fleet.capacity = capacity;
-    exchange.given = {{{130, 100001}, 5, 6}};
-    return exchange;
-}
-
-Exchange exchange_in_range(double capacity) {
-    Exchange exchange;
-    exchange.fleet.capacity = capacity;
-    exchange.given = {{{2, 1}, 5, 6}};
-    return exchange;
-}
-
-HeldTask full_held() {
-    HeldTask held;
-    held.listed.task = {"req-000412", 69999};
-    held.listed.attempt = kLargeTerm + 3;
-    held.listed.stage = TaskStage::exited;
-    held.listed.why = ExitWhy::done;
-    held.machine = "i-1";
-    held.zone = "east";
-    held.shape_unknown = true;
-    held.draining = false;
-    held.notice = true;
-    return held;
+PeerSyncRequest exchange_out_of_range(double capacity) {
+    PeerSyncRequest request;
+    request.capacity.cpu_headroom = capacity;
+    request.transfers = {{{130, 100001}, 5, 6}};
+    return request;
+}
+
+PeerSyncRequest exchange_in_range(double capacity) {
+    PeerSyncRequest request;
+    request.capacity.cpu_headroom = capacity;
+    request.transfers = {{{2, 1}, 5, 6}};
+    return request;
+}
+
+RemoteTaskStatus full_held() {
+    RemoteTaskStatus remote_task;
+    remote_task.status.task = {"req-000412", 69999};
+    remote_task.status.attempt = kLargeTerm + 3;
+    remote_task.status.stage = TaskStage::exited;
+    remote_task.status.exit_reason = ExitReason::done;
+    remote_task.machine = "i-1";
+    remote_task.zone = "east";
+    remote_task.resources_unknown = true;
+    remote_task.draining = false;
+    remote_task.preemption_notice = true;
+    return remote_task;
 }
 
 // Each stage, each reason to exit, and each combination of the flags.
-std::vector<HeldTask> all_held() {
-    std::vector<HeldTask> all{full_held()};
-    constexpr int kReasons = static_cast<int>(ExitWhy::unknown) + 1;
+std::vector<RemoteTaskStatus> all_held() {
+    std::vector<RemoteTaskStatus> all{full_held()};
+    constexpr int kReasons = static_cast<int>(ExitReason::unknown) + 1;
     constexpr int kStages = static_cast<int>(TaskStage::exited) + 1;
     for (int i = 0; i < kReasons; ++i) {
-        HeldTask held;
-        held.listed.task = {"req-1", static_cast<std::uint32_t>(i)};
-        held.listed.stage = static_cast<TaskStage>(i % kStages);
-        held.listed.why = static_cast<ExitWhy>(i);
-        held.shape_unknown = (i & 1) != 0;
-        held.draining = (i & 2) != 0;
-        held.notice = (i & 4) != 0;
-        all.push_back(held);
+        RemoteTaskStatus remote_task;
+        remote_task.status.task = {"req-1", static_cast<std::uint32_t>(i)};
+        remote_task.status.stage = static_cast<TaskStage>(i % kStages);
+        remote_task.status.exit_reason = static_cast<ExitReason>(i);
+        remote_task.resources_unknown = (i & 1) != 0;
+        remote_task.draining = (i & 2) != 0;
+        remote_task.preemption_notice = (i & 4) != 0;
+        all.push_back(remote_task);
     }
     return all;
 }
 
-Grant full_grant() {
-    Grant grant;
-    grant.id = {kLargeTerm + 4, 6};
+SlotGrant full_grant() {
+    SlotGrant grant;
+    grant.launch = {kLargeTerm + 4, 6};
     grant.job = "req-000412";
     grant.machine = "i-1";
     grant.endpoint = "10.0.0.9:9000";
-    grant.session = 1764000000000;
-    grant.token = 300;
+    grant.agent_epoch = 1764000000000;
+    grant.fencing_token = 300;
     grant.type = "g8";
     grant.zone = "east";
     grant.spot = true;
@@ -211,33 +211,33 @@
     return grant;
 }
 
-ExchangeReply full_exchange_reply() {
-    ExchangeReply reply;
-    reply.term = kLargeTerm + 6;
-    reply.settled = true;
-    reply.clean = false;
-    reply.full = true;
-    reply.shares = {{{{0, 1}, 99, true, false},
-                     {{4, 19}, kLargeTerm, false, true},
-                     {{5, 20}, 1, true, true},
-                     {{6, 21}, 2, false, false}}};
-    reply.version = 70000;
-    reply.machines = {"i-1", "i-2"};
-    reply.demand = full_demand();
-    reply.fleet = {320.5, 64.5, 0.25, true};
-    reply.held = all_held();
-    reply.open = {{kLargeTerm + 7, 1}, {2, 0}};
-    reply.grants = {full_grant(), Grant{}};
-    return reply;
+PeerSyncResponse full_exchange_reply() {
+    PeerSyncResponse response;
+    response.term = kLargeTerm + 6;
+    response.reconciled = true;
+    response.no_stale_grants = false;
+    response.complete = true;
+    response.shards = {{{{0, 1}, 99, true, false},
+                        {{4, 19}, kLargeTerm, false, true},
+                        {{5, 20}, 1, true, true},
+                        {{6, 21}, 2, false, false}}};
+    response.version = 70000;
+    response.machines = {"i-1", "i-2"};
+    response.demand = full_demand();
+    response.capacity = {320.5, 64.5, 0.25, true};
+    response.tasks = all_held();
+    response.pending_launches = {{kLargeTerm + 7, 1}, {2, 0}};
+    response.grants = {full_grant(), SlotGrant{}};
+    return response;
 }
 
 // With the full reply, no flag is set as another one is.
-ExchangeReply clean_and_full_exchange_reply() {
-    ExchangeReply reply;
-    reply.clean = true;
-    reply.full = true;
-    reply.shares.emplace();
-    return reply;
+PeerSyncResponse clean_and_full_exchange_reply() {
+    PeerSyncResponse response;
+    response.no_stale_grants = true;
+    response.complete = true;
+    response.shards.emplace();
+    return response;
 }
 
 std::string older_exchange_reply() {
@@ -258,14 +258,14 @@
                        {"grants", packed_list({})}});
 }
 
-ExchangeReply older_exchange_reply_expected() {
-    ExchangeReply reply;
-    reply.term = 9;
-    reply.settled = true;
-    reply.version = 8;
-    reply.machines = {"i-1"};
-    reply.fleet = {4.5, 5.5, 1, false};
-    return reply;
+PeerSyncResponse older_exchange_reply_expected() {
+    PeerSyncResponse response;
+    response.term = 9;
+    response.reconciled = true;
+    response.version = 8;
+    response.machines = {"i-1"};
+    response.capacity = {4.5, 5.5, 1, false};
+    return response;
 }
 
 std::string older_promise_ask() {
@@ -281,17 +281,17 @@
                        {"cancelled", packed_list({packed("req-1")})}});
 }
 
-PromiseReply full_promise_reply() {
+LeaseExtensionResponse full_promise_reply() {
     return {true,
             false,
             {"req-1", "req-2"},
-            {{"red", TeamFacts{"red", 1.5, 2.5, 3.5, 4.5}, 70000},
-             {"blue", TeamFacts{"blue", 5, 6, 7, 8}, kLargeTerm}}};
+            {{"red", TeamQuota{"red", 1.5, 2.5, 3.5, 4.5}, 70000},
+             {"blue", TeamQuota{"blue", 5, 6, 7, 8}, kLargeTerm}}};
 }
 
 // A call whose receiver is a controller: decoded from its body and called again, it is the same.
-WireForm call_form(const std::string& name, const CallBody& call,
-                   const std::function<CallBody(const std::string& body)>& decode) {
+WireForm call_form(const std::string& name, const OutboundBody& call,
+                   const std::function<OutboundBody(const std::string& body)>& decode) {
     return {"peer/" + name, [=] { return request_bytes(call); },
             [=](const std::string& pinned) {
                 expect_same_bytes(request_bytes(decode(body_of(pinned))), pinned);
@@ -300,140 +300,145 @@
 
 // A call of another version: decoded, it is the call expected.
 WireForm foreign_call_form(const std::string& name, const std::string& body,
-                           const CallBody& expected,
-                           const std::function<CallBody(const std::string& body)>& decode) {
+                           const OutboundBody& expected,
+                           const std::function<OutboundBody(const std::string& body)>& decode) {
     return {"peer/" + name, [=] { return body; },
             [=](const std::string& pinned) {
                 expect_same_bytes(request_bytes(decode(pinned)), request_bytes(expected));
             }};
 }
 
-std::string encode_peer_reply(const CallReply& reply) {
-    if (reply.exchange) {
-        return wire::encode_answer(*reply.exchange);
+std::string encode_peer_reply(const OutboundResponse& response) {
+    if (response.peer_sync) {
+        return wire::encode_response(*response.peer_sync);
     }
-    if (reply.promise) {
-        return wire::encode_answer(*reply.promise);
+    if (response.lease_extension) {
+        return wire::encode_response(*response.lease_extension);
     }
-    return reply.standing ? wire::encode_answer(*reply.standing) : "none";
+    return response.quota_status ? wire::encode_response(*response.quota_status) : "none";
 }
 
-WireForm reply_form(const std::string& name, const CallBody& call, const AnswerBody& reply) {
-    return {"peer/" + name, [=] { return wire::encode_answer(reply); },
+WireForm reply_form(const std::string& name, const OutboundBody& call, const ResponseBody& reply) {
+    return {"peer/" + name, [=] { return wire::encode_response(reply); },
             [=](const std::string& pinned) {
-                CallReply read = wire::decode_reply(1, call, 200, pinned);
+                OutboundResponse read = wire::decode_response(1, call, 200, pinned);
                 EXPECT_EQ(read.status, 200);
                 expect_same_bytes(encode_peer_reply(read), pinned);
             }};
 }
 
-WireForm foreign_reply_form(const std::string& name, const CallBody& call, const std::string& bytes,
-                            const AnswerBody& expected) {
+WireForm foreign_reply_form(const std::string& name, const OutboundBody& call,
+                            const std::string& bytes, const ResponseBody& expected) {
     return {"peer/" + name, [=] { return bytes; },
             [=](const std::string& pinned) {
-                CallReply read = wire::decode_reply(1, call, 200, pinned);
+                OutboundResponse read = wire::decode_response(1, call, 200, pinned);
                 EXPECT_EQ(read.status, 200);
-                expect_same_bytes(encode_peer_reply(read), wire::encode_answer(expected));
+                expect_same_bytes(encode_peer_reply(read), wire::encode_response(expected));
             }};
 }
 
-std::string exchange_body(const Exchange& exchange) {
-    return wire::encode_call(PeerCall{kPeer, exchange}).body;
+std::string exchange_body(const PeerSyncRequest& request) {
+    return wire::encode_request(PeerSyncCall{kPeer, request}).body;
 }
 
-CallBody decode_exchange(const std::string& body) {
-    return PeerCall{kPeer, wire::parse_exchange(body)};
+OutboundBody decode_exchange(const std::string& body) {
+    return PeerSyncCall{kPeer, wire::parse_peer_sync_request(body)};
 }
-CallBody decode_promise(const std::string& body) {
-    return PromiseCall{kPeer, wire::parse_promise_ask(body)};
+OutboundBody decode_promise(const std::string& body) {
+    return LeaseExtensionCall{kPeer, wire::parse_lease_extension_request(body)};
 }
-CallBody decode_cancelled(const std::string& body) {
-    return CancelledCall{kPeer, wire::parse_cancelled(body)};
+OutboundBody decode_cancelled(const std::string& body) {
+    return CancellationCall{kPeer, wire::parse_cancellations(body)};
 }
-CallBody decode_standing(const std::string& body) {
-    return StandingCall{wire::parse_standing_ask(body)};
+OutboundBody decode_standing(const std::string& body) {
+    return QuotaStatusCall{wire::parse_quota_status_query(body)};
 }
 
 std::vector<WireForm> exchange_forms() {
     return {
-        call_form("exchange/call_minimal", PeerCall{kPeer, Exchange{}}, decode_exchange),
-        call_form("exchange/call_full", PeerCall{kPeer, full_exchange()}, decode_exchange),
+        call_form("exchange/call_minimal", PeerSyncCall{kPeer, PeerSyncRequest{}}, decode_exchange),
+        call_form("exchange/call_full", PeerSyncCall{kPeer, full_exchange()}, decode_exchange),
         foreign_call_form("exchange/call_older", older_exchange(),
-                          PeerCall{kPeer, older_exchange_expected()}, decode_exchange),
+                          PeerSyncCall{kPeer, older_exchange_expected()}, decode_exchange),
         foreign_call_form("exchange/call_newer", newer_exchange(),
-                          PeerCall{kPeer, older_exchange_expected()}, decode_exchange),
+                          PeerSyncCall{kPeer, older_exchange_expected()}, decode_exchange),
         foreign_call_form("exchange/call_numbers_too_high", exchange_body(exchange_out_of_range(7)),
-                          PeerCall{kPeer, exchange_in_range(1)}, decode_exchange),
+                          PeerSyncCall{kPeer, exchange_in_range(1)}, decode_exchange),
         foreign_call_form("exchange/call_capacity_too_low", exchange_body(exchange_out_of_range(0)),
-                          PeerCall{kPeer, exchange_in_range(0.01)}, decode_exchange),
-        reply_form("exchange/reply_minimal", PeerCall{}, ExchangeReply{}),
-        reply_form("exchange/reply_clean_and_full", PeerCall{}, clean_and_full_exchange_reply()),
-        reply_form("exchange/reply_full", PeerCall{}, full_exchange_reply()),
-        foreign_reply_form("exchange/reply_older", PeerCall{}, older_exchange_reply(),
+                          PeerSyncCall{kPeer, exchange_in_range(0.01)}, decode_exchange),
+        reply_form("exchange/reply_minimal", PeerSyncCall{}, PeerSyncResponse{}),
+        reply_form("exchange/reply_clean_and_full", PeerSyncCall{},
+                   clean_and_full_exchange_reply()),
+        reply_form("exchange/reply_full", PeerSyncCall{}, full_exchange_reply()),
+        foreign_reply_form("exchange/reply_older", PeerSyncCall{}, older_exchange_reply(),
                            older_exchange_reply_expected()),
     };
 }
 
 std::vector<WireForm> promise_forms() {
     return {
-        call_form("promise/call_minimal", PromiseCall{kPeer, PromiseAsk{}}, decode_promise),
-        call_form("promise/call_full", PromiseCall{kPeer, {3, kLargeTerm, 11.05, 4.5, 70000}},
+        call_form("promise/call_minimal", LeaseExtensionCall{kPeer, LeaseExtensionRequest{}},
                   decode_promise),
+        call_form("promise/call_full",
+                  LeaseExtensionCall{kPeer, {3, kLargeTerm, 11.05, 4.5, 70000}}, decode_promise),
         foreign_call_form("promise/call_older", older_promise_ask(),
-                          PromiseCall{kPeer, {3, 77, 11.5, 4.5, 0}}, decode_promise),
-        foreign_call_form("promise/call_partition_too_high",
-                          wire::encode_call(PromiseCall{kPeer, {1 << 30, 1, 2, 3, 4}}).body,
-                          PromiseCall{kPeer, {1 << 20, 1, 2, 3, 4}}, decode_promise),
-        reply_form("promise/reply_minimal", PromiseCall{}, PromiseReply{}),
-        reply_form("promise/reply_given", PromiseCall{}, PromiseReply{false, true, {}, {}}),
-        reply_form("promise/reply_full", PromiseCall{}, full_promise_reply()),
-        foreign_reply_form("promise/reply_older", PromiseCall{}, older_promise_reply(),
-                           PromiseReply{false, true, {"req-1"}, {}}),
+                          LeaseExtensionCall{kPeer, {3, 77, 11.5, 4.5, 0}}, decode_promise),
+        foreign_call_form(
+            "promise/call_partition_too_high",
+            wire::encode_request(LeaseExtensionCall{kPeer, {1 << 30, 1, 2, 3, 4}}).body,
+            LeaseExtensionCall{kPeer, {1 << 20, 1, 2, 3, 4}}, decode_promise),
+        reply_form("promise/reply_minimal", LeaseExtensionCall{}, LeaseExtensionResponse{}),
+        reply_form("promise/reply_given", LeaseExtensionCall{},
+                   LeaseExtensionResponse{false, true, {}, {}}),
+        reply_form("promise/reply_full", LeaseExtensionCall{}, full_promise_reply()),
+        foreign_reply_form("promise/reply_older", LeaseExtensionCall{}, older_promise_reply(),
+                           LeaseExtensionResponse{false, true, {"req-1"}, {}}),
         // A team whose record cannot be read is told as one that is given nothing.
-        reply_form("promise/reply_unreadable_team", PromiseCall{},
-                   PromiseReply{true, true, {}, {{"red", {}, 5}}}),
+        reply_form("promise/reply_unreadable_team", LeaseExtensionCall{},
+                   LeaseExtensionResponse{true, true, {}, {{"red", {}, 5}}}),
     };
 }
 
 std::vector<WireForm> notice_forms() {
-    const TeamStanding full{90, 1.5, {"red", 1.5, 2.5, 3.5, 4.5}, 88, 7.25, true};
+    const QuotaStatus full{90, 1.5, {"red", 1.5, 2.5, 3.5, 4.5}, 88, 7.25, true};
     return {
-        call_form("cancelled/call_minimal", CancelledCall{kPeer, {}}, decode_cancelled),
-        call_form("cancelled/call_full", CancelledCall{kPeer, {"req-1", "req-000412"}},
+        call_form("cancelled/call_minimal", CancellationCall{kPeer, {}}, decode_cancelled),
+        call_form("cancelled/call_full", CancellationCall{kPeer, {"req-1", "req-000412"}},
                   decode_cancelled),
-        call_form("standing/call", StandingCall{"red"}, decode_standing),
-        reply_form("standing/reply_minimal", StandingCall{}, TeamStanding{}),
-        reply_form("standing/reply_full", StandingCall{}, full),
+        call_form("standing/call", QuotaStatusCall{"red"}, decode_standing),
+        reply_form("standing/reply_minimal", QuotaStatusCall{}, QuotaStatus{}),
+        reply_form("standing/reply_full", QuotaStatusCall{}, full),
     };
 }
 
 TEST(WireFormat, CallsToPeersGoToTheNodeNamed) {
-    for (const CallBody& call : {CallBody(PeerCall{kPeer, {}}), CallBody(PromiseCall{kPeer, {}}),
-                                 CallBody(CancelledCall{kPeer, {}})}) {
-        wire::HttpCall http = wire::encode_call(call);
+    for (const OutboundBody& call :
+         {OutboundBody(PeerSyncCall{kPeer, {}}), OutboundBody(LeaseExtensionCall{kPeer, {}}),
+          OutboundBody(CancellationCall{kPeer, {}})}) {
+        wire::HttpRequest http = wire::encode_request(call);
         EXPECT_EQ(http.service, wire::Service::peer);
         EXPECT_EQ(http.endpoint, kPeer);
         EXPECT_EQ(http.wait_s, 0);
     }
-    EXPECT_EQ(wire::encode_call(StandingCall{"red"}).service, wire::Service::peer);
-    EXPECT_EQ(wire::encode_call(StandingCall{"red"}).endpoint, "");
+    EXPECT_EQ(wire::encode_request(QuotaStatusCall{"red"}).service, wire::Service::peer);
+    EXPECT_EQ(wire::encode_request(QuotaStatusCall{"red"}).endpoint, "");
 }
 
 // All that a cancel notice's answer says is its status, whatever the body is.
 TEST(WireFormat, TheAnswerToACancelNoticeIsItsStatus) {
-    std::string body = wire::encode_answer(Plain{"taken in"});
-    EXPECT_EQ(wire::decode_reply(1, CancelledCall{}, 200, body).status, 200);
-    EXPECT_EQ(wire::decode_reply(1, CancelledCall{}, 503, body).status, 503);
+    std::string body = wire::encode_response(TextBody{"taken in"});
+    EXPECT_EQ(wire::decode_response(1, CancellationCall{}, 200, body).status, 200);
+    EXPECT_EQ(wire::decode_response(1, CancellationCall{}, 503, body).status, 503);
 }
 
 // A refusal carries an error text, which is not read.
 TEST(WireFormat, ARefusalOfAPeerIsItsStatus) {
-    std::string body = wire::encode_answer(Plain{"a later owner has called"});
-    CallReply reply = wire::decode_reply(1, PeerCall{}, 409, body);
-    EXPECT_EQ(reply.status, 409);
-    EXPECT_FALSE(reply.exchange);
-    EXPECT_EQ(wire::decode_reply(1, PromiseCall{}, 421, body).status, 421);
-    EXPECT_EQ(wire::decode_reply(1, StandingCall{}, 404, body).status, 404);
+    std::string body = wire::encode_response(TextBody{"a later owner has called"});
+    OutboundResponse response = wire::decode_response(1, PeerSyncCall{}, 409, body);
+    EXPECT_EQ(response.status, 409);
+    EXPECT_FALSE(response.peer_sync);
+    EXPECT_EQ(wire::decode_response(1, LeaseExtensionCall{}, 421, body).status, 421);
+    EXPECT_EQ(wire::decode_response(1, QuotaStatusCall{}, 404, body).status, 404);
 }
 
 } // namespace
@@ -446,4 +451,4 @@
     return forms;
 }
 
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/wire_format_records_test.cpp
+++ b/tests/wire_format_records_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 namespace {
 
 JobSpec minimal_job() {
@@ -81,8 +81,8 @@
                        {"repot_s", packed(0.0)}});
 }
 
-MachineType full_machine_type() {
-    MachineType type;
+InstanceType full_machine_type() {
+    InstanceType type;
     type.name = "g8";
     type.cpus = 96;
     type.gpus = 8;
@@ -96,8 +96,8 @@
     return type;
 }
 
-MachineType minimal_machine_type() {
-    MachineType type;
+InstanceType minimal_machine_type() {
+    InstanceType type;
     type.name = "c1";
     type.cpus = 1;
     type.ram_gb = 2;
@@ -118,7 +118,7 @@
 }
 
 CatalogRecord catalog_with_spot_price_as_usual() {
-    MachineType type = minimal_machine_type();
+    InstanceType type = minimal_machine_type();
     type.price = 3.5;
     type.spot_price = 3.5;
     type.zones = {"east"};
@@ -126,35 +126,35 @@
 }
 
 // Each stage, each reason to exit, and each combination of the flags.
-AccountRecord full_account() {
-    constexpr int kReasons = static_cast<int>(ExitWhy::unknown) + 1;
+InventoryRecord full_account() {
+    constexpr int kReasons = static_cast<int>(ExitReason::unknown) + 1;
     constexpr int kStages = static_cast<int>(TaskStage::exited) + 1;
-    AccountRecord account{9, 8, 77, 3, {}, {}, {{1ULL << 40, 2}, {5, 0}}};
+    InventoryRecord account{9, 8, 77, 3, {}, {}, {{1ULL << 40, 2}, {5, 0}}};
     for (int flags = 0; flags < 4; ++flags) {
-        account.shares.push_back(
+        account.shards.push_back(
             {{flags + 1, 300 + flags}, (1ULL << 33) + flags, (flags & 1) != 0, (flags & 2) != 0});
     }
     for (int i = 0; i < kReasons; ++i) {
-        HeldTask held;
-        held.listed.task = {"req-000412", static_cast<std::uint32_t>(i)};
-        held.listed.attempt = (1ULL << 50) + i;
-        held.listed.stage = static_cast<TaskStage>(i % kStages);
-        held.listed.why = static_cast<ExitWhy>(i);
-        held.machine = "i-" + std::to_string(i);
-        held.zone = "east";
-        held.shape_unknown = (i & 1) != 0;
-        held.draining = (i & 2) != 0;
-        held.notice = (i & 4) != 0;
-        account.held.push_back(held);
+        RemoteTaskStatus remote_task;
+        remote_task.status.task = {"req-000412", static_cast<std::uint32_t>(i)};
+        remote_task.status.attempt = (1ULL << 50) + i;
+        remote_task.status.stage = static_cast<TaskStage>(i % kStages);
+        remote_task.status.exit_reason = static_cast<ExitReason>(i);
+        remote_task.machine = "i-" + std::to_string(i);
+        remote_task.zone = "east";
+        remote_task.resources_unknown = (i & 1) != 0;
+        remote_task.draining = (i & 2) != 0;
+        remote_task.preemption_notice = (i & 4) != 0;
+        account.tasks.push_back(remote_task);
     }
     return account;
 }
 
 // What is written is read back to a value that is written the same.
-WireForm record_form(const std::string& name, const std::string& key, const Record& record) {
+WireForm record_form(const std::string& name, const std::string& key, const StoredRecord& record) {
     return {"record/" + name, [=] { return stored_bytes(key, record); },
             [=](const std::string& pinned) {
-                Record read = read_record(key, pinned);
+                StoredRecord read = read_record(key, pinned);
                 EXPECT_EQ(read.index(), record.index());
                 expect_same_bytes(stored_bytes(key, read), pinned);
             }};
@@ -162,10 +162,10 @@
 
 // Written by another version only: read to the value expected.
 WireForm foreign_record_form(const std::string& name, const std::string& key,
-                             const std::string& bytes, const Record& expected) {
+                             const std::string& bytes, const StoredRecord& expected) {
     return {"record/" + name, [=] { return bytes; },
             [=](const std::string& pinned) {
-                Record read = read_record(key, pinned);
+                StoredRecord read = read_record(key, pinned);
                 EXPECT_EQ(read.index(), expected.index());
                 expect_same_bytes(stored_bytes(key, read), stored_bytes(key, expected));
             }};
@@ -189,7 +189,7 @@
             packed_map({{"outcome", packed("none")}, {"job", job_without_optional_fields()}}),
             JobRecord{Outcome::none, minimal_job()}),
         foreign_record_form("job/open_without_job", key, packed_map({{"outcome", packed("none")}}),
-                            Unreadable{}),
+                            UnreadableRecord{}),
         record_form("progress/empty", progress_key, ProgressRecord{}),
         record_form("progress/full", progress_key, ProgressRecord{bits}),
         // Padded to a whole digit.
@@ -200,39 +200,41 @@
 
 std::vector<WireForm> partition_record_forms() {
     return {
-        record_form("part/knows_shares", "part/1", PartRecord{"n1", true}),
-        record_form("part/knows_no_shares", "part/1", PartRecord{"n1", false}),
+        record_form("part/knows_shares", "part/1", PartitionRecord{"n1", true}),
+        record_form("part/knows_no_shares", "part/1", PartitionRecord{"n1", false}),
         foreign_record_form("part/older", "part/1", packed_map({{"node", packed("n1")}}),
-                            PartRecord{"n1", false}),
+                            PartitionRecord{"n1", false}),
         foreign_record_form("part/newer", "part/1",
                             packed_map({{"not_known", packed_list({packed(1)})},
                                         {"knows_shares", packed(true)},
                                         {"node", packed("n1")}}),
-                            PartRecord{"n1", true}),
-        record_form("part/home", "part/1/home", PartRecord{"n2", true}),
+                            PartitionRecord{"n1", true}),
+        record_form("part/home", "part/1/home", PartitionRecord{"n2", true}),
         foreign_record_form("part/home_older", "part/1/home", packed_map({{"node", packed("n2")}}),
-                            PartRecord{"n2", false}),
-        record_form("part/shares", "part/1/shares", ShareRecord{{1, 0, 4, 127}}),
-        record_form("part/shares_empty", "part/1/shares", ShareRecord{}),
+                            PartitionRecord{"n2", false}),
+        record_form("part/shares", "part/1/shares", ShardHoldersRecord{{1, 0, 4, 127}}),
+        record_form("part/shares_empty", "part/1/shares", ShardHoldersRecord{}),
         foreign_record_form("part/shares_holder_out_of_range", "part/1/shares",
-                            stored_bytes("part/1/shares", ShareRecord{{500}}), ShareRecord{{128}}),
+                            stored_bytes("part/1/shares", ShardHoldersRecord{{500}}),
+                            ShardHoldersRecord{{128}}),
         foreign_record_form(
             "part/shares_of_unknown_format", "part/1/shares",
             packed_map({{"format", packed(2)}, {"holders", packed_list({packed(1)})}}),
-            Unreadable{}),
-        record_form("account/minimal", "account/1/2/0", AccountRecord{}),
+            UnreadableRecord{}),
+        record_form("account/minimal", "account/1/2/0", InventoryRecord{}),
         record_form("account/full", "account/1/2/0", full_account()),
     };
 }
 
 // Nil where the data should be: the whole reply counts as none.
 WireForm unreadable_record_form() {
-    return {"record/unreadable", [] { return stored_bytes("job/req-1", Unreadable{}); },
+    return {"record/unreadable", [] { return stored_bytes("job/req-1", UnreadableRecord{}); },
             [](const std::string& pinned) {
                 std::string body = packed_map({{"data", pinned}, {"graft", packed(7)}});
-                CallReply reply = wire::decode_reply(1, Get{"job/req-1"}, 200, body);
-                EXPECT_EQ(reply.status, 0);
-                EXPECT_TRUE(reply.items.empty());
+                OutboundResponse response =
+                    wire::decode_response(1, StoreGet{"job/req-1"}, 200, body);
+                EXPECT_EQ(response.status, 0);
+                EXPECT_TRUE(response.entries.empty());
             }};
 }
 
@@ -248,8 +250,8 @@
                     CatalogRecord{{full_machine_type(), minimal_machine_type()}}),
         foreign_record_form("catalog/without_spot_price", "catalog", catalog_without_spot_price(),
                             catalog_with_spot_price_as_usual()),
-        record_form("team/minimal", team_key, TeamRecord{}),
-        record_form("team/full", team_key, TeamRecord{{"", 16, 24.5, 1, 2.5}}),
+        record_form("team/minimal", team_key, QuotaRecord{}),
+        record_form("team/full", team_key, QuotaRecord{{"", 16, 24.5, 1, 2.5}}),
         unreadable_record_form(),
     };
 }
@@ -264,4 +266,4 @@
     return forms;
 }
 
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <map>
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 
 std::string packed_map(const std::vector<PackedField>& fields) {
     msgpack::sbuffer buffer;
@@ -141,8 +141,8 @@
 }
 } // namespace
 
-std::string request_bytes(const CallBody& call) {
-    wire::HttpCall http = wire::encode_call(call);
+std::string request_bytes(const OutboundBody& call) {
+    wire::HttpRequest http = wire::encode_request(call);
     return http.method + " " + http.path + "\n" + http.body;
 }
 
@@ -152,8 +152,8 @@
     EXPECT_EQ(hex_of(actual), hex_of(expected));
 }
 
-std::string stored_bytes(const std::string& key, const Record& record) {
-    std::string body = wire::encode_call(Txn{{}, {{key, record, {}}}}).body;
+std::string stored_bytes(const std::string& key, const StoredRecord& record) {
+    std::string body = wire::encode_request(StoreTransaction{{}, {{key, record, {}}}}).body;
     std::string set_without_data = packed_map({{"set", packed(key)}, {"data", ""}});
     std::string before =
         packed_map({{"when", packed_list({})}, {"then", packed_list({set_without_data})}});
@@ -161,11 +161,11 @@
     return body.substr(before.size());
 }
 
-Record read_record(const std::string& key, const std::string& bytes) {
+StoredRecord read_record(const std::string& key, const std::string& bytes) {
     std::string body = packed_map({{"data", bytes}, {"graft", packed(7)}});
-    CallReply reply = wire::decode_reply(1, Get{key}, 200, body);
-    EXPECT_EQ(reply.items.size(), 1u);
-    return reply.items.empty() ? Record{} : reply.items[0].record;
+    OutboundResponse response = wire::decode_response(1, StoreGet{key}, 200, body);
+    EXPECT_EQ(response.entries.size(), 1u);
+    return response.entries.empty() ? StoredRecord{} : response.entries[0].record;
 }
 
-} // namespace orchidlanding::test
+} // namespace scheduler::test
