--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -7,10 +7,10 @@
 
 #include "policy/defaults.h"
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 
 struct World::Node {
-    Facts facts;
+    ClusterSettings facts;
     std::unique_ptr<Controller> core;
     int life = 0;
     double rate = 1; // of its steady clock
@@ -25,7 +25,7 @@
     struct Task {
         std::uint64_t attempt = 0;
         TaskStage stage = TaskStage::fetching;
-        ExitWhy why = ExitWhy::none;
+        ExitReason why = ExitReason::none;
         Time next = 0; // image there, run over, or saved
         Time since = 0;
         Time left = 0; // its start left the controller then
@@ -47,8 +47,8 @@
     int node = 0;
     double rate = 1;
     std::uint64_t flight = 0; // the report in flight
-    std::map<TaskRef, Task> tasks;
-    std::set<std::pair<TaskRef, std::uint64_t>> cleared;
+    std::map<TaskId, Task> tasks;
+    std::set<std::pair<TaskId, std::uint64_t>> cleared;
 };
 
 namespace {
@@ -64,16 +64,16 @@
     return options.one_zone ? std::vector<std::string>{"a"} : std::vector<std::string>{"a", "b"};
 }
 
-MachineType World::machine_type(const WorldOptions& o) {
+InstanceType World::machine_type(const WorldOptions& o) {
     return {"m8", 8, o.gpus ? 4.0 : 0.0, 32, 20, 1, 1.0, 0.4, o.boot_s, zones(o)};
 }
 
-std::vector<TeamFacts> World::teams(const WorldOptions& o) {
+std::vector<TeamQuota> World::teams(const WorldOptions& o) {
     if (o.gpus) {
         return {{"red", 0, 0, 8 * o.limits, 12 * o.limits},
                 {"blue", 0, 0, 4 * o.limits, 20 * o.limits}};
     }
-    std::vector<TeamFacts> all{{"red", 16 * o.limits, 24 * o.limits, 0, 0},
+    std::vector<TeamQuota> all{{"red", 16 * o.limits, 24 * o.limits, 0, 0},
                                {"blue", 8 * o.limits, 40 * o.limits, 0, 0}};
     for (int t = 0; t < o.more_teams; ++t) {
         all.push_back({"t" + std::to_string(t), 1, 24, 0, 0});
@@ -87,27 +87,28 @@
       config_random_(options.seed + 1) {
     for (int i = 0; i < options_.nodes; ++i) {
         auto node = std::make_unique<Node>();
-        Facts& f = node->facts;
-        f.node = "n" + std::to_string(i);
-        f.home = i;
+        ClusterSettings& settings = node->facts;
+        settings.node = "n" + std::to_string(i);
+        settings.home_partition = i;
         for (int j = 0; j < options_.nodes; ++j) {
-            f.parts.push_back({"n" + std::to_string(j), j % 2 && !options_.one_zone ? "b" : "a"});
-        }
-        f.zones = zones(options_);
-        f.teams = teams(options_);
-        f.objectives = options_.objectives;
-        f.report_s = options_.report_s;
-        f.lease_s = options_.lease_s;
-        f.cancel_s = options_.cancel_s;
-        f.gang_wait_s = kGangWait;
-        f.gang_peer_s = kGangPeer;
-        f.state_rps = options_.state_rps;
-        f.state_write_rps = options_.state_write_rps;
-        f.value_kb = 4;
-        f.txn_ops = 12;
-        f.cloud_rps = 6;
-        f.list_lag_s = 8;
-        f.orders_at_once = options_.orders_at_once;
+            settings.partitions.push_back(
+                {"n" + std::to_string(j), j % 2 && !options_.one_zone ? "b" : "a"});
+        }
+        settings.zones = zones(options_);
+        settings.teams = teams(options_);
+        settings.objectives = options_.objectives;
+        settings.heartbeat_interval_s = options_.report_s;
+        settings.worker_lease_s = options_.lease_s;
+        settings.cancel_s = options_.cancel_s;
+        settings.gang_start_timeout_s = kGangWait;
+        settings.gang_stop_timeout_s = kGangPeer;
+        settings.store_requests_per_s = options_.state_rps;
+        settings.store_writes_per_s = options_.state_write_rps;
+        settings.store_value_limit_kb = 4;
+        settings.store_transaction_limit = 12;
+        settings.cloud_requests_per_s = 6;
+        settings.list_lag_s = 8;
+        settings.max_concurrent_commands = options_.orders_at_once;
         node->rate = 1 + options_.drift * (i % 2 ? 1 : 0);
         nodes_.push_back(std::move(node));
         start_node(i);
@@ -143,7 +144,7 @@
 
 World::~World() = default;
 
-const Facts& World::facts(int node) const { return nodes_[node]->facts; }
+const ClusterSettings& World::facts(int node) const { return nodes_[node]->facts; }
 
 void World::at(Time when, std::function<void()> work) {
     events_.push({std::max(when, now_), ++sequence_, std::move(work)});
@@ -176,7 +177,7 @@
         if (!self || nodes_[i]->life != life || !nodes_[i]->core) {
             return;
         }
-        input(i, Tick{});
+        input(i, TimerTick{});
         at(now_ + 0.25, [self] { (*self)(); });
     };
     at(now_ + 0.01 * (i + 1), [again] { (*again)(); });
@@ -216,17 +217,17 @@
     });
 }
 
-bool World::give(int part, const ShareId& share, int to) {
-    int node = owner(part);
+bool World::give(int partition, const ShardId& shard, int to) {
+    int node = owner(partition);
     Node* n = node < 0 ? nullptr : nodes_[node].get();
     return n && n->core && now_ >= n->frozen_until &&
-           n->core->give(1000.0 * node + now_ * n->rate, part, share, to);
+           n->core->migrate_shard(1000.0 * node + now_ * n->rate, partition, shard, to);
 }
 
-std::vector<ShareId> World::shares(int part) const {
-    int node = owner(part);
-    return node < 0 || !nodes_[node]->core ? std::vector<ShareId>{}
-                                           : nodes_[node]->core->shares(part);
+std::vector<ShardId> World::shares(int partition) const {
+    int node = owner(partition);
+    return node < 0 || !nodes_[node]->core ? std::vector<ShardId>{}
+                                           : nodes_[node]->core->shards(partition);
 }
 
 std::size_t World::logged(const std::string& event) const {
@@ -237,7 +238,7 @@
 void World::carry_out(int i, Outputs out) {
     for (const auto& line : out.log) {
         ++log_counts_[line.text.substr(0, line.text.find(' '))];
-        if (line.text.starts_with("event=team_configured ")) {
+        if (line.text.starts_with("event=quota_updated ")) {
             note_in_force(line.text);
         }
         if (on_log) {
@@ -245,15 +246,15 @@
         }
     }
     const int life = nodes_[i]->life;
-    auto ends = [&](const Call* c, const Answer* a) {
+    auto ends = [&](const OutboundRequest* c, const Response* a) {
         auto back_s = after_output ? after_output(i, c, a) : std::nullopt;
         if (back_s && nodes_[i]->life == life) {
             crash(i, *back_s);
         }
         return nodes_[i]->life != life;
     };
-    for (const auto& a : out.answers) {
-        auto it = reports_.find(a.request);
+    for (const auto& a : out.responses) {
+        auto it = reports_.find(a.request_id);
         if (it != reports_.end()) {
             auto then = std::move(it->second);
             reports_.erase(it);
@@ -262,19 +263,19 @@
             }
         } else {
             judge_.answered(now_, a);
-            const auto* job = std::get_if<JobAnswer>(&a.body);
-            looks_answered_ += job && looks_.contains(a.request);
+            const auto* job = std::get_if<JobStatusBody>(&a.body);
+            looks_answered_ += job && looks_.contains(a.request_id);
             bool news = job && (a.status == 201 || !judge_.told(job->id).empty());
-            if (news && !looks_.contains(a.request) && trouble(troubles.close_looks)) {
+            if (news && !looks_.contains(a.request_id) && trouble(troubles.close_looks)) {
                 look_closely(job->id);
             }
-            answers[a.request] = a;
+            answers[a.request_id] = a;
         }
         if (ends(nullptr, &a)) {
             return;
         }
     }
-    for (const auto& c : out.calls) {
+    for (const auto& c : out.requests) {
         call(i, c);
         if (ends(&c, nullptr)) {
             return;
@@ -318,7 +319,7 @@
 }
 
 // A task has completed; its job's user may call it off at the end of the last one.
-void World::complete(const TaskRef& task) {
+void World::complete(const TaskId& task) {
     judge_.completed(task);
     if (judge_.all_done(task.job) && trouble(troubles.cancel_at_end)) {
         at(now_ + std::uniform_real_distribution<>(0, 2 * options_.report_s)(random_) * chance(0.5),
@@ -326,24 +327,25 @@
     }
 }
 
-void World::deliver(int i, int life, CallReply reply) {
-    if (auto out = orders_calls_.extract({i, life, reply.call}); !out.empty()) {
+void World::deliver(int i, int life, OutboundResponse response) {
+    if (auto out = orders_calls_.extract({i, life, response.request_id}); !out.empty()) {
         --orders_out_[{i, life}];
     }
     if (nodes_[i]->life == life) {
-        input(i, std::move(reply));
+        input(i, std::move(response));
     }
 }
 
 namespace {
-bool asks_for_config(const CallBody& body) {
-    const auto* range = std::get_if<Range>(&body);
-    const auto* watch = std::get_if<Watch>(&body);
-    return (range && range->prefix == kTeamConfig) || (watch && watch->prefix == kTeamConfig);
+bool asks_for_config(const OutboundBody& body) {
+    const auto* range = std::get_if<StoreRange>(&body);
+    const auto* watch = std::get_if<StoreWatch>(&body);
+    return (range && range->prefix == kQuotaConfigPrefix) ||
+           (watch && watch->prefix == kQuotaConfigPrefix);
 }
 } // namespace
 
-void World::call(int i, const Call& c) {
+void World::call(int i, const OutboundRequest& c) {
     ConfigDraws own(*this, asks_for_config(c.body));
     Node& n = *nodes_[i];
     static constexpr const char* kNames[] = {
@@ -351,20 +353,20 @@
         "rent", "release", "orders", "peer",  "promise", "cancelled", "standing"};
     ++call_counts_[kNames[c.body.index()]];
     int life = n.life;
-    CallReply none;
-    none.call = c.id;
-    if (std::holds_alternative<Orders>(c.body)) {
+    OutboundResponse none;
+    none.request_id = c.id;
+    if (std::holds_alternative<WorkerCommands>(c.body)) {
         int& out = orders_out_[{i, life}];
         if (out >= 5 * options_.orders_at_once) {
-            none.unsent = true;
+            none.never_sent = true;
             at(now_, [=, this] { deliver(i, life, none); });
             return;
         }
         ++out;
         orders_calls_.insert({i, life, c.id});
     }
-    bool watch = std::holds_alternative<Watch>(c.body);
-    if (std::holds_alternative<CancelledCall>(c.body) && !options_.notices) { // refused at once
+    bool watch = std::holds_alternative<StoreWatch>(c.body);
+    if (std::holds_alternative<CancellationCall>(c.body) && !options_.notices) { // refused at once
         at(now_ + delay(), [=, this] { deliver(i, life, none); });
         return;
     }
@@ -374,7 +376,7 @@
     }
     bool lost = chance(options_.drop);
     bool late = !watch && chance(options_.late);
-    if (std::holds_alternative<Txn>(c.body) && chance(troubles.late_writes)) {
+    if (std::holds_alternative<StoreTransaction>(c.body) && chance(troubles.late_writes)) {
         at(now_ + options_.report_s / 2, [=, this] { deliver(i, life, none); });
         if (state_down_ || n.refused_by_state || n.silent_to_state) {
             return;
@@ -382,7 +384,7 @@
         at(now_ + std::uniform_real_distribution<>(2, 12)(random_), [=, this] {
             if (!state_down_) {
                 expire_leases();
-                transact(std::get<Txn>(c.body));
+                transact(std::get<StoreTransaction>(c.body));
                 fire_watches();
             }
         });
@@ -396,13 +398,14 @@
     }
     double way = late ? std::uniform_real_distribution<>(2, 40)(random_) : delay();
     bool silent = lost || late;
-    if (std::holds_alternative<Orders>(c.body) && chance(troubles.held_orders)) {
+    if (std::holds_alternative<WorkerCommands>(c.body) && chance(troubles.held_orders)) {
         way = std::uniform_real_distribution<>(2, 12)(random_);
         silent = true;
         at(now_ + options_.report_s / 4, [=, this] { deliver(i, life, none); });
     }
-    const auto* txn = std::get_if<Txn>(&c.body);
-    if (txn && ((lose_answer && lose_answer(i, *txn)) || trouble(troubles.lost_answers))) {
+    const auto* transaction = std::get_if<StoreTransaction>(&c.body);
+    if (transaction &&
+        ((lose_answer && lose_answer(i, *transaction)) || trouble(troubles.lost_answers))) {
         silent = true;
         at(now_ + options_.report_s / 2, [=, this] { deliver(i, life, none); });
     }
@@ -415,7 +418,7 @@
     way += slow;
     at(now_ + way, [=, this, left = now_] {
         ConfigDraws own_too(*this, !watch && asks_for_config(c.body));
-        CallReply reply;
+        OutboundResponse response;
         // Between nodes. The reply itself may be lost too; then the call runs out of time.
         auto between = [&](const std::string& node, auto ask, auto take) {
             int to = std::atoi(node.c_str() + 1);
@@ -424,58 +427,59 @@
                 zone_cut(zone_of_node(i)) != zone_cut(zone_of_node(to))) {
                 return;
             }
-            RequestId request = next_request_++ + (1ULL << 40);
-            reports_[request] = [this, i, life, c, silent, take](const Answer& a, Time) {
+            RequestId request_id = next_request_++ + (1ULL << 40);
+            reports_[request_id] = [this, i, life, c, silent, take](const Response& a, Time) {
                 if (silent) {
                     return;
                 }
-                CallReply r;
-                r.call = c.id;
+                OutboundResponse r;
+                r.request_id = c.id;
                 r.status = a.status;
                 take(a, r);
                 deliver(i, life, r);
             };
-            input(to, ask(request));
+            input(to, ask(request_id));
         };
-        if (const auto* peer = std::get_if<PeerCall>(&c.body)) {
+        if (const auto* peer = std::get_if<PeerSyncCall>(&c.body)) {
             between(
                 peer->node,
                 [&](RequestId r) {
-                    return PeerExchange{r, peer->exchange};
+                    return PeerSyncReceived{r, peer->sync};
                 },
-                [this](const Answer& a, CallReply& r) {
-                    if (const auto* body = std::get_if<ExchangeReply>(&a.body)) {
-                        r.exchange = *body;
-                        counts_.listed += static_cast<double>(
-                            body->held.size() + body->open.size() + body->machines.size());
+                [this](const Response& a, OutboundResponse& r) {
+                    if (const auto* body = std::get_if<PeerSyncResponse>(&a.body)) {
+                        r.peer_sync = *body;
+                        counts_.listed +=
+                            static_cast<double>(body->tasks.size() + body->pending_launches.size() +
+                                                body->machines.size());
                     }
                 });
             return;
         }
-        if (const auto* promise = std::get_if<PromiseCall>(&c.body)) {
+        if (const auto* promise = std::get_if<LeaseExtensionCall>(&c.body)) {
             between(
                 promise->node,
                 [&](RequestId r) {
-                    return PeerPromise{r, promise->ask};
+                    return LeaseExtensionReceived{r, promise->extension};
                 },
-                [](const Answer& a, CallReply& r) {
-                    if (const auto* body = std::get_if<PromiseReply>(&a.body)) {
-                        r.promise = *body;
+                [](const Response& a, OutboundResponse& r) {
+                    if (const auto* body = std::get_if<LeaseExtensionResponse>(&a.body)) {
+                        r.lease_extension = *body;
                     }
                 });
             return;
         }
-        if (const auto* cancelled = std::get_if<CancelledCall>(&c.body)) {
+        if (const auto* cancelled = std::get_if<CancellationCall>(&c.body)) {
             between(
                 cancelled->node,
                 [&](RequestId r) {
-                    return PeerCancelled{r, cancelled->jobs};
+                    return CancellationsReceived{r, cancelled->jobs};
                 },
-                [](const Answer&, CallReply&) {});
+                [](const Response&, OutboundResponse&) {});
             return;
         }
-        if (std::holds_alternative<Orders>(c.body)) {
-            const auto& orders = std::get<Orders>(c.body);
+        if (std::holds_alternative<WorkerCommands>(c.body)) {
+            const auto& orders = std::get<WorkerCommands>(c.body);
             auto it = workers_.find(orders.machine);
             if (it == workers_.end() || it->second->dead || it->second->cut || it->second->deaf ||
                 nodes_[i]->cut_from_workers ||
@@ -485,28 +489,28 @@
                 }
                 return;
             }
-            auto serve = [this, orders, left](Worker& w, CallReply& to) {
-                if (orders.token < w.token || orders.session != w.session) {
+            auto serve = [this, orders, left](Worker& worker, OutboundResponse& to) {
+                if (orders.fencing_token < worker.token || orders.agent_epoch != worker.session) {
                     to.status = 409;
                 } else {
-                    w.token = orders.token;
-                    execute(w, orders.commands, left);
+                    worker.token = orders.fencing_token;
+                    execute(worker, orders.commands, left);
                     to.status = 200;
                 }
-                to.report = report_of(w);
+                to.heartbeat = report_of(worker);
             };
             if (now_ < it->second->hung_until) {
                 at(now_ + 1.5, [=, this] { deliver(i, life, none); });
                 at(it->second->hung_until, [this, serve, name = orders.machine] {
                     auto woken = workers_.find(name);
                     if (woken != workers_.end() && !woken->second->dead) {
-                        CallReply unheard;
+                        OutboundResponse unheard;
                         serve(*woken->second, unheard);
                     }
                 });
                 return;
             }
-            serve(*it->second, reply);
+            serve(*it->second, response);
         } else if (zone_cut(zone_of_node(i))) { // neither the cloud nor the state service
             if (!silent) {
                 at(now_ + options_.report_s / 2, [=, this] { deliver(i, life, none); });
@@ -514,18 +518,19 @@
             return;
         } else if (c.body.index() >= 6) {
             if (cloud_down_) {
-                reply.status = 503;
+                response.status = 503;
             } else {
                 serve_cloud(i, c);
-                reply.status = 200;
-                if (std::holds_alternative<Catalog>(c.body)) {
-                    reply.types = {type_};
-                } else if (const auto* rent = std::get_if<Rent>(&c.body)) {
-                    reply.names = orders_[rent->order];
-                } else if (std::holds_alternative<ListHosts>(c.body)) {
+                response.status = 200;
+                if (std::holds_alternative<ListInstanceTypes>(c.body)) {
+                    response.instance_types = {type_};
+                } else if (const auto* order = std::get_if<ScaleOut>(&c.body)) {
+                    response.accepted_machines = orders_[order->order_id];
+                } else if (std::holds_alternative<ListInstances>(c.body)) {
                     for (const auto& [name, w] : workers_) {
-                        reply.hosts.push_back({name, name + ":1", "m8", w->zone, w->spot,
-                                               w->up ? HostStage::running : HostStage::booting, 0});
+                        response.instances.push_back(
+                            {name, name + ":1", "m8", w->zone, w->spot,
+                             w->up ? InstanceState::running : InstanceState::booting, 0});
                     }
                 }
             }
@@ -539,17 +544,17 @@
                 at(now_ + 3, [=, this] { deliver(i, life, none); });
                 return;
             }
-            reply.status = 503;
-        } else if (const auto* w = std::get_if<Watch>(&c.body)) {
-            watchers_.push_back({i, life, c.id, w->prefix, w->since, now_ + w->wait_s});
+            response.status = 503;
+        } else if (const auto* w = std::get_if<StoreWatch>(&c.body)) {
+            watchers_.push_back({i, life, c.id, w->prefix, w->from_revision, now_ + w->wait_s});
             fire_watches();
             return;
         } else {
-            reply = serve_state(i, c);
+            response = serve_state(i, c);
         }
-        reply.call = c.id;
+        response.request_id = c.id;
         if (!silent) {
-            at(now_ + delay(), [=, this] { deliver(i, life, reply); });
+            at(now_ + delay(), [=, this] { deliver(i, life, response); });
         }
     });
 }
@@ -560,7 +565,7 @@
     changes_.push_back({revision_, key, deleted});
 }
 
-void World::put(const std::string& key, Record record) {
+void World::put(const std::string& key, StoredRecord record) {
     ++revision_;
     kv_[key] = {std::move(record), revision_, 0};
     changed(key, false);
@@ -572,74 +577,75 @@
     changed(key, true);
 }
 
-CallReply World::transact(const Txn& txn) {
-    CallReply r;
-    for (const auto& c : txn.when) {
-        auto it = kv_.find(c.key);
-        if ((it == kv_.end() ? 0 : it->second.version) != c.version) {
-            r.failed.push_back(c.key);
+OutboundResponse World::transact(const StoreTransaction& transaction) {
+    OutboundResponse r;
+    for (const auto& condition : transaction.conditions) {
+        auto it = kv_.find(condition.key);
+        if ((it == kv_.end() ? 0 : it->second.version) != condition.version) {
+            r.failed_keys.push_back(condition.key);
         }
     }
-    if (!r.failed.empty()) {
+    if (!r.failed_keys.empty()) {
         r.status = 409;
         r.revision = revision_;
         return r;
     }
-    for (const auto& c : txn.then) {
+    for (const auto& c : transaction.writes) {
         if (c.lease && !leases_.contains(*c.lease)) {
             r.status = 400;
             return r;
         }
     }
-    if (!txn.then.empty()) {
+    if (!transaction.writes.empty()) {
         ++revision_;
     }
-    for (const auto& c : txn.then) {
-        if (c.put && std::holds_alternative<PartRecord>(*c.put) && !kept_reports_.empty()) {
+    for (const auto& c : transaction.writes) {
+        if (c.value && std::holds_alternative<PartitionRecord>(*c.value) &&
+            !kept_reports_.empty()) {
             give_kept_reports();
         }
-        if (c.put) {
-            kv_[c.key] = {*c.put, revision_, c.lease.value_or(0)};
+        if (c.value) {
+            kv_[c.key] = {*c.value, revision_, c.lease.value_or(0)};
         } else {
             kv_.erase(c.key);
         }
-        changed(c.key, !c.put);
+        changed(c.key, !c.value);
     }
     r.status = 200;
     r.revision = revision_;
     return r;
 }
 
-CallReply World::serve_state(int, const Call& c) {
+OutboundResponse World::serve_state(int, const OutboundRequest& c) {
     expire_leases();
-    CallReply r;
+    OutboundResponse r;
     r.status = 200;
-    if (const auto* get = std::get_if<Get>(&c.body)) {
+    if (const auto* get = std::get_if<StoreGet>(&c.body)) {
         auto it = kv_.find(get->key);
         if (it == kv_.end()) {
             r.status = 404;
         } else {
-            r.items.push_back({get->key, it->second.record, it->second.version});
+            r.entries.push_back({get->key, it->second.record, it->second.version});
         }
-    } else if (const auto* range = std::get_if<Range>(&c.body)) {
+    } else if (const auto* range = std::get_if<StoreRange>(&c.body)) {
         r.revision = revision_;
         auto from =
             range->after.empty() ? kv_.lower_bound(range->prefix) : kv_.upper_bound(range->after);
         for (; from != kv_.end() && from->first.starts_with(range->prefix); ++from) {
             // Small, so that longer lists come in pages; what is read at one revision is not long.
-            if (r.items.size() == 12 && range->prefix != "part/") {
+            if (r.entries.size() == 12 && range->prefix != "part/") {
                 r.more = true;
                 break;
             }
-            r.items.push_back({from->first, from->second.record, from->second.version});
+            r.entries.push_back({from->first, from->second.record, from->second.version});
         }
-    } else if (const auto* txn = std::get_if<Txn>(&c.body)) {
-        r = transact(*txn);
+    } else if (const auto* transaction = std::get_if<StoreTransaction>(&c.body)) {
+        r = transact(*transaction);
         fire_watches();
-    } else if (const auto* grant = std::get_if<GrantLease>(&c.body)) {
+    } else if (const auto* grant = std::get_if<StoreLeaseGrant>(&c.body)) {
         r.lease = next_lease_++;
         leases_[r.lease] = {now_ + grant->ttl_s, grant->ttl_s};
-    } else if (const auto* renew = std::get_if<Renew>(&c.body)) {
+    } else if (const auto* renew = std::get_if<StoreLeaseRenewal>(&c.body)) {
         auto it = leases_.find(renew->lease);
         if (it == leases_.end()) {
             r.status = 404;
@@ -678,10 +684,10 @@
         return;
     }
     std::vector<Watcher> left;
-    std::vector<std::pair<Watcher, CallReply>> fired;
+    std::vector<std::pair<Watcher, OutboundResponse>> fired;
     for (const auto& w : watchers_) {
-        CallReply r;
-        r.call = w.call;
+        OutboundResponse r;
+        r.request_id = w.call;
         r.status = 200;
         r.revision = revision_;
         std::map<std::string, bool> touched;
@@ -695,7 +701,7 @@
             if (deleted || it == kv_.end()) {
                 r.deleted.push_back(key);
             } else {
-                r.items.push_back({key, it->second.record, it->second.version});
+                r.entries.push_back({key, it->second.record, it->second.version});
             }
         }
         bool refused = nodes_[w.node]->refused_by_state || nodes_[w.node]->silent_to_state ||
@@ -708,26 +714,26 @@
     }
     watchers_ = std::move(left);
     for (auto& [w, r] : fired) {
-        ConfigDraws own(*this, w.prefix == kTeamConfig);
+        ConfigDraws own(*this, w.prefix == kQuotaConfigPrefix);
         at(now_ + delay(), [this, w = w, r = r] { deliver(w.node, w.life, r); });
     }
 }
 
 // ---- Cloud and workers ----
 
-void World::serve_cloud(int, const Call& c) {
-    if (const auto* rent = std::get_if<Rent>(&c.body)) {
-        if (orders_.contains(rent->order)) {
+void World::serve_cloud(int, const OutboundRequest& c) {
+    if (const auto* order = std::get_if<ScaleOut>(&c.body)) {
+        if (orders_.contains(order->order_id)) {
             return;
         }
-        auto& names = orders_[rent->order];
-        for (int k = 0; k < rent->count && workers_.size() < options_.capacity; ++k) {
+        auto& names = orders_[order->order_id];
+        for (int k = 0; k < order->count && workers_.size() < options_.capacity; ++k) {
             char name[16];
             std::snprintf(name, sizeof name, "i-%06d", next_machine_++);
             auto w = std::make_unique<Worker>();
             w->name = name;
-            w->zone = rent->zone;
-            w->spot = rent->spot;
+            w->zone = order->zone;
+            w->spot = order->spot;
             w->rate = 1 + options_.drift * (next_machine_ % 2 ? 1 : -1);
             w->node = next_machine_ % options_.nodes;
             names.push_back(name);
@@ -747,137 +753,138 @@
                 }
             });
         }
-    } else if (const auto* release = std::get_if<Release>(&c.body)) {
+    } else if (const auto* release = std::get_if<ScaleIn>(&c.body)) {
         for (const auto& name : release->machines) {
             workers_.erase(name);
         }
     }
 }
 
-Report World::report_of(Worker& w) {
-    Report r;
-    r.machine = w.name;
-    r.endpoint = w.name + ":1";
-    r.type = "m8";
-    r.zone = w.zone;
-    r.spot = w.spot;
-    r.session = w.session;
-    r.tick = ++w.tick;
-    r.token = w.token;
-    if (w.taken > 0) {
-        r.notice_s = std::max(0.0, w.taken - now_);
+Heartbeat World::report_of(Worker& worker) {
+    Heartbeat heartbeat;
+    heartbeat.machine = worker.name;
+    heartbeat.endpoint = worker.name + ":1";
+    heartbeat.type = "m8";
+    heartbeat.zone = worker.zone;
+    heartbeat.spot = worker.spot;
+    heartbeat.agent_epoch = worker.session;
+    heartbeat.sequence = ++worker.tick;
+    heartbeat.fencing_token = worker.token;
+    if (worker.taken > 0) {
+        heartbeat.preemption_notice_s = std::max(0.0, worker.taken - now_);
     }
-    for (const auto& [task, t] : w.tasks) {
-        r.tasks.push_back({task, t.attempt, t.stage, t.why});
+    for (const auto& [task, t] : worker.tasks) {
+        heartbeat.tasks.push_back({task, t.attempt, t.stage, t.why});
     }
-    return r;
+    return heartbeat;
 }
 
-void World::execute(Worker& w, const std::vector<Command>& commands, Time left) {
-    for (const auto& c : commands) {
-        auto it = w.tasks.find(c.task);
-        if (c.op == Op::start) {
-            if (it != w.tasks.end()) {
+void World::execute(Worker& worker, const std::vector<WorkerCommand>& commands, Time left) {
+    for (const auto& command : commands) {
+        auto it = worker.tasks.find(command.task);
+        if (command.type == CommandType::start) {
+            if (it != worker.tasks.end()) {
                 continue; // the same attempt: no effect; another: refused as busy
             }
-            w.tasks[c.task] = {c.attempt, TaskStage::fetching, ExitWhy::none, now_ + 0.5, now_,
-                               left};
-        } else if (it != w.tasks.end() && it->second.attempt == c.attempt) {
+            worker.tasks[command.task] = {
+                command.attempt, TaskStage::fetching, ExitReason::none, now_ + 0.5, now_, left};
+        } else if (it != worker.tasks.end() && it->second.attempt == command.attempt) {
             Worker::Task& t = it->second;
-            const JobSpec& spec = this->spec(c.task.job);
-            if (c.op == Op::stop && t.stage == TaskStage::running && spec.checkpoint_s > 0 &&
-                c.grace_s >= spec.save_s) {
+            const JobSpec& spec = this->spec_of(command.task.job);
+            if (command.type == CommandType::stop && t.stage == TaskStage::running &&
+                spec.checkpoint_s > 0 && command.grace_s >= spec.save_s) {
                 t.stage = TaskStage::saving;
                 t.next = now_ + spec.save_s;
-                GangRun& run = gang_runs_[{c.task.job, t.attempt}];
+                GangRun& run = gang_runs_[{command.task.job, t.attempt}];
                 run.first_stop = run.first_stop > 0 ? run.first_stop : now_;
-            } else if (c.op == Op::stop && t.stage != TaskStage::exited &&
-                       (t.stage != TaskStage::saving || c.grace_s == 0)) {
+            } else if (command.type == CommandType::stop && t.stage != TaskStage::exited &&
+                       (t.stage != TaskStage::saving || command.grace_s == 0)) {
                 t.stage = TaskStage::exited;
-                t.why = ExitWhy::stopped;
-            } else if (c.op == Op::clear && it->second.stage == TaskStage::exited) {
-                w.tasks.erase(it);
+                t.why = ExitReason::stopped;
+            } else if (command.type == CommandType::clear &&
+                       it->second.stage == TaskStage::exited) {
+                worker.tasks.erase(it);
             }
         }
     }
 }
 
 void World::worker_step(const std::string& name) {
-    Worker& w = *workers_.at(name);
-    if (!w.up || w.dead) {
+    Worker& worker = *workers_.at(name);
+    if (!worker.up || worker.dead) {
         return;
     }
     // Hung for longer than its lease it kills its tasks on waking, before anything else.
-    if ((now_ - w.renewed) * w.rate > options_.lease_s) {
-        w.tasks.clear();
-        ++w.session;
-        w.renewed = now_;
-        report(name, w.session);
+    if ((now_ - worker.renewed) * worker.rate > options_.lease_s) {
+        worker.tasks.clear();
+        ++worker.session;
+        worker.renewed = now_;
+        report(name, worker.session);
     }
-    if (now_ < w.hung_until) {
+    if (now_ < worker.hung_until) {
         return;
     }
     bool change = false;
-    for (auto& [task, t] : w.tasks) {
+    for (auto& [task, t] : worker.tasks) {
         if (t.stage == TaskStage::saving && now_ >= t.next &&
-            spec(task.job).kind != JobKind::gang) { // a gang's end together, see gang_step
+            spec_of(task.job).kind != JobKind::gang) { // a gang's end together, see gang_step
             t.stage = TaskStage::exited;
-            t.why = ExitWhy::stopped;
+            t.why = ExitReason::stopped;
             change = true;
         }
         if (t.stage == TaskStage::fetching && now_ >= t.next) {
-            comes(w, task);
-            if (spec(task.job).kind == JobKind::gang) {
+            comes(worker, task);
+            if (spec_of(task.job).kind == JobKind::gang) {
                 t.stage = TaskStage::waiting;
                 t.since = now_;
                 if (judge_.done(task)) { // the result is kept
                     t.stage = TaskStage::exited;
-                    t.why = ExitWhy::done;
+                    t.why = ExitReason::done;
                 }
                 change = true;
                 continue;
             }
             t.stage = TaskStage::running;
             t.next =
-                spec(task.job).kind == JobKind::service ? 1e12
+                spec_of(task.job).kind == JobKind::service ? 1e12
                 : judge_.done(task)
                     ? now_
                     : now_ + options_.run_s * std::uniform_real_distribution<>(0.5, 1.5)(random_);
         } else if (t.stage == TaskStage::running && now_ >= t.next &&
-                   spec(task.job).kind != JobKind::gang) {
+                   spec_of(task.job).kind != JobKind::gang) {
             t.stage = TaskStage::exited;
-            t.why = chance(options_.error) ? ExitWhy::error : ExitWhy::done;
-            if (t.why == ExitWhy::done) {
+            t.why = chance(options_.error) ? ExitReason::error : ExitReason::done;
+            if (t.why == ExitReason::done) {
                 complete(task);
             }
             change = true;
         }
     }
-    if (change && w.flight == 0) {
-        report(name, w.session);
+    if (change && worker.flight == 0) {
+        report(name, worker.session);
     }
 }
 
 // A task has its image, and is on its machine from now on: the rules about starts hold here.
-void World::comes(Worker& w, const TaskRef& task) {
+void World::comes(Worker& worker, const TaskId& task) {
     ++starts_[task];
-    judge_.started(now_, task, w.tasks.at(task).left);
-    const JobSpec& spec = this->spec(task.job);
+    judge_.started(now_, task, worker.tasks.at(task).left);
+    const JobSpec& spec = this->spec_of(task.job);
     std::size_t in_zone = 1;
     for (const auto& [other, o] : workers_) {
         if (o->dead) {
             continue;
         }
         for (const auto& [t, held] : o->tasks) {
-            if (t.job != task.job || !on_machine(held.stage) || (o.get() == &w && t == task)) {
+            if (t.job != task.job || !on_machine(held.stage) || (o.get() == &worker && t == task)) {
                 continue;
             }
-            in_zone += o->zone == w.zone;
+            in_zone += o->zone == worker.zone;
             if (t == task) {
                 broken.push_back("ran_twice " + task.job + "/" + std::to_string(task.index) +
-                                 " on " + w.name + " and " + other);
+                                 " on " + worker.name + " and " + other);
             }
-            if (spec.one_zone && o->zone != w.zone) {
+            if (spec.one_zone && o->zone != worker.zone) {
                 broken.push_back("wrong_place one_zone " + task.job);
             }
         }
@@ -885,7 +892,7 @@
     if (spec.spread && in_zone > (spec.tasks + 1) / 2) {
         broken.push_back("wrong_place spread " + task.job);
     }
-    if ((w.spot && !spec.spot) || (spec.zone && *spec.zone != w.zone)) {
+    if ((worker.spot && !spec.spot) || (spec.zone && *spec.zone != worker.zone)) {
         broken.push_back("wrong_place " + task.job);
     }
 }
@@ -893,23 +900,23 @@
 // Gangs: their tasks find each other by their attempt, run and complete together, and notice when
 // one of them is gone.
 void World::gang_step() {
-    std::map<std::pair<std::string, std::uint64_t>, std::vector<std::pair<Worker*, TaskRef>>> gangs;
+    std::map<std::pair<std::string, std::uint64_t>, std::vector<std::pair<Worker*, TaskId>>> gangs;
     std::set<std::string> change;
-    auto leave = [&](Worker& w, const TaskRef& task, ExitWhy why) {
-        w.tasks[task].stage = TaskStage::exited;
-        w.tasks[task].why = why;
-        change.insert(w.name);
+    auto leave = [&](Worker& worker, const TaskId& task, ExitReason why) {
+        worker.tasks[task].stage = TaskStage::exited;
+        worker.tasks[task].why = why;
+        change.insert(worker.name);
     };
     for (const auto& [name, w] : workers_) {
         for (const auto& [task, t] : w->tasks) {
             if (!w->dead && on_machine(t.stage) && now_ >= w->hung_until &&
-                spec(task.job).kind == JobKind::gang) {
+                spec_of(task.job).kind == JobKind::gang) {
                 gangs[{task.job, t.attempt}].emplace_back(w.get(), task);
             }
         }
     }
     for (auto& [key, members] : gangs) {
-        const JobSpec& spec = this->spec(key.first);
+        const JobSpec& spec = this->spec_of(key.first);
         GangRun& run = gang_runs_[key];
         bool whole = members.size() == spec.tasks;
         bool all_saved = whole;
@@ -924,7 +931,7 @@
                     t.stage = TaskStage::running;
                     change.insert(w->name);
                 } else if (now_ - t.since > kGangWait) {
-                    leave(*w, task, ExitWhy::alone);
+                    leave(*w, task, ExitReason::gang_incomplete);
                 }
             }
             if (whole) {
@@ -935,19 +942,19 @@
         } else if (all_saved) {
             ++gang_save_count_[key.first];
             for (auto& [w, task] : members) {
-                leave(*w, task, ExitWhy::stopped);
+                leave(*w, task, ExitReason::stopped);
             }
         } else if (whole && run.first_stop == 0 && now_ >= run.end) {
             for (auto& [w, task] : members) {
                 complete(task);
-                leave(*w, task, ExitWhy::done);
+                leave(*w, task, ExitReason::done);
             }
         } else if (!whole || run.first_stop > 0) {
             run.mate_lost = run.mate_lost > 0 ? run.mate_lost : now_;
             Time since = run.first_stop > 0 ? run.first_stop : run.mate_lost;
             if (now_ - since > kGangPeer) {
                 for (auto& [w, task] : members) {
-                    leave(*w, task, ExitWhy::peers);
+                    leave(*w, task, ExitReason::gang_member_lost);
                 }
             }
         }
@@ -965,17 +972,17 @@
         it->second->flight != 0) {
         return;
     }
-    Worker& w = *it->second;
-    if (now_ < w.hung_until) {
-        at(w.hung_until, [=, this] { report(name, session); });
+    Worker& worker = *it->second;
+    if (now_ < worker.hung_until) {
+        at(worker.hung_until, [=, this] { report(name, session); });
         return;
     }
-    Report body = report_of(w);
+    Heartbeat body = report_of(worker);
     last_reports_[name] = body;
     ++counts_.reports;
-    RequestId request = next_request_++ + (1ULL << 40);
+    RequestId request_id = next_request_++ + (1ULL << 40);
     std::uint64_t flight = ++sequence_;
-    w.flight = flight;
+    worker.flight = flight;
     Time sent = now_;
     auto next = [this, name](double after) {
         at(now_ + after, [this, name] {
@@ -985,7 +992,7 @@
             }
         });
     };
-    reports_[request] = [this, name, flight, sent, session, next](const Answer& a, Time left) {
+    reports_[request_id] = [this, name, flight, sent, session, next](const Response& a, Time left) {
         auto w2 = workers_.find(name);
         if (w2 == workers_.end() || w2->second->flight != flight || w2->second->cut ||
             w2->second->deaf || w2->second->mute || now_ < w2->second->hung_until ||
@@ -1000,20 +1007,20 @@
             return;
         }
         if (a.status == 200) {
-            const auto& body2 = std::get<ReportAnswer>(a.body);
-            if (body2.token < v.token) {
+            const auto& body2 = std::get<HeartbeatBody>(a.body);
+            if (body2.fencing_token < v.token) {
                 next(options_.report_s);
                 return;
             }
-            bool higher = body2.token > v.token;
-            v.token = body2.token;
+            bool higher = body2.fencing_token > v.token;
+            v.token = body2.fencing_token;
             v.renewed = std::max(v.renewed, sent);
             execute(v, body2.commands, left);
             next(higher ? 0.5 : options_.report_s * 0.9);
             return;
         }
         if (a.status == 421) {
-            const auto& r = std::get<Redirect>(a.body);
+            const auto& r = std::get<LeaderRedirect>(a.body);
             if (!r.node.empty() && r.node != "n" + std::to_string(v.node)) {
                 v.node = std::atoi(r.node.c_str() + 1);
                 next(0.1);
@@ -1033,13 +1040,15 @@
     });
     bool lost = chance(options_.drop);
     bool late = chance(options_.late);
-    if (w.cut || w.mute || zone_cut(w.zone) != zone_cut(zone_of_node(w.node)) ||
-        nodes_[w.node]->cut_from_workers || (lost && chance(0.5))) {
+    if (worker.cut || worker.mute || zone_cut(worker.zone) != zone_cut(zone_of_node(worker.node)) ||
+        nodes_[worker.node]->cut_from_workers || (lost && chance(0.5))) {
         return;
     }
-    int node = w.node;
+    int node = worker.node;
     double way = late ? std::uniform_real_distribution<>(2, 40)(random_) : delay();
-    at(now_ + way, [this, node, request, body] { input(node, WorkerReport{request, body}); });
+    at(now_ + way, [this, node, request_id, body] {
+        input(node, HeartbeatReceived{request_id, body});
+    });
     if (trouble(troubles.reports_for_next)) {
         kept_reports_.push_back(body);
     }
@@ -1059,10 +1068,10 @@
     }
 }
 
-void World::deliver_late(int node, const Report& report) {
-    RequestId request = next_request_++ + (1ULL << 40);
-    reports_[request] = [](const Answer&, Time) {}; // the worker gave it up long ago
-    input(node, WorkerReport{request, report});
+void World::deliver_late(int node, const Heartbeat& heartbeat) {
+    RequestId request_id = next_request_++ + (1ULL << 40);
+    reports_[request_id] = [](const Response&, Time) {}; // the worker gave it up long ago
+    input(node, HeartbeatReceived{request_id, heartbeat});
 }
 
 // ---- Faults and truth ----
@@ -1072,9 +1081,9 @@
 void World::deafen(const std::string& machine, bool deaf) { workers_.at(machine)->deaf = deaf; }
 void World::mute(const std::string& machine, bool mute) { workers_.at(machine)->mute = mute; }
 void World::hang(const std::string& machine, double seconds) {
-    Worker& w = *workers_.at(machine);
-    w.hung_until = now_ + seconds;
-    for (auto& [task, t] : w.tasks) { // they make no progress
+    Worker& worker = *workers_.at(machine);
+    worker.hung_until = now_ + seconds;
+    for (auto& [task, t] : worker.tasks) { // they make no progress
         t.next += seconds;
     }
 }
@@ -1091,12 +1100,12 @@
 }
 
 void World::take_machine(const std::string& machine, double notice_s) {
-    Worker& w = *workers_.at(machine);
-    w.taken = now_ + notice_s;
-    if (w.flight == 0) {
-        report(machine, w.session);
+    Worker& worker = *workers_.at(machine);
+    worker.taken = now_ + notice_s;
+    if (worker.flight == 0) {
+        report(machine, worker.session);
     }
-    at(w.taken, [this, machine] {
+    at(worker.taken, [this, machine] {
         if (workers_.contains(machine)) {
             kill_machine(machine);
         }
@@ -1113,7 +1122,7 @@
     return it == gang_save_count_.end() ? 0 : it->second;
 }
 
-std::uint64_t World::attempt_of(const TaskRef& task) const {
+std::uint64_t World::attempt_of(const TaskId& task) const {
     for (const auto& [name, w] : workers_) {
         auto it = w->tasks.find(task);
         if (it != w->tasks.end() && it->second.stage != TaskStage::exited) {
@@ -1133,7 +1142,7 @@
     return out;
 }
 
-std::set<std::string> World::machines_of(const TaskRef& task) const {
+std::set<std::string> World::machines_of(const TaskId& task) const {
     std::set<std::string> out;
     for (const auto& [name, w] : workers_) {
         auto it = w->tasks.find(task);
@@ -1150,7 +1159,7 @@
 
 std::string World::zone_of(const std::string& machine) const { return workers_.at(machine)->zone; }
 
-int World::starts(const TaskRef& task) const {
+int World::starts(const TaskId& task) const {
     auto it = starts_.find(task);
     return it == starts_.end() ? 0 : it->second;
 }
@@ -1165,8 +1174,8 @@
     for (const auto& [name, w] : workers_) {
         for (const auto& [task, t] : w->tasks) {
             if (judge_.knows(task.job) && on_machine(t.stage)) {
-                const JobSpec& s = spec(task.job);
-                used[s.team] += options_.gpus ? s.gpus : s.cpus;
+                const JobSpec& spec = spec_of(task.job);
+                used[spec.team] += options_.gpus ? spec.gpus : spec.cpus;
             }
         }
     }
@@ -1189,39 +1198,39 @@
     }
 }
 
-void World::written(const TeamFacts& team, std::uint64_t revision) {
-    Limit& limit = limits_.at(team.name);
-    if (team.limit() < limit.facts.limit()) {
+void World::written(const TeamQuota& quota, std::uint64_t revision) {
+    Limit& limit = limits_.at(quota.name);
+    if (quota.limit() < limit.facts.limit()) {
         double& before = limit.before[now_ - outage_s_ + options_.cancel_s];
         before = std::max(before, limit.facts.limit());
     }
-    limit.facts = team;
-    written_[revision] = {team.name, now_};
-    judge_.configured(team);
+    limit.facts = quota;
+    written_[revision] = {quota.name, now_};
+    judge_.configured(quota);
 }
 
-bool World::configure(const TeamFacts& team, double late_s) {
+bool World::configure(const TeamQuota& quota, double late_s) {
     if (state_down_) {
         return false;
     }
     if (late_s > 0) {
-        at(now_ + late_s, [this, team] { configure(team); });
+        at(now_ + late_s, [this, quota] { configure(quota); });
         return true;
     }
-    put(kTeamConfig + team.name, TeamRecord{team});
-    written(team, revision_);
+    put(kQuotaConfigPrefix + quota.name, QuotaRecord{quota});
+    written(quota, revision_);
     fire_watches();
     return true;
 }
 
-int World::configure_over(const TeamFacts& team, std::uint64_t version) {
+int World::configure_over(const TeamQuota& quota, std::uint64_t version) {
     if (state_down_) {
         return 503;
     }
-    std::string key = kTeamConfig + team.name;
-    CallReply r = transact({{{key, version}}, {{key, TeamRecord{team}, {}}}});
+    std::string key = kQuotaConfigPrefix + quota.name;
+    OutboundResponse r = transact({{{key, version}}, {{key, QuotaRecord{quota}, {}}}});
     if (r.status == 200) {
-        written(team, r.revision);
+        written(quota, r.revision);
         fire_watches();
     }
     return r.status;
@@ -1232,7 +1241,7 @@
     return it == kv_.end() ? 0 : it->second.version;
 }
 
-TeamFacts World::team(const std::string& name) const { return limits_.at(name).facts; }
+TeamQuota World::team(const std::string& name) const { return limits_.at(name).facts; }
 
 // Of a change that another has followed since, nothing is known: a node may have seen both at once.
 void World::note_in_force(const std::string& line) {
@@ -1247,20 +1256,20 @@
     double sum = 0;
     for (const auto& [name, w] : workers_) {
         for (const auto& [task, t] : w->tasks) {
-            if (judge_.knows(task.job) && spec(task.job).team == team && on_machine(t.stage)) {
-                sum += options_.gpus ? spec(task.job).gpus : spec(task.job).cpus;
+            if (judge_.knows(task.job) && spec_of(task.job).team == team && on_machine(t.stage)) {
+                sum += options_.gpus ? spec_of(task.job).gpus : spec_of(task.job).cpus;
             }
         }
     }
     return sum;
 }
 
-int World::owner(int part) const {
-    auto it = kv_.find("part/" + std::to_string(part));
+int World::owner(int partition) const {
+    auto it = kv_.find("part/" + std::to_string(partition));
     if (it == kv_.end()) {
         return -1;
     }
-    return std::atoi(std::get<PartRecord>(it->second.record).node.c_str() + 1);
+    return std::atoi(std::get<PartitionRecord>(it->second.record).node.c_str() + 1);
 }
 
 std::map<std::string, Outcome> World::outcomes() const {
@@ -1276,11 +1285,11 @@
 }
 
 std::string World::describe(const std::string& job) const {
-    const JobSpec& s = spec(job);
-    std::string out = " kind " + std::to_string(static_cast<int>(s.kind)) + " tasks " +
-                      std::to_string(s.tasks) + " cpus " + std::to_string(s.cpus) + " gpus " +
-                      std::to_string(s.gpus) + (s.one_zone ? " one_zone" : "") +
-                      (s.spread ? " spread" : "") + (s.spot ? " spot" : "");
+    const JobSpec& spec = spec_of(job);
+    std::string out = " kind " + std::to_string(static_cast<int>(spec.kind)) + " tasks " +
+                      std::to_string(spec.tasks) + " cpus " + std::to_string(spec.cpus) + " gpus " +
+                      std::to_string(spec.gpus) + (spec.one_zone ? " one_zone" : "") +
+                      (spec.spread ? " spread" : "") + (spec.spot ? " spot" : "");
     for (const auto& [name, w] : workers_) {
         out += "\n" + name + " " + w->zone + (w->spot ? " spot" : "") + (w->up ? "" : " booting") +
                (w->dead ? " dead" : "") + (w->cut ? " cut" : "");
@@ -1309,19 +1318,19 @@
 }
 
 JobSpec World::job(const std::string& id, std::uint32_t tasks, double cpus) const {
-    JobSpec s;
-    s.id = id;
-    s.job_class = "scan";
-    s.team = "red";
-    s.tasks = tasks;
-    s.cpus = cpus;
-    s.ram_gb = cpus;
-    s.gpus = options_.gpus ? 1 : 0;
-    s.image = "img";
-    s.image_gb = 1;
-    s.spot = true;
-    s.estimate_s = options_.run_s;
-    return s;
+    JobSpec spec;
+    spec.id = id;
+    spec.job_class = "scan";
+    spec.team = "red";
+    spec.tasks = tasks;
+    spec.cpus = cpus;
+    spec.ram_gb = cpus;
+    spec.gpus = options_.gpus ? 1 : 0;
+    spec.image = "img";
+    spec.image_gb = 1;
+    spec.spot = true;
+    spec.estimate_s = options_.run_s;
+    return spec;
 }
 
 RequestId World::ask(int node, Judge::Ask what, const std::string& job, bool closely) {
@@ -1331,11 +1340,11 @@
     }
     judge_.asked(now_, id, what, job);
     if (what == Judge::Ask::submit) {
-        input(node, Submit{id, spec(job)});
+        input(node, SubmitJob{id, spec_of(job)});
     } else if (what == Judge::Ask::poll) {
-        input(node, Poll{id, job});
+        input(node, PollJob{id, job});
     } else {
-        input(node, Cancel{id, job});
+        input(node, CancelJob{id, job});
     }
     return id;
 }
@@ -1350,7 +1359,7 @@
                         : outcome == Outcome::done ? "done"
                                                    : "cancelled";
     judge_.told_before(now_, spec, stage);
-    put(kJobs + spec.id,
+    put(kJobPrefix + spec.id,
         outcome == Outcome::done ? JobRecord{outcome, {}} : JobRecord{outcome, spec});
 }
 
@@ -1390,8 +1399,8 @@
     std::map<std::string, std::pair<double, double>> used;
     for (const auto& [id, outcome] : outcomes()) {
         if (outcome == Outcome::none && judge_.knows(id)) {
-            jobs[id] = {id, spec(id).tasks, {}};
-            for (std::uint32_t i = 0; i < spec(id).tasks; ++i) {
+            jobs[id] = {id, spec_of(id).tasks, {}};
+            for (std::uint32_t i = 0; i < spec_of(id).tasks; ++i) {
                 jobs[id].waiting -= judge_.done({id, i});
             }
         }
@@ -1402,12 +1411,12 @@
             if (t.stage == TaskStage::exited) {
                 continue;
             }
-            const JobSpec& s = spec(task.job);
-            room.cpus -= s.cpus;
-            room.gpus -= s.gpus;
-            room.ram_gb -= s.ram_gb;
-            used[s.team].first += s.cpus;
-            used[s.team].second += s.gpus;
+            const JobSpec& spec = spec_of(task.job);
+            room.cpus -= spec.cpus;
+            room.gpus -= spec.gpus;
+            room.ram_gb -= spec.ram_gb;
+            used[spec.team].first += spec.cpus;
+            used[spec.team].second += spec.gpus;
             if (auto job = jobs.find(task.job); job != jobs.end()) {
                 job->second.waiting -= !judge_.done(task);
                 ++job->second.in_zone[w->zone];
@@ -1429,8 +1438,8 @@
 
 int World::probe(int node) {
     RequestId id = next_request_++;
-    input(node, ReadyProbe{id});
+    input(node, ReadinessProbe{id});
     return answers.at(id).status;
 }
 
-} // namespace orchidlanding::test
+} // namespace scheduler::test
--- a/tests/world.h
+++ b/tests/world.h
@@ -12,7 +12,7 @@
 #include "core/controller.h"
 #include "judge.h"
 
-namespace orchidlanding::test {
+namespace scheduler::test {
 
 struct WorldOptions {
     std::uint64_t seed = 1;
@@ -26,7 +26,7 @@
     int more_teams = 0;        // t0, t1, ...: one CPU guaranteed, 24 at most
     std::size_t capacity = 12; // machines that the cloud has
     double drift = 0.0005;     // steady clocks differ by up to this
-    std::vector<Objective> objectives;
+    std::vector<ServiceLevelObjective> objectives;
     double report_s = 3;
     double lease_s = 17;
     double cancel_s = 42;
@@ -69,7 +69,7 @@
     double longest_unanswered() const { return judge_.longest_unanswered(now_); }
     // What a health check gets now.
     int probe(int node);
-    std::map<RequestId, Answer> answers;
+    std::map<RequestId, Response> answers;
     JobSpec job(const std::string& id, std::uint32_t tasks, double cpus = 2) const;
 
     // Faults.
@@ -77,9 +77,9 @@
     // It stands still while its clock runs on; what comes meanwhile waits.
     void freeze(int node, double seconds);
     // Gives a share of the part to another part. False: its owner does not, now.
-    bool give(int part, const ShareId& share, int to);
+    bool give(int partition, const ShardId& shard, int to);
     // The shares that the part's owner holds.
-    std::vector<ShareId> shares(int part) const;
+    std::vector<ShardId> shares(int partition) const;
     // Moves of shares that were completed, and lines of the log with this event.
     std::size_t logged(const std::string& event) const;
     void state_down(bool down) { state_down_ = down; }
@@ -129,10 +129,10 @@
 
     // Configuration. Writes the team's key as an operator does, over whatever stands there; false:
     // the state service is down. `late`: it is carried out so much later, the writer knows nothing.
-    bool configure(const TeamFacts& team, double late_s = 0);
-    TeamFacts team(const std::string& name) const; // as last written, or as in the settings
+    bool configure(const TeamQuota& quota, double late_s = 0);
+    TeamQuota team(const std::string& name) const; // as last written, or as in the settings
     // A write over this version, as a second operator makes it: its status.
-    int configure_over(const TeamFacts& team, std::uint64_t version);
+    int configure_over(const TeamQuota& quota, std::uint64_t version);
     std::uint64_t version_of(const std::string& key) const;
     // From the write of each change to its coming into force at each node, seconds.
     const std::vector<double>& in_force_after() const { return in_force_after_; }
@@ -143,7 +143,7 @@
     // cancellation.
     double longest_cancelled() const { return judge_.longest_cancelled(); }
     std::vector<std::string> machines_up() const;
-    std::set<std::string> machines_of(const TaskRef& task) const;
+    std::set<std::string> machines_of(const TaskId& task) const;
     std::string zone_of(const std::string& machine) const;
     int node_of(const std::string& machine) const; // that it reports to
     Time
@@ -153,16 +153,16 @@
     std::optional<double> began_after(const std::string& job) const {
         return judge_.began_after(job);
     }
-    int starts(const TaskRef& task) const;
+    int starts(const TaskId& task) const;
     // Times that all tasks of a gang began to run together, and that they saved in good order.
     int gang_runs(const std::string& job) const;
     int gang_saves(const std::string& job) const;
-    std::uint64_t attempt_of(const TaskRef& task) const; // on a machine now; 0: on none
-    double used(const std::string& team) const;          // in what the team states
-    int owner(int part = 0) const;                       // the node that owns the part, -1: none
+    std::uint64_t attempt_of(const TaskId& task) const; // on a machine now; 0: on none
+    double used(const std::string& team) const;         // in what the team states
+    int owner(int partition = 0) const;                 // the node that owns the part, -1: none
     std::map<std::string, Outcome> outcomes() const;
     // See Judge::served_under.
-    std::vector<std::string> served_under(double share) const { return judge_.served_under(share); }
+    std::vector<std::string> served_under(double shard) const { return judge_.served_under(shard); }
     std::string describe(const std::string& job) const; // for a failing test
     std::size_t calls_of(const std::string& kind) const;
     // Counted since the start: reports, starts, entries and bytes of what owners list for each
@@ -175,29 +175,30 @@
     };
     Counts counts() const;
     // Calls the test wants to see or hold back: return true to swallow the message.
-    std::function<bool(int node, const CallBody&)> intercept;
+    std::function<bool(int node, const OutboundBody&)> intercept;
     // Transactions that are carried out at once and whose answer alone is lost.
-    std::function<bool(int node, const Txn&)> lose_answer;
+    std::function<bool(int node, const StoreTransaction&)> lose_answer;
     // A report that the machine sent once comes to the node only now, or once more.
-    Report last_report(const std::string& machine) const { return last_reports_.at(machine); }
-    void deliver_late(int node, const Report& report);
+    Heartbeat last_report(const std::string& machine) const { return last_reports_.at(machine); }
+    void deliver_late(int node, const Heartbeat& heartbeat);
     // Sees each output that leaves a node, the call or the answer, and may end the node right after
     // it, before the next one: seconds until it is back.
-    std::function<std::optional<double>(int node, const Call*, const Answer*)> after_output;
+    std::function<std::optional<double>(int node, const OutboundRequest*, const Response*)>
+        after_output;
     // Sees each line that a node logs.
     std::function<void(Time, int node, const std::string& text)> on_log;
     // Puts a raw record into the state service, or takes one away.
-    void put(const std::string& key, Record record);
+    void put(const std::string& key, StoredRecord record);
     void drop(const std::string& key);
     bool stands(const std::string& key) const { return kv_.contains(key); }
-    const Facts& facts(int node) const;
-    const JobSpec& spec(const std::string& job) const { return judge_.spec(job); }
+    const ClusterSettings& facts(int node) const;
+    const JobSpec& spec_of(const std::string& job) const { return judge_.spec(job); }
 
   private:
     struct Node;
     struct Worker;
     struct Kv {
-        Record record;
+        StoredRecord record;
         std::uint64_t version = 0;
         std::uint64_t lease = 0;
     };
@@ -209,36 +210,36 @@
     struct Watcher {
         int node;
         int life;
-        CallId call;
+        OutboundRequestId call;
         std::string prefix;
         std::uint64_t since;
         Time until;
     };
 
     void input(int node, Input in);
-    void deliver(int node, int life, CallReply reply);
+    void deliver(int node, int life, OutboundResponse response);
     void carry_out(int node, Outputs out);
-    void call(int node, const Call& call);
-    CallReply serve_state(int node, const Call& call);
-    void serve_cloud(int node, const Call& call);
-    void serve_worker(int node, const Call& call);
-    CallReply transact(const Txn& txn);
+    void call(int node, const OutboundRequest& call);
+    OutboundResponse serve_state(int node, const OutboundRequest& call);
+    void serve_cloud(int node, const OutboundRequest& call);
+    void serve_worker(int node, const OutboundRequest& call);
+    OutboundResponse transact(const StoreTransaction& transaction);
     void changed(const std::string& key, bool deleted);
     void expire_leases();
     void fire_watches();
     void report(const std::string& machine, std::uint64_t session);
-    Report report_of(Worker& w);
-    void execute(Worker& w, const std::vector<Command>& commands, Time left);
+    Heartbeat report_of(Worker& worker);
+    void execute(Worker& worker, const std::vector<WorkerCommand>& commands, Time left);
     void worker_step(const std::string& machine);
     void gang_step();
-    void comes(Worker& worker, const TaskRef& task);
-    void complete(const TaskRef& task);
+    void comes(Worker& worker, const TaskId& task);
+    void complete(const TaskId& task);
     void look_closely(const std::string& job);
     void give_kept_reports();
     static std::vector<std::string> zones(const WorldOptions& options);
-    static MachineType machine_type(const WorldOptions& options);
-    static std::vector<TeamFacts> teams(const WorldOptions& options);
-    void written(const TeamFacts& team, std::uint64_t revision);
+    static InstanceType machine_type(const WorldOptions& options);
+    static std::vector<TeamQuota> teams(const WorldOptions& options);
+    void written(const TeamQuota& quota, std::uint64_t revision);
     void judge_quota();
     void note_in_force(const std::string& line);
     void look();
@@ -266,14 +267,14 @@
         bool config_;
     };
     bool zone_cut(const std::string& zone) const { return !zone_cut_.empty() && zone == zone_cut_; }
-    const std::string& zone_of_node(int node) const { return facts(node).parts[node].zone; }
+    const std::string& zone_of_node(int node) const { return facts(node).partitions[node].zone; }
     bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(random_) < p; }
     // Draws no number where there is none, so that a seed plays as it did before the trouble was
     // known.
-    bool trouble(double share) { return share > 0 && chance(share); }
+    bool trouble(double shard) { return shard > 0 && chance(shard); }
 
     WorldOptions options_;
-    MachineType type_;
+    InstanceType type_;
     Judge judge_;
 
   public:
@@ -311,9 +312,9 @@
     bool asking_ = false;
     std::set<RequestId> looks_; // that led to no further ones
     std::size_t looks_answered_ = 0;
-    std::vector<Report> kept_reports_;
-    std::map<RequestId, std::function<void(const Answer&, Time left)>> reports_;
-    std::map<TaskRef, int> starts_;
+    std::vector<Heartbeat> kept_reports_;
+    std::map<RequestId, std::function<void(const Response&, Time left)>> reports_;
+    std::map<TaskId, int> starts_;
     struct GangRun { // of one attempt
         bool ran = false;
         Time end = 0;
@@ -324,14 +325,14 @@
     std::map<std::string, int> gang_run_count_;
     std::map<std::string, int> gang_save_count_;
     Counts counts_;
-    std::map<std::string, Report> last_reports_;
+    std::map<std::string, Heartbeat> last_reports_;
     std::map<std::string, std::size_t> call_counts_;
     std::map<std::pair<int, int>, int> orders_out_; // by node and life
-    std::set<std::tuple<int, int, CallId>> orders_calls_;
+    std::set<std::tuple<int, int, OutboundRequestId>> orders_calls_;
     std::map<std::string, std::size_t> log_counts_;
     // What a team may use: its limit, and for a stated time after each lowering the one before.
     struct Limit {
-        TeamFacts facts;
+        TeamQuota facts;
         std::map<Time, double> before; // limits that were lowered, by when they end to count
     };
     std::map<std::string, Limit> limits_;
@@ -340,4 +341,4 @@
     double outage_s_ = 0; // so far
 };
 
-} // namespace orchidlanding::test
+} // namespace scheduler::test
