--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -10,8 +10,8 @@
 
 #include "allocations.h"
 #include "core/controller.h"
-#include "core/parts.h"
-#include "policy/defaults.h"
+#include "core/model/partition_assignment.h"
+#include "policy/default_policy.h"
 
 namespace scheduler {
 namespace {
--- a/bench/share_bench.cpp
+++ b/bench/share_bench.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 #include "world.h"
 
 using namespace scheduler;
--- a/src/cli/config_command.cpp
+++ b/src/cli/config_command.cpp
@@ -4,7 +4,7 @@
 #include <iostream>
 #include <sstream>
 
-#include "core/team_config.h"
+#include "core/quotas/quota_config.h"
 #include "net/clients.h"
 
 namespace scheduler::cli {
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -15,7 +15,7 @@
 #include "net/clients.h"
 #include "net/event_loop.h"
 #include "net/server.h"
-#include "policy/defaults.h"
+#include "policy/default_policy.h"
 
 namespace {
 
--- a/src/cli/settings.h
+++ b/src/cli/settings.h
@@ -4,7 +4,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler::cli {
 
--- a/src/core/renting.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "core/renting.h"
+#include "core/autoscaling/autoscaler.h"
 
 #include <algorithm>
 
--- a/src/core/renting.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -2,8 +2,8 @@
 // The owner of one part rents for all, so that one lack is not made up for several times.
 #pragma once
 
-#include "core/demand_book.h"
-#include "core/holdings.h"
+#include "core/autoscaling/demand_tracker.h"
+#include "core/sharding/owned_shards.h"
 
 namespace scheduler {
 
--- a/src/core/fleet.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet.h"
+#include "core/autoscaling/capacity_planner.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/fleet.h
+++ b/src/core/autoscaling/capacity_planner.h
@@ -3,9 +3,9 @@
 
 #include <set>
 
-#include "core/io.h"
-#include "core/machine_table.h"
-#include "core/slot_lists.h"
+#include "core/machines/machine_table.h"
+#include "core/machines/slot_lists.h"
+#include "core/model/messages.h"
 
 namespace scheduler {
 
--- a/src/core/demand_book.cpp
+++ b/src/core/autoscaling/demand_tracker.cpp
@@ -1,9 +1,9 @@
-#include "core/demand_book.h"
+#include "core/autoscaling/demand_tracker.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/waiting_order.h"
+#include "core/scheduling/pending_queue.h"
 
 namespace scheduler {
 
--- a/src/core/demand_book.h
+++ b/src/core/autoscaling/demand_tracker.h
@@ -4,11 +4,11 @@
 
 #include <deque>
 
-#include "core/claim.h"
-#include "core/fleet.h"
-#include "core/job_store.h"
-#include "core/machine_types.h"
-#include "core/teams.h"
+#include "core/autoscaling/capacity_planner.h"
+#include "core/jobs/job_store.h"
+#include "core/leadership/leadership.h"
+#include "core/model/instance_type_catalog.h"
+#include "core/quotas/quota_ledger.h"
 
 namespace scheduler {
 
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <deque>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler {
 
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -3,10 +3,10 @@
 
 #include <memory>
 
-#include "core/part_owner.h"
-#include "core/poll_desk.h"
-#include "core/promises.h"
-#include "core/user_desk.h"
+#include "core/jobs/job_service.h"
+#include "core/jobs/job_status_reader.h"
+#include "core/leadership/lease_extender.h"
+#include "core/partition_leader.h"
 
 namespace scheduler {
 
--- a/src/core/cancel_notices.cpp
+++ b/src/core/jobs/cancellation_broadcast.cpp
@@ -1,4 +1,4 @@
-#include "core/cancel_notices.h"
+#include "core/jobs/cancellation_broadcast.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/cancel_notices.h
+++ b/src/core/jobs/cancellation_broadcast.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "core/calls.h"
+#include "core/messaging/outbound_requests.h"
 
 namespace scheduler {
 
--- a/src/core/job_index.cpp
+++ b/src/core/jobs/job_record_cache.cpp
@@ -1,4 +1,4 @@
-#include "core/job_index.h"
+#include "core/jobs/job_record_cache.h"
 
 namespace scheduler {
 
--- a/src/core/job_index.h
+++ b/src/core/jobs/job_record_cache.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler {
 
--- a/src/core/answers.h
+++ b/src/core/jobs/job_responses.h
@@ -3,8 +3,8 @@
 
 #include <functional>
 
-#include "core/calls.h"
-#include "core/job_index.h"
+#include "core/jobs/job_record_cache.h"
+#include "core/messaging/outbound_requests.h"
 
 namespace scheduler {
 
--- a/src/core/user_desk.cpp
+++ b/src/core/jobs/job_service.cpp
@@ -1,9 +1,9 @@
-#include "core/user_desk.h"
+#include "core/jobs/job_service.h"
 
 #include <algorithm>
 
-#include "core/answers.h"
-#include "core/parts.h"
+#include "core/jobs/job_responses.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler {
 
--- a/src/core/user_desk.h
+++ b/src/core/jobs/job_service.h
@@ -2,9 +2,9 @@
 // the poll desk's.
 #pragma once
 
-#include "core/answers.h"
-#include "core/cancel_notices.h"
-#include "core/team_config.h"
+#include "core/jobs/cancellation_broadcast.h"
+#include "core/jobs/job_responses.h"
+#include "core/quotas/quota_config.h"
 
 namespace scheduler {
 
--- a/src/core/poll_desk.cpp
+++ b/src/core/jobs/job_status_reader.cpp
@@ -1,10 +1,10 @@
-#include "core/poll_desk.h"
+#include "core/jobs/job_status_reader.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler {
 
--- a/src/core/poll_desk.h
+++ b/src/core/jobs/job_status_reader.h
@@ -7,7 +7,7 @@
 #include <deque>
 #include <map>
 
-#include "core/answers.h"
+#include "core/jobs/job_responses.h"
 
 namespace scheduler {
 
--- a/src/core/job_store.cpp
+++ b/src/core/jobs/job_store.cpp
@@ -1,4 +1,4 @@
-#include "core/job_store.h"
+#include "core/jobs/job_store.h"
 
 #include <algorithm>
 
--- a/src/core/job_store.h
+++ b/src/core/jobs/job_store.h
@@ -6,8 +6,8 @@
 #include <set>
 #include <unordered_map>
 
-#include "core/task_set.h"
-#include "core/types.h"
+#include "core/model/task_set.h"
+#include "core/model/types.h"
 
 namespace scheduler {
 
--- a/src/core/claim.cpp
+++ b/src/core/leadership/leadership.cpp
@@ -1,4 +1,4 @@
-#include "core/claim.h"
+#include "core/leadership/leadership.h"
 
 namespace scheduler {
 
--- a/src/core/claim.h
+++ b/src/core/leadership/leadership.h
@@ -2,9 +2,9 @@
 // are given out under it. Everything that works for the part lives as long as its claim.
 #pragma once
 
-#include "core/authority.h"
-#include "core/calls.h"
-#include "core/parts.h"
+#include "core/leadership/leadership_lease.h"
+#include "core/messaging/outbound_requests.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler {
 
--- a/src/core/authority.cpp
+++ b/src/core/leadership/leadership_lease.cpp
@@ -1,4 +1,4 @@
-#include "core/authority.h"
+#include "core/leadership/leadership_lease.h"
 
 #include <algorithm>
 
--- a/src/core/authority.h
+++ b/src/core/leadership/leadership_lease.h
@@ -2,7 +2,7 @@
 // lease, their terms, and when all of it ends.
 #pragma once
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler {
 
--- a/src/core/promises.cpp
+++ b/src/core/leadership/lease_extender.cpp
@@ -1,4 +1,4 @@
-#include "core/promises.h"
+#include "core/leadership/lease_extender.h"
 
 #include <algorithm>
 
--- a/src/core/promises.h
+++ b/src/core/leadership/lease_extender.h
@@ -12,10 +12,10 @@
 
 #include <functional>
 
-#include "core/authority.h"
-#include "core/calls.h"
-#include "core/job_index.h"
-#include "core/team_config.h"
+#include "core/jobs/job_record_cache.h"
+#include "core/leadership/leadership_lease.h"
+#include "core/messaging/outbound_requests.h"
+#include "core/quotas/quota_config.h"
 
 namespace scheduler {
 
--- a/src/core/part_table.cpp
+++ b/src/core/leadership/partition_map.cpp
@@ -1,10 +1,10 @@
-#include "core/part_table.h"
+#include "core/leadership/partition_map.h"
 
 #include <algorithm>
 #include <charconv>
 #include <utility>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler {
 
--- a/src/core/part_table.h
+++ b/src/core/leadership/partition_map.h
@@ -3,8 +3,8 @@
 // of parts only look at it.
 #pragma once
 
-#include "core/calls.h"
-#include "core/shares.h"
+#include "core/messaging/outbound_requests.h"
+#include "core/model/shards.h"
 
 namespace scheduler {
 
--- a/src/core/freshness.h
+++ b/src/core/leadership/staleness_bound.h
@@ -7,7 +7,7 @@
 
 #include <algorithm>
 
-#include "core/authority.h"
+#include "core/leadership/leadership_lease.h"
 
 namespace scheduler {
 
--- a/src/core/roster.cpp
+++ b/src/core/machines/machine_registry.cpp
@@ -1,4 +1,4 @@
-#include "core/roster.h"
+#include "core/machines/machine_registry.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/roster.h
+++ b/src/core/machines/machine_registry.h
@@ -11,7 +11,7 @@
 #include <functional>
 #include <set>
 
-#include "core/calls.h"
+#include "core/messaging/outbound_requests.h"
 
 namespace scheduler {
 
--- a/src/core/machine_table.cpp
+++ b/src/core/machines/machine_table.cpp
@@ -1,8 +1,8 @@
-#include "core/machine_table.h"
+#include "core/machines/machine_table.h"
 
 #include <algorithm>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler {
 
--- a/src/core/machine_table.h
+++ b/src/core/machines/machine_table.h
@@ -6,9 +6,9 @@
 
 #include <set>
 
-#include "core/authority.h"
-#include "core/io.h"
-#include "core/shares.h"
+#include "core/leadership/leadership_lease.h"
+#include "core/model/messages.h"
+#include "core/model/shards.h"
 
 namespace scheduler {
 
--- a/src/core/slot_lists.cpp
+++ b/src/core/machines/slot_lists.cpp
@@ -1,4 +1,4 @@
-#include "core/slot_lists.h"
+#include "core/machines/slot_lists.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/slot_lists.h
+++ b/src/core/machines/slot_lists.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler {
 
--- a/src/core/calls.cpp
+++ b/src/core/messaging/outbound_requests.cpp
@@ -1,4 +1,4 @@
-#include "core/calls.h"
+#include "core/messaging/outbound_requests.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/core/calls.h
+++ b/src/core/messaging/outbound_requests.h
@@ -4,8 +4,8 @@
 #include <functional>
 #include <set>
 
-#include "core/io.h"
-#include "core/state_budget.h"
+#include "core/messaging/store_rate_limiter.h"
+#include "core/model/messages.h"
 
 namespace scheduler {
 
--- a/src/core/state_budget.cpp
+++ b/src/core/messaging/store_rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "core/state_budget.h"
+#include "core/messaging/store_rate_limiter.h"
 
 #include <algorithm>
 
--- a/src/core/state_budget.h
+++ b/src/core/messaging/store_rate_limiter.h
@@ -1,7 +1,7 @@
 // Shares out the state service's request and write limits, which all nodes use together.
 #pragma once
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler {
 
--- a/src/core/machine_types.cpp
+++ b/src/core/model/instance_type_catalog.cpp
@@ -1,8 +1,8 @@
-#include "core/machine_types.h"
+#include "core/model/instance_type_catalog.h"
 
 #include <algorithm>
 
-#include "core/slot_lists.h"
+#include "core/machines/slot_lists.h"
 
 namespace scheduler {
 
--- a/src/core/machine_types.h
+++ b/src/core/model/instance_type_catalog.h
@@ -1,7 +1,7 @@
 // The types of machines that the cloud rents, as one claim of a part knows them.
 #pragma once
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler {
 
--- a/src/core/io.h
+++ b/src/core/model/messages.h
@@ -1,7 +1,7 @@
 // Inputs and outputs of the core. The core never waits: it answers an input with what to do.
 #pragma once
 
-#include "core/shares.h"
+#include "core/model/shards.h"
 #include <algorithm>
 
 namespace scheduler {
--- a/src/core/parts.cpp
+++ b/src/core/model/partition_assignment.cpp
@@ -1,4 +1,4 @@
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/core/parts.h
+++ b/src/core/model/partition_assignment.h
@@ -1,7 +1,7 @@
 // Which part a machine and a team belong to: pure functions, so that no two nodes can disagree.
 #pragma once
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler {
 
--- a/src/core/shares.cpp
+++ b/src/core/model/shards.cpp
@@ -1,8 +1,8 @@
-#include "core/shares.h"
+#include "core/model/shards.h"
 
 #include <algorithm>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler {
 
--- a/src/core/shares.h
+++ b/src/core/model/shards.h
@@ -3,7 +3,7 @@
 // part holds a share is what the map at the state service says. See docs/shares.md.
 #pragma once
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler {
 
--- a/src/core/part_owner.cpp
+++ b/src/core/partition_leader.cpp
@@ -1,10 +1,10 @@
-#include "core/part_owner.h"
+#include "core/partition_leader.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler {
 
--- a/src/core/part_owner.h
+++ b/src/core/partition_leader.h
@@ -7,13 +7,13 @@
 // reports, placing, gangs, durable writes.
 #pragma once
 
-#include "core/freshness.h"
-#include "core/job_index.h"
-#include "core/part_tables.h"
-#include "core/postbox.h"
-#include "core/renting.h"
-#include "core/share_desk.h"
-#include "core/team_config.h"
+#include "core/autoscaling/autoscaler.h"
+#include "core/jobs/job_record_cache.h"
+#include "core/leadership/staleness_bound.h"
+#include "core/partition_tables.h"
+#include "core/quotas/quota_config.h"
+#include "core/recovery/inventory_relay.h"
+#include "core/sharding/shard_manager.h"
 
 namespace scheduler {
 
--- a/src/core/part_tables.cpp
+++ b/src/core/partition_tables.cpp
@@ -1,4 +1,4 @@
-#include "core/part_tables.h"
+#include "core/partition_tables.h"
 
 #include <algorithm>
 
--- a/src/core/part_tables.h
+++ b/src/core/partition_tables.h
@@ -2,13 +2,13 @@
 // looked at. PartOwner and the classes that it wires work on them.
 #pragma once
 
-#include "core/fleet.h"
-#include "core/gangs.h"
-#include "core/holdings.h"
-#include "core/job_store.h"
-#include "core/machine_types.h"
-#include "core/slot_lists.h"
-#include "core/teams.h"
+#include "core/autoscaling/capacity_planner.h"
+#include "core/jobs/job_store.h"
+#include "core/machines/slot_lists.h"
+#include "core/model/instance_type_catalog.h"
+#include "core/quotas/quota_ledger.h"
+#include "core/scheduling/gang_tracker.h"
+#include "core/sharding/owned_shards.h"
 
 namespace scheduler {
 
--- a/src/core/team_config.cpp
+++ b/src/core/quotas/quota_config.cpp
@@ -1,9 +1,9 @@
-#include "core/team_config.h"
+#include "core/quotas/quota_config.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/freshness.h"
+#include "core/leadership/staleness_bound.h"
 
 namespace scheduler {
 
--- a/src/core/team_config.h
+++ b/src/core/quotas/quota_config.h
@@ -4,9 +4,9 @@
 
 #include <functional>
 
-#include "core/calls.h"
-#include "core/parts.h"
-#include "core/teams.h"
+#include "core/messaging/outbound_requests.h"
+#include "core/model/partition_assignment.h"
+#include "core/quotas/quota_ledger.h"
 
 namespace scheduler {
 
--- a/src/core/teams.cpp
+++ b/src/core/quotas/quota_ledger.cpp
@@ -1,4 +1,4 @@
-#include "core/teams.h"
+#include "core/quotas/quota_ledger.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/core/teams.h
+++ b/src/core/quotas/quota_ledger.h
@@ -1,7 +1,7 @@
 // Guarantees and limits of the teams, and what their tasks use: placed and doubtful ones alike.
 #pragma once
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler {
 
--- a/src/core/postbox.cpp
+++ b/src/core/recovery/inventory_relay.cpp
@@ -1,4 +1,4 @@
-#include "core/postbox.h"
+#include "core/recovery/inventory_relay.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/postbox.h
+++ b/src/core/recovery/inventory_relay.h
@@ -4,8 +4,8 @@
 // go through again. See "While peers refuse calls" in docs/shares.md.
 #pragma once
 
-#include "core/borrowing.h"
-#include "core/lending.h"
+#include "core/stealing/slot_borrower.h"
+#include "core/stealing/slot_lender.h"
 
 namespace scheduler {
 
--- a/src/core/accounts.cpp
+++ b/src/core/recovery/reconciliation.cpp
@@ -1,4 +1,4 @@
-#include "core/accounts.h"
+#include "core/recovery/reconciliation.h"
 
 #include <algorithm>
 
--- a/src/core/accounts.h
+++ b/src/core/recovery/reconciliation.h
@@ -6,8 +6,8 @@
 
 #include <deque>
 
-#include "core/claim.h"
-#include "core/machine_table.h"
+#include "core/leadership/leadership.h"
+#include "core/machines/machine_table.h"
 
 namespace scheduler {
 
--- a/src/core/gangs.cpp
+++ b/src/core/scheduling/gang_tracker.cpp
@@ -1,4 +1,4 @@
-#include "core/gangs.h"
+#include "core/scheduling/gang_tracker.h"
 
 namespace scheduler {
 
--- a/src/core/gangs.h
+++ b/src/core/scheduling/gang_tracker.h
@@ -4,8 +4,8 @@
 // every task of the one before is known gone.
 #pragma once
 
-#include "core/io.h"
-#include "core/job_store.h"
+#include "core/jobs/job_store.h"
+#include "core/model/messages.h"
 
 namespace scheduler {
 
--- a/src/core/waiting_order.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -1,10 +1,10 @@
-#include "core/waiting_order.h"
+#include "core/scheduling/pending_queue.h"
 
 #include <algorithm>
 #include <tuple>
 #include <utility>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler {
 
--- a/src/core/waiting_order.h
+++ b/src/core/scheduling/pending_queue.h
@@ -6,9 +6,9 @@
 #include <functional>
 #include <set>
 
-#include "core/io.h"
-#include "core/job_store.h"
-#include "core/teams.h"
+#include "core/jobs/job_store.h"
+#include "core/model/messages.h"
+#include "core/quotas/quota_ledger.h"
 
 namespace scheduler {
 
--- a/src/core/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/part_owner.h"
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
+#include "core/partition_leader.h"
 
 namespace scheduler {
 
--- a/src/core/shedding.cpp
+++ b/src/core/scheduling/quota_eviction.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/part_owner.h"
+#include "core/partition_leader.h"
 
 namespace scheduler {
 
--- a/src/core/placing.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -3,8 +3,8 @@
 #include <tuple>
 #include <utility>
 
-#include "core/part_owner.h"
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
+#include "core/partition_leader.h"
 
 namespace scheduler {
 
--- a/src/core/holdings.cpp
+++ b/src/core/sharding/owned_shards.cpp
@@ -1,4 +1,4 @@
-#include "core/holdings.h"
+#include "core/sharding/owned_shards.h"
 
 #include <algorithm>
 
--- a/src/core/holdings.h
+++ b/src/core/sharding/owned_shards.h
@@ -2,8 +2,8 @@
 // of that. See docs/shares.md, "The argument for each rule", 1.
 #pragma once
 
-#include "core/claim.h"
-#include "core/part_table.h"
+#include "core/leadership/leadership.h"
+#include "core/leadership/partition_map.h"
 
 namespace scheduler {
 
--- a/src/core/balance.cpp
+++ b/src/core/sharding/shard_balancer.cpp
@@ -1,4 +1,4 @@
-#include "core/balance.h"
+#include "core/sharding/shard_balancer.h"
 
 #include <algorithm>
 
--- a/src/core/balance.h
+++ b/src/core/sharding/shard_balancer.h
@@ -2,7 +2,7 @@
 // See "When to move" in docs/shares.md.
 #pragma once
 
-#include "core/shares.h"
+#include "core/model/shards.h"
 
 namespace scheduler {
 
--- a/src/core/share_desk.cpp
+++ b/src/core/sharding/shard_manager.cpp
@@ -1,4 +1,4 @@
-#include "core/share_desk.h"
+#include "core/sharding/shard_manager.h"
 
 #include <algorithm>
 
--- a/src/core/share_desk.h
+++ b/src/core/sharding/shard_manager.h
@@ -2,13 +2,13 @@
 // gained or handed on, and when to give one away. See docs/shares.md.
 #pragma once
 
-#include "core/accounts.h"
-#include "core/balance.h"
-#include "core/borrowing.h"
-#include "core/lending.h"
-#include "core/mover.h"
-#include "core/roster.h"
-#include "core/slot_lists.h"
+#include "core/machines/machine_registry.h"
+#include "core/machines/slot_lists.h"
+#include "core/recovery/reconciliation.h"
+#include "core/sharding/shard_balancer.h"
+#include "core/sharding/shard_migration.h"
+#include "core/stealing/slot_borrower.h"
+#include "core/stealing/slot_lender.h"
 
 namespace scheduler {
 
--- a/src/core/mover.cpp
+++ b/src/core/sharding/shard_migration.cpp
@@ -1,4 +1,4 @@
-#include "core/mover.h"
+#include "core/sharding/shard_migration.h"
 
 namespace scheduler {
 
--- a/src/core/mover.h
+++ b/src/core/sharding/shard_migration.h
@@ -2,7 +2,7 @@
 // "A move" in docs/shares.md for the steps and the argument.
 #pragma once
 
-#include "core/holdings.h"
+#include "core/sharding/owned_shards.h"
 
 namespace scheduler {
 
--- a/src/core/borrowing.cpp
+++ b/src/core/stealing/slot_borrower.cpp
@@ -1,4 +1,4 @@
-#include "core/borrowing.h"
+#include "core/stealing/slot_borrower.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/core/borrowing.h
+++ b/src/core/stealing/slot_borrower.h
@@ -3,10 +3,10 @@
 // See "Stolen slots" in docs/design.md; the listings are Lending's.
 #pragma once
 
-#include "core/demand_book.h"
-#include "core/gangs.h"
-#include "core/holdings.h"
-#include "core/waiting_order.h"
+#include "core/autoscaling/demand_tracker.h"
+#include "core/scheduling/gang_tracker.h"
+#include "core/scheduling/pending_queue.h"
+#include "core/sharding/owned_shards.h"
 
 namespace scheduler {
 
--- a/src/core/lending.cpp
+++ b/src/core/stealing/slot_lender.cpp
@@ -1,4 +1,4 @@
-#include "core/lending.h"
+#include "core/stealing/slot_lender.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/core/lending.h
+++ b/src/core/stealing/slot_lender.h
@@ -4,9 +4,9 @@
 // task runs twice. The paper's idle core taken from another scheduler core's list, as a call.
 #pragma once
 
-#include "core/demand_book.h"
-#include "core/holdings.h"
-#include "core/waiting_order.h"
+#include "core/autoscaling/demand_tracker.h"
+#include "core/scheduling/pending_queue.h"
+#include "core/sharding/owned_shards.h"
 
 namespace scheduler {
 
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "core/io.h"
+#include "core/model/messages.h"
 #include "net/thread_pool.h"
 
 namespace scheduler::net {
--- a/src/policy/defaults.h
+++ b/src/policy/default_policy.h
@@ -1,7 +1,7 @@
 // The built-in policy: every ratio that is a choice and not a safety bound.
 #pragma once
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler::policy {
 
--- a/src/scale/http.h
+++ b/src/scale/http.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler::scale {
 
--- a/src/scale/messages.cpp
+++ b/src/scale/messages.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <stdexcept>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler::scale {
 
--- a/src/scale/messages.h
+++ b/src/scale/messages.h
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace scheduler::scale {
 
--- a/src/scale/options.cpp
+++ b/src/scale/options.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <initializer_list>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler::scale {
 
--- a/src/scale/plan.cpp
+++ b/src/scale/plan.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <sstream>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 namespace scheduler::scale {
 
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -1,5 +1,5 @@
 // The answers of this node, its calls to the others and what they answer.
-#include "wire/fields.h"
+#include "wire/msgpack_fields.h"
 
 namespace scheduler::wire {
 
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -4,7 +4,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "core/io.h"
+#include "core/model/messages.h"
 
 namespace scheduler::wire {
 
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -1,5 +1,5 @@
 // Jobs, as users send them.
-#include "wire/fields.h"
+#include "wire/msgpack_fields.h"
 
 namespace scheduler::wire {
 
--- a/src/wire/exchange.cpp
+++ b/src/wire/peer_messages.cpp
@@ -1,6 +1,6 @@
 // Between controllers: names are our own.
-#include "core/parts.h"
-#include "wire/fields.h"
+#include "core/model/partition_assignment.h"
+#include "wire/msgpack_fields.h"
 
 namespace scheduler::wire {
 
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -1,6 +1,6 @@
 // What the state service keeps, by kind of key, and the cloud's catalog.
-#include "core/parts.h"
-#include "wire/fields.h"
+#include "core/model/partition_assignment.h"
+#include "wire/msgpack_fields.h"
 
 namespace scheduler::wire {
 
--- a/tests/borrowing_test.cpp
+++ b/tests/borrowing_test.cpp
@@ -2,10 +2,10 @@
 // docs/shares.md, with scripted holders of shares.
 #include <gtest/gtest.h>
 
-#include "core/borrowing.h"
-#include "core/lending.h"
-#include "core/parts.h"
-#include "policy/defaults.h"
+#include "core/model/partition_assignment.h"
+#include "core/stealing/slot_borrower.h"
+#include "core/stealing/slot_lender.h"
+#include "policy/default_policy.h"
 #include "world.h"
 
 namespace scheduler::test {
--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -2,8 +2,8 @@
 // a cancellation" in docs/meetings.md.
 #include <gtest/gtest.h>
 
-#include "core/cancel_notices.h"
-#include "core/parts.h"
+#include "core/jobs/cancellation_broadcast.h"
+#include "core/model/partition_assignment.h"
 #include "world.h"
 
 namespace scheduler::test {
--- a/tests/close_looks_test.cpp
+++ b/tests/close_looks_test.cpp
@@ -4,7 +4,7 @@
 
 #include <random>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 #include "world.h"
 
 namespace scheduler::test {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -5,9 +5,9 @@
 
 #include <cmath>
 
-#include "core/parts.h"
-#include "core/team_config.h"
-#include "policy/defaults.h"
+#include "core/model/partition_assignment.h"
+#include "core/quotas/quota_config.h"
+#include "policy/default_policy.h"
 #include "world.h"
 
 namespace scheduler::test {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,7 +1,7 @@
 // The core against scripted peers and a fake clock.
 #include <gtest/gtest.h>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 #include "world.h"
 
 namespace scheduler::test {
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,8 +1,8 @@
 // Gangs, services and GPU machines: the core against the model of the world.
 #include <gtest/gtest.h>
 
-#include "core/parts.h"
-#include "core/slot_lists.h"
+#include "core/machines/slot_lists.h"
+#include "core/model/partition_assignment.h"
 #include "world.h"
 
 namespace scheduler::test {
--- a/tests/judge.h
+++ b/tests/judge.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/io.h"
+#include "core/model/messages.h"
 
 namespace scheduler::test {
 
--- a/tests/meeting_rows_test.cpp
+++ b/tests/meeting_rows_test.cpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <random>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 #include "seeds.h"
 #include "world.h"
 
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -6,8 +6,8 @@
 #include <random>
 #include <set>
 
-#include "core/freshness.h"
-#include "core/parts.h"
+#include "core/leadership/staleness_bound.h"
+#include "core/model/partition_assignment.h"
 #include "seeds.h"
 #include "world.h"
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -14,7 +14,7 @@
 #include "net/event_loop.h"
 #include "net/server.h"
 #include "net/thread_pool.h"
-#include "policy/defaults.h"
+#include "policy/default_policy.h"
 #include "wire/codec.h"
 
 namespace scheduler::test {
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,7 +1,7 @@
 // Lasting overload with capacity lost: no class and no team may starve.
 #include <gtest/gtest.h>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 #include "world.h"
 
 namespace scheduler::test {
--- a/tests/poll_test.cpp
+++ b/tests/poll_test.cpp
@@ -1,7 +1,7 @@
 // The poll desk against a scripted state service: what it asks, what it answers, and when.
 #include <gtest/gtest.h>
 
-#include "core/poll_desk.h"
+#include "core/jobs/job_status_reader.h"
 
 namespace scheduler::test {
 namespace {
--- a/tests/promise_test.cpp
+++ b/tests/promise_test.cpp
@@ -1,8 +1,8 @@
 // Promises between siblings: an outage longer than any lease, and what must end them.
 #include <gtest/gtest.h>
 
-#include "core/parts.h"
-#include "core/promises.h"
+#include "core/leadership/lease_extender.h"
+#include "core/model/partition_assignment.h"
 #include "world.h"
 
 namespace scheduler::test {
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <random>
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 #include "seeds.h"
 #include "world.h"
 
--- a/tests/roster_test.cpp
+++ b/tests/roster_test.cpp
@@ -1,7 +1,7 @@
 // The roster against a scripted state service.
 #include <gtest/gtest.h>
 
-#include "core/roster.h"
+#include "core/machines/machine_registry.h"
 
 namespace scheduler::test {
 namespace {
--- a/tests/share_test.cpp
+++ b/tests/share_test.cpp
@@ -4,10 +4,10 @@
 
 #include <cstdlib>
 
-#include "core/balance.h"
-#include "core/mover.h"
-#include "core/parts.h"
-#include "policy/defaults.h"
+#include "core/model/partition_assignment.h"
+#include "core/sharding/shard_balancer.h"
+#include "core/sharding/shard_migration.h"
+#include "policy/default_policy.h"
 #include "seeds.h"
 #include "world.h"
 
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -1,11 +1,11 @@
 #include "world.h"
 
-#include "core/parts.h"
+#include "core/model/partition_assignment.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "policy/defaults.h"
+#include "policy/default_policy.h"
 
 namespace scheduler::test {
 
