--- a/bench/slopes.sh
+++ b/bench/slopes.sh
@@ -3,7 +3,7 @@
 #   sh bench/slopes.sh TABLE [PROGRAM]
 set -u
 table=$1
-run=${2:-target/orchidscale}
+run=${2:-target/scale-test}
 # A state service that is no wall at these sizes, so that only the counted thing grows.
 play() { "$run" run --for 20 --state-rps 1000 --state-writes 200 --table "$table" --report /dev/null "$@"; }
 # workers, at the same starts
--- a/src/scale/checker.h
+++ b/src/scale/checker.h
@@ -1,58 +1,68 @@
-// Judges a run by the rules, from what workers and users saw: `Judge` (tests/judge.h, the same that
-// the tests have) what users were told, this what ran where.
+// Checks the rules against the history of a region: `test::Judge` (tests/simulation/judge.h, the
+// same that the tests use) what users were told, `Checker` what ran where.
 #pragma once
 
 #include <functional>
 #include <map>
 #include <set>
 
-#include "judge.h"
 #include "scale/history.h"
+#include "simulation/judge.h"
 
 namespace scheduler::scale {
 
+// Takes the events of a region in the order of their times.
 class Checker {
   public:
-    struct Setting {
+    // What holds in the region.
+    struct Settings {
         std::vector<TeamQuota> teams;
         InstanceType type;
-        double cancel_s = 0;
+        double cancel_s = 0; // until no task of a cancelled job may run
         // Seconds from the writing of a lower limit during which the one before may still be used.
-        double lowering_s = 0;
+        double lowering_grace_s = 0;
+        // None: no such job can have been submitted.
         std::function<std::optional<JobSpec>(const std::string& id)> job;
     };
-    explicit Checker(Setting setting);
+    explicit Checker(Settings settings);
 
-    // In the order of their times.
-    void take(const Event& event);
-    // The history is over.
-    void end(Time now);
-    const std::vector<std::string>& broken() const { return judge_.broken; }
+    void on_event(const Event& event);
+    // The history is over at this time: checks what runs then.
+    void finish(Time now);
+    // Broken rules, in words.
+    const std::vector<std::string>& violations() const { return judge_.broken; }
+    // The rules on what users were told.
     const test::Judge& judge() const { return judge_; }
     // Tasks on machines.
-    std::size_t running() const { return there_.size(); }
+    std::size_t running() const { return placements_.size(); }
 
   private:
-    struct Place {
+    // Where a task runs.
+    struct Placement {
         std::string machine;
         std::string zone;
     };
+    // A team's limit, in CPUs.
     struct Limit {
         double cpus_max = 0;
-        double before = 0; // still allowed ...
-        Time until = 0;    // ... until then
+        double before = 0; // the highest before it, allowed until `until`
+        Time until = 0;
+
+        double allowed(Time now) const;
     };
-    void came(const Event& event);
-    void went(const Event& event);
-    void judge_quota(Time now, const std::string& team, const std::string& when);
-    void break_rule(const std::string& what) { judge_.broken.push_back(what); }
+    void response(const Event& event);
+    void quota_written(const Event& event);
+    void task_started(const Event& event);
+    void task_stopped(const Event& event);
+    void check_quota(Time now, const std::string& team, const std::string& when);
+    void add_violation(const std::string& what) { judge_.broken.push_back(what); }
 
-    Setting setting_;
+    Settings settings_;
     test::Judge judge_;
-    std::map<TaskId, Place> there_;
-    std::map<std::string, std::map<std::string, std::uint32_t>> zones_; // of a job's tasks
+    std::map<TaskId, Placement> placements_;
+    std::map<std::string, std::map<std::string, std::uint32_t>> zones_; // running tasks, by job
     std::map<std::string, double> used_;                                // CPUs, by team
-    std::map<std::string, Limit> limits_;                               // that were written
+    std::map<std::string, Limit> limits_;                               // by team
 };
 
 } // namespace scheduler::scale
--- a/src/scale/cloud_model.cpp
+++ b/src/scale/cloud_model.cpp
@@ -24,7 +24,8 @@
     std::vector<std::string> names;
     // What was released or died can be had again, in its zone and kind. The zone and the kind of a
     // worker are functions of its number, so numbers that do not fit are passed over.
-    for (int& room = room_[{zone, spot}]; room > 0 && int(names.size()) < count; --room) {
+    for (int& available = available_[{zone, spot}]; available > 0 && int(names.size()) < count;
+         --available) {
         while (plan_.worker_zone(next_) != zone || plan_.worker_spot(next_) != spot) {
             ++next_;
         }
@@ -43,51 +44,63 @@
     for (const auto& name : machines) {
         if (auto it = machines_.find(name); it != machines_.end()) {
             if (it->second.died < 0) {
-                ++room_[{it->second.zone, it->second.spot}];
+                ++available_[{it->second.zone, it->second.spot}];
             }
             machines_.erase(it);
         }
     }
 }
 
-void CloudModel::died(Time now, const std::string& machine) {
+void CloudModel::terminate(Time now, const std::string& machine) {
     auto it = machines_.find(machine);
     if (it != machines_.end() && it->second.died < 0) {
         it->second.died = now;
-        ++room_[{it->second.zone, it->second.spot}];
+        ++available_[{it->second.zone, it->second.spot}];
     }
 }
 
-std::vector<Instance> CloudModel::list(Time now, const std::string& after, std::size_t limit,
-                                       bool& more) const {
-    std::vector<Instance> out;
+CloudModel::Page CloudModel::list(Time now, const std::string& after, std::size_t limit) const {
+    Page page;
     auto it = machines_.upper_bound(after);
-    for (; it != machines_.end() && out.size() < limit; ++it) {
-        const Machine& m = it->second;
-        if (m.rented + kListLag_s > now && m.up > m.rented) {
-            continue;
+    for (; it != machines_.end() && page.hosts.size() < limit; ++it) {
+        if (is_listed(now, it->second)) {
+            page.hosts.push_back(host_of(now, it->first, it->second));
         }
-        Instance instance;
-        instance.name = it->first;
-        instance.endpoint = plan_.worker_host(m.number) + ":" + std::to_string(plan_.worker_port());
-        instance.type = plan_.machine_type().name;
-        instance.zone = m.zone;
-        instance.spot = m.spot;
-        instance.state = m.died >= 0 && now > m.died + kListedAfterDeath_s ? InstanceState::failed
-                         : now < m.up                                      ? InstanceState::booting
-                                                                           : InstanceState::running;
-        instance.age_s = now - m.rented;
-        out.push_back(std::move(instance));
     }
-    more = it != machines_.end();
-    return out;
+    page.more = it != machines_.end();
+    return page;
+}
+
+bool CloudModel::is_listed(Time now, const Machine& machine) {
+    bool is_initial = machine.up <= machine.rented;
+    return is_initial || machine.rented + kListLag_s <= now;
+}
+
+InstanceState CloudModel::stage_of(Time now, const Machine& machine) {
+    if (machine.died >= 0 && now > machine.died + kListedAfterDeath_s) {
+        return InstanceState::failed;
+    }
+    return now < machine.up ? InstanceState::booting : InstanceState::running;
+}
+
+Instance CloudModel::host_of(Time now, const std::string& name, const Machine& machine) const {
+    Instance instance;
+    instance.name = name;
+    instance.endpoint =
+        plan_.worker_host(machine.number) + ":" + std::to_string(plan_.worker_port());
+    instance.type = plan_.machine_type().name;
+    instance.zone = machine.zone;
+    instance.spot = machine.spot;
+    instance.state = stage_of(now, machine);
+    instance.age_s = now - machine.rented;
+    return instance;
 }
 
-std::vector<std::string> CloudModel::up(Time now) {
+std::vector<std::string> CloudModel::take_booted(Time now) {
     std::vector<std::string> out;
-    for (auto& [name, m] : machines_) {
-        if (!m.named && now >= m.up && m.died < 0) {
-            m.named = true;
+    for (auto& [name, machine] : machines_) {
+        if (!machine.boot_reported && now >= machine.up && machine.died < 0) {
+            machine.boot_reported = true;
             out.push_back(name);
         }
     }
--- a/src/scale/history.h
+++ b/src/scale/history.h
@@ -1,4 +1,4 @@
-// What workers and users saw, a line an event, written by their processes and read by the judge.
+// What workers and users saw, a line an event, written by their processes and read by the checker.
 #pragma once
 
 #include <cstdio>
@@ -9,33 +9,35 @@
 
 namespace scheduler::scale {
 
+// What was seen at one moment. Which fields are set depends on the kind.
 struct Event {
     enum class Kind {
-        came,     // a task has its image: it is on the machine from now on
-        went,     // it is not any more
-        done,     // nor is it any more, and it has completed
-        submit,   // a user's request, with its number
-        poll,     //
-        cancel,   //
-        answered, // to the request of that number
-        limit,    // a team's limit was written, `amount`, at the revision `request`
-        in_force, // a controller says that it has all up to that revision in force
+        task_started,   // a task has its image: it is on the machine from now on
+        task_stopped,   // it is not any more, without having completed
+        task_completed, // it is not any more and has completed
+        submit,         // a user's request, with its number
+        poll,           // as submit
+        cancel,         // as submit
+        response,       // to the request of that number
+        quota_written,  // a team's limit was written, `amount`, at the revision `request`
+        quota_applied,  // a controller says that it applies all changes up to that revision
     };
-    Kind kind = Kind::came;
-    Time time = 0;
+    Kind kind = Kind::task_started;
+    Time time = 0; // as now() gives it
     std::string machine;
     std::string zone;
     bool spot = false;
     TaskId task;
     std::uint64_t request = 0;
     int status = 0;
-    std::string stage; // answered; limit, in_force: the team
+    std::string stage; // of a response; quota_written: the team
     double amount = 0;
 };
 
+// Appends events to a file, a line each. Used by one process.
 class HistoryWriter {
   public:
-    // Throws CannotPlay.
+    // Throws ScaleTestError.
     explicit HistoryWriter(const std::string& file);
     ~HistoryWriter();
     HistoryWriter(const HistoryWriter&) = delete;
@@ -46,7 +48,7 @@
     std::FILE* file_;
 };
 
-// Throws CannotPlay.
+// In the order of the file. Throws ScaleTestError if it cannot be read.
 std::vector<Event> read_history(const std::string& file);
 
 } // namespace scheduler::scale
--- a/src/scale/hollow_worker.cpp
+++ b/src/scale/hollow_worker.cpp
@@ -3,11 +3,13 @@
 #include <algorithm>
 #include <utility>
 
+#include "scale/http_status.h"
+
 namespace scheduler::scale {
 
 HollowWorker::HollowWorker(Time now, Identity identity, const InstanceType& type, double lease_s,
-                           const Surroundings& surroundings)
-    : identity_(std::move(identity)), type_(type), lease_s_(lease_s), around_(surroundings),
+                           const Environment& environment)
+    : identity_(std::move(identity)), type_(type), lease_s_(lease_s), environment_(environment),
       lease_from_(now) {}
 
 Heartbeat HollowWorker::report(Time now, bool sent) {
@@ -24,21 +26,22 @@
     heartbeat.agent_epoch = session_;
     heartbeat.sequence = ++tick_;
     heartbeat.fencing_token = token_;
-    for (const auto& [key, t] : tasks_) {
-        heartbeat.tasks.push_back({key.first, key.second, t.stage, t.why});
+    for (const auto& [key, task] : tasks_) {
+        heartbeat.tasks.push_back({key.task, key.attempt, task.stage, task.why});
     }
     return heartbeat;
 }
 
-bool HollowWorker::answered(Time now, std::uint64_t session, Time sent, const ReportReply& reply) {
+bool HollowWorker::on_report_reply(Time now, std::uint64_t session, Time sent,
+                                   const ReportReply& reply) {
     advance(now);
     if (session != session_ || reply.token == 0 || reply.token < token_) {
         return false;
     }
     if (reply.token > token_) {
         token_ = reply.token;
-        if (now - token_told_ >= lease_s_ / 2) {
-            token_told_ = now;
+        if (now - token_change_counted_ >= lease_s_ / 2) {
+            token_change_counted_ = now;
             changed_ = true;
         }
     }
@@ -47,22 +50,22 @@
     return true;
 }
 
-int HollowWorker::order(Time now, const DirectOrders& orders) {
+int HollowWorker::on_direct_commands(Time now, const DirectCommands& direct) {
     advance(now);
-    if (orders.token < token_ || orders.session != session_) {
-        return 409;
+    if (direct.token < token_ || direct.session != session_) {
+        return kHttpConflict;
     }
-    if (orders.token > token_ && now - token_told_ >= lease_s_ / 2) {
-        token_told_ = now;
+    if (direct.token > token_ && now - token_change_counted_ >= lease_s_ / 2) {
+        token_change_counted_ = now;
         changed_ = true;
     }
-    token_ = orders.token;
-    execute(now, orders.commands);
-    return 200;
+    token_ = direct.token;
+    execute(now, direct.commands);
+    return kHttpOk;
 }
 
 void HollowWorker::execute(Time now, const std::vector<WorkerCommand>& commands) {
-    for (const auto& command : commands) {
+    for (const WorkerCommand& command : commands) {
         auto it = tasks_.find({command.task, command.attempt});
         if (command.type == CommandType::start) {
             if (it == tasks_.end()) {
@@ -81,7 +84,7 @@
 
 // With another attempt, and not exited.
 bool HollowWorker::occupied(const TaskId& task) const {
-    for (auto it = tasks_.lower_bound({task, 0}); it != tasks_.end() && it->first.first == task;
+    for (auto it = tasks_.lower_bound({task, 0}); it != tasks_.end() && it->first.task == task;
          ++it) {
         if (it->second.stage != TaskStage::exited) {
             return true;
@@ -91,78 +94,80 @@
 }
 
 void HollowWorker::start(Time now, const WorkerCommand& command) {
-    Task t;
-    auto spec = around_.job(command.task.job);
+    Task task;
+    auto spec = environment_.job(command.task.job);
     if (!spec || command.task.index >= spec->tasks) {
-        t.why = ExitReason::unknown;
+        task.why = ExitReason::unknown;
     } else if (occupied(command.task)) {
-        t.why = ExitReason::busy;
+        task.why = ExitReason::busy;
     } else if (cpus_ + spec->cpus > type_.cpus || ram_gb_ + spec->ram_gb > type_.ram_gb) {
-        t.why = ExitReason::insufficient_capacity;
+        task.why = ExitReason::insufficient_capacity;
     } else {
-        t.cpus = spec->cpus;
-        t.ram_gb = spec->ram_gb;
-        t.image = spec->image;
-        cpus_ += t.cpus;
-        ram_gb_ += t.ram_gb;
-        t.until = now + (images_.contains(t.image) ? 0 : spec->image_gb / type_.fetch_gb_per_s);
+        task.cpus = spec->cpus;
+        task.ram_gb = spec->ram_gb;
+        task.image = spec->image;
+        cpus_ += task.cpus;
+        ram_gb_ += task.ram_gb;
+        task.until =
+            now + (images_.contains(task.image) ? 0 : spec->image_gb / type_.fetch_gb_per_s);
     }
-    if (t.why != ExitReason::none) {
-        t.stage = TaskStage::exited;
+    if (task.why != ExitReason::none) {
+        task.stage = TaskStage::exited;
     }
-    tasks_[{command.task, command.attempt}] = std::move(t);
+    tasks_[{command.task, command.attempt}] = std::move(task);
     changed_ = true;
     advance(now);
 }
 
-void HollowWorker::exit(Time now, const TaskId& ref, Task& t, ExitReason why) {
-    if (t.stage == TaskStage::running) {
-        around_.went(now, identity_.name, ref, why == ExitReason::done);
+void HollowWorker::exit(Time now, const TaskId& ref, Task& task, ExitReason why) {
+    if (task.stage == TaskStage::running) {
+        environment_.task_stopped(now, identity_.name, ref, why == ExitReason::done);
     }
-    t.stage = TaskStage::exited;
-    t.why = why;
-    cpus_ -= t.cpus;
-    ram_gb_ -= t.ram_gb;
+    task.stage = TaskStage::exited;
+    task.why = why;
+    cpus_ -= task.cpus;
+    ram_gb_ -= task.ram_gb;
     changed_ = true;
 }
 
 void HollowWorker::advance(Time now) {
     if (now > lease_from_ + lease_s_) {
-        drop_all(now);
+        drop_all_tasks(now);
         ++session_;
         lease_from_ = now;
         changed_ = true;
         return;
     }
-    for (auto& [key, t] : tasks_) {
-        const TaskId& ref = key.first;
-        if (t.stage == TaskStage::fetching && now >= t.until) {
-            images_.insert(t.image);
-            t.stage = TaskStage::running;
+    for (auto& [key, task] : tasks_) {
+        const TaskId& ref = key.task;
+        if (task.stage == TaskStage::fetching && now >= task.until) {
+            images_.insert(task.image);
+            task.stage = TaskStage::running;
             changed_ = true;
-            around_.came(now, identity_.name, ref);
-            t.until = around_.completed(ref) ? now : now + around_.run_s(ref);
+            environment_.task_started(now, identity_.name, ref);
+            task.until =
+                environment_.completed(ref) ? now : now + environment_.task_duration_s(ref);
         }
-        if (t.stage == TaskStage::running && now >= t.until) {
-            exit(now, ref, t, ExitReason::done);
+        if (task.stage == TaskStage::running && now >= task.until) {
+            exit(now, ref, task, ExitReason::done);
         }
     }
 }
 
-Time HollowWorker::next() const {
+Time HollowWorker::next_event_time() const {
     Time first = lease_from_ + lease_s_;
-    for (const auto& [key, t] : tasks_) {
-        if (t.stage != TaskStage::exited) {
-            first = std::min(first, t.until);
+    for (const auto& [key, task] : tasks_) {
+        if (task.stage != TaskStage::exited) {
+            first = std::min(first, task.until);
         }
     }
     return first;
 }
 
-void HollowWorker::drop_all(Time now) {
-    for (auto& [key, t] : tasks_) {
-        if (t.stage == TaskStage::running) {
-            around_.went(now, identity_.name, key.first, false);
+void HollowWorker::drop_all_tasks(Time now) {
+    for (auto& [key, task] : tasks_) {
+        if (task.stage == TaskStage::running) {
+            environment_.task_stopped(now, identity_.name, key.task, false);
         }
     }
     tasks_.clear();
@@ -170,6 +175,6 @@
     ram_gb_ = 0;
 }
 
-void HollowWorker::die(Time now) { drop_all(now); }
+void HollowWorker::terminate(Time now) { drop_all_tasks(now); }
 
 } // namespace scheduler::scale
--- a/src/scale/hollow_worker.h
+++ b/src/scale/hollow_worker.h
@@ -1,5 +1,5 @@
-// A worker without its machine: what it keeps for control, by the protocol; its tasks are timers.
-// On a clock that is handed in, without sockets.
+// A hollow worker: the state that a worker keeps for the controllers, by the protocol, without a
+// machine under it. Its tasks are timers. On a clock that is handed in, without sockets.
 #pragma once
 
 #include <functional>
@@ -9,16 +9,21 @@
 
 namespace scheduler::scale {
 
+// Keeps a reference to the environment. Times handed in do not decrease.
 class HollowWorker {
   public:
-    struct Surroundings {
-        std::function<std::optional<JobSpec>(const std::string& job)> job;
-        std::function<double(const TaskId&)> run_s;
+    // What the worker is told of the jobs, and whom it tells of its tasks.
+    struct Environment {
+        std::function<std::optional<JobSpec>(const std::string& id)> job; // none: no such job
+        std::function<double(const TaskId&)> task_duration_s;
         std::function<bool(const TaskId&)> completed; // on whatever machine, before
-        // The task has its image: it is on the machine from now on. It is not any more.
-        std::function<void(Time, const std::string& machine, const TaskId&)> came;
-        std::function<void(Time, const std::string& machine, const TaskId&, bool done)> went;
+        // The task has its image: it is on the machine from now on.
+        std::function<void(Time, const std::string& machine, const TaskId&)> task_started;
+        // It is not any more. `done`: it ran to its end.
+        std::function<void(Time, const std::string& machine, const TaskId&, bool done)>
+            task_stopped;
     };
+    // What does not change while the machine is up.
     struct Identity {
         std::string name;
         std::string endpoint;
@@ -26,29 +31,36 @@
         bool spot = false;
     };
     HollowWorker(Time now, Identity identity, const InstanceType& type, double lease_s,
-                 const Surroundings& surroundings);
+                 const Environment& environment);
 
     const std::string& name() const { return identity_.name; }
     const std::string& endpoint() const { return identity_.endpoint; }
     std::uint64_t session() const { return session_; }
+    // Since the last report.
     bool changed() const { return changed_; }
     std::size_t tasks() const { return tasks_.size(); }
 
     // For the next report, or the answer to a direct command. `sent`: it counts as a report.
     Heartbeat report(Time now, bool sent);
-    // Answered with 200. False: dropped, by its token or its session.
-    bool answered(Time now, std::uint64_t session, Time sent, const ReportReply& reply);
-    // The status of a direct command.
-    int order(Time now, const DirectOrders& orders);
+    // The reply to a report that was sent at `sent` in `session`. False: dropped, for a lower token
+    // or another session.
+    bool on_report_reply(Time now, std::uint64_t session, Time sent, const ReportReply& reply);
+    // Returns the status of the response. 409: refused, for a lower token or another session.
+    int on_direct_commands(Time now, const DirectCommands& direct);
     // Images that arrived and tasks that ended by now; a lease that is over.
     void advance(Time now);
     // When `advance` has something to do next.
-    Time next() const;
+    Time next_event_time() const;
     // The machine and all on it is gone.
-    void die(Time now);
+    void terminate(Time now);
 
   private:
-    using Key = std::pair<TaskId, std::uint64_t>; // with the attempt
+    // One attempt to run a task.
+    struct AttemptKey {
+        TaskId task;
+        std::uint64_t attempt = 0;
+        auto operator<=>(const AttemptKey&) const = default;
+    };
     struct Task {
         TaskStage stage = TaskStage::fetching;
         ExitReason why = ExitReason::none;
@@ -61,21 +73,21 @@
     void start(Time now, const WorkerCommand& command);
     bool occupied(const TaskId& task) const;
     void exit(Time now, const TaskId& ref, Task& task, ExitReason why);
-    void drop_all(Time now);
+    void drop_all_tasks(Time now);
 
     Identity identity_;
     InstanceType type_;
     double lease_s_;
-    const Surroundings& around_;
-    std::map<Key, Task> tasks_;
+    const Environment& environment_;
+    std::map<AttemptKey, Task> tasks_;
     std::set<std::string> images_;
     double cpus_ = 0;
     double ram_gb_ = 0;
     std::uint64_t session_ = 1;
     std::uint64_t tick_ = 0;
     std::uint64_t token_ = 0;
-    Time lease_from_;
-    Time token_told_ = -1e9; // a higher one counted as a change then
+    Time lease_from_;                  // the sending of the last report that was answered
+    Time token_change_counted_ = -1e9; // when a higher token last counted as a change
     bool changed_ = true;
 };
 
--- a/src/scale/messages.cpp
+++ b/src/scale/messages.cpp
@@ -78,7 +78,7 @@
     return unpack(body).value("gardener", std::string());
 }
 
-DirectOrders parse_orders(const std::string& body) {
+DirectCommands parse_direct_commands(const std::string& body) {
     Json j = unpack(body);
     return {j.at("warrant").get<std::uint64_t>(), j.at("season").get<std::uint64_t>(),
             commands_of(j.at("tending"))};
@@ -124,9 +124,9 @@
                       {"gpus_max", quota.max_gpus}}}}}}});
 }
 
-std::string pack_standing_ask(const std::string& team) { return pack({{"team", team}}); }
+std::string pack_config_query(const std::string& team) { return pack({{"team", team}}); }
 
-std::uint64_t parse_standing(const std::string& body) {
+std::uint64_t parse_applied_revision(const std::string& body) {
     return unpack(body).at("revision").get<std::uint64_t>();
 }
 
--- a/src/scale/messages.h
+++ b/src/scale/messages.h
@@ -1,5 +1,5 @@
-// The messages of workers, users, state service and cloud as these send and read them; the other
-// side of wire/codec.
+// The messages of workers, users, key-value store and cloud as these send and read them; the other
+// side of wire/codec. Functions that parse throw Json::exception if the body is not such a message.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -11,37 +11,45 @@
 
 using Json = nlohmann::json;
 
-// Throws Json::exception if the body is none.
+// MessagePack.
 Json unpack(const std::string& body);
 std::string pack(const Json& value);
 
+// A worker's report.
 std::string pack_report(const Heartbeat& heartbeat);
+
+// A controller's response to a report.
 struct ReportReply {
     std::uint64_t token = 0; // 0: none
     std::vector<WorkerCommand> commands;
 };
 ReportReply parse_report_reply(const std::string& body);
-// The node that a report is to go to; empty: not said.
+// The controller that a report is to go to; empty: not said.
 std::string parse_redirect(const std::string& body);
-struct DirectOrders {
+
+// Commands that a controller sends to a worker by itself.
+struct DirectCommands {
     std::uint64_t token = 0;
     std::uint64_t session = 0;
     std::vector<WorkerCommand> commands;
 };
-DirectOrders parse_orders(const std::string& body);
+DirectCommands parse_direct_commands(const std::string& body);
 
+// A job's submission.
 std::string pack_job(const JobSpec& spec);
-// A job's stage in our words; empty: the answer has none.
+// The stage of a job, "aborted" being "cancelled"; empty: the response has none.
 std::string parse_stage(const std::string& body);
 
 // A transaction that writes the team's guarantee and limit over whatever stands there.
 std::string pack_team_change(const TeamQuota& quota);
-// What a controller is asked about a team's configuration, and up to which change it has all.
-std::string pack_standing_ask(const std::string& team);
-std::uint64_t parse_standing(const std::string& body);
+// The question to a controller up to which change of the configuration it applies all, and its
+// answer.
+std::string pack_config_query(const std::string& team);
+std::uint64_t parse_applied_revision(const std::string& body);
 // The revision that a transaction was carried out at.
 std::uint64_t parse_revision(const std::string& body);
 
+// As the cloud lists them.
 Json json_of(const InstanceType& type);
 Json json_of(const Instance& instance);
 
--- a/src/scale/options.h
+++ b/src/scale/options.h
@@ -1,4 +1,4 @@
-// What a scale run is asked to play.
+// The options of a scale run.
 #pragma once
 
 #include <stdexcept>
@@ -8,46 +8,58 @@
 
 namespace scheduler::scale {
 
-// The run cannot be played: option, file or key, and why.
-struct CannotPlay : std::runtime_error {
+// The run cannot be carried out. The text names the option, file or process, and says why.
+struct ScaleTestError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
+// Units are in the names; a rate without one is a second's.
 struct Options {
+    // The size of the run. Workers, tasks and starts are those of all regions.
     int regions = 1;
     int controllers = 3; // of each region
-    int workers = 100;   // of all regions, as are the next three
-    int tasks = 1000;    // running at once
-    double starts = 20;  // of tasks a second
-    int teams = 10;      // of each region
-    int waiting = 0;     // jobs of each region that wait all the time, at their team's limit
-    int job_tasks = 0;   // of an ordinary job; 0: as many as start in two seconds
-    double for_s = 60;   // of the window that is measured, once the tasks run
-    double changes = 0;  // of teams' limits a second, in each region
-    double kill_s = -1;  // into the window: a controller of each region is ended; below 0: none
-    double back_s = 2;   // until it is started again
-    int replace = 0;     // workers that die in the window, and are rented anew
-    double fill_s = 60;  // at most, until nine tenths of the tasks run
-    double state_rps = 250;
-    double state_write_rps = 50;
-    double cloud_rps = 10;
-    int sockets = 2254; // of a controller
-    int port = 21000;   // the first of those that the run listens on
-    std::string daemon;
-    std::string report;
-    std::string table; // a row of the main figures is added to it
-    std::string
-        folder; // for settings, logs and histories; empty: one of its own, gone with the run
-
-    int processes() const { return regions * (controllers + 3) + 1; }
-    // Bytes, by what runs took before; see docs/CAPACITY.md.
-    double memory() const;
+    int workers = 100;
+    int tasks = 1000;       // that run at once
+    double start_rate = 20; // of tasks
+    int teams = 10;         // of each region
+    int waiting = 0;        // jobs of each region that wait all the time, at their team's limit
+    int job_tasks = 0;      // of an ordinary job; 0: as many as start in two seconds
+
+    // The window that is measured, and what happens in it.
+    double window_s = 60;
+    double fill_s = 60;         // at most, until nine tenths of the tasks run; the window follows
+    double changes = 0;         // rate of changes of teams' limits, in each region
+    double kill_at_s = -1;      // into the window a controller of each region is killed; < 0: none
+    double restart_after_s = 2; // it is restarted so long after
+    int replace = 0;            // workers that die; others are rented in their place
+
+    // What surrounds the controllers.
+    double state_rps = 250;      // requests that each key-value store allows
+    double state_write_rps = 50; // changes that it allows
+    double cloud_rps = 10;       // requests that each cloud allows
+    int sockets = 2254;          // limit of a controller
+    int port = 21000;            // the first of those that are listened on
+
+    // Files.
+    std::string daemon; // the controllers' program
+    std::string report; // empty: standard output
+    std::string table;  // a row of the main figures is added to it; empty: none
+    std::string folder; // for settings, logs and histories; empty: a temporary one
+
+    // Of the run in all, with the supervisor.
+    int processes() const { return regions * (controllers + kSimulatorsPerRegion) + 1; }
+    // An estimate from earlier runs, see docs/CAPACITY.md.
+    double memory_bytes() const;
+    // Workers of a region: an even part of all.
     int workers_of(int region) const;
+
+    static constexpr int kSimulatorsPerRegion = 3; // services, workers, users
 };
 
-// Throws CannotPlay, before anything is started. `memory`: of the machine, in bytes.
-void check(const Options& options, double memory);
-// Bytes of memory that this machine has.
-double machine_memory();
+// Throws ScaleTestError, naming the option, if the options make no sense or ask for more than half
+// of the memory that this machine has.
+void validate(const Options& options, double memory_bytes);
+// 0 if it cannot be told.
+double machine_memory_bytes();
 
 } // namespace scheduler::scale
--- a/src/scale/plan.cpp
+++ b/src/scale/plan.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cmath>
 #include <sstream>
+#include <string_view>
 
 #include "core/model/partition_assignment.h"
 
@@ -11,27 +12,67 @@
 namespace {
 constexpr char kMachineType[] = "hollow";
 constexpr char kQueueTeam[] = "queue"; // its jobs wait
-constexpr double kSpare = 1.1;         // slots over tasks
+constexpr double kSlotsPerTask = 1.1;  // slots over tasks
 constexpr int kUrgentTasks = 4;
 constexpr std::uint64_t kKinds = 5;
+constexpr double kTaskCpus = 1;
+constexpr double kTaskRamGb = 2;
+constexpr int kImages = 4;
 constexpr double kImageGb = 0.1;
+constexpr double kBoot_s = 40;
+constexpr double kRamGbPerCpu = 4;
+constexpr double kWaitingJobDuration_s = 1000;
+constexpr int kLargestJob = 100000; // tasks
+// Second bytes of the loopback addresses: of the workers, and of controllers and services.
+constexpr int kWorkersNetwork = 100;
+constexpr int kControllersNetwork = 200;
+constexpr int kWorkersPerSubnet = 250;
+constexpr std::size_t kControllerDigits = 3;
+constexpr std::size_t kMachineDigits = 6;
+constexpr std::size_t kJobDigits = 9;
+constexpr std::string_view kMachinePrefix = "i-";
+constexpr std::string_view kJobPrefix = "req-";
+constexpr std::uint64_t kJobRegions = 100; // the last two digits of a job's id say its region
+
+std::string padded(std::uint64_t number, std::size_t digits) {
+    std::string text = std::to_string(number);
+    return std::string(digits - std::min(digits, text.size()), '0') + text;
+}
+
+// Small, and startable anywhere.
+void make_urgent(JobSpec& spec) {
+    spec.job_class = "urgent";
+    spec.priority = Priority::high;
+    spec.tasks = kUrgentTasks;
+    spec.spot = true;
+    spec.zone.reset();
+}
+
+// One task of a team whose limit allows one.
+void make_waiting(JobSpec& spec) {
+    spec.job_class = "waiting";
+    spec.team = kQueueTeam;
+    spec.tasks = 1;
+    spec.estimate_s = kWaitingJobDuration_s;
+}
 } // namespace
 
 Plan::Plan(const Options& options, int region) : options_(options), region_(region) {}
 
-std::string Plan::node_name(int node) const {
-    std::string number = std::to_string(node);
-    return "node-" + std::string(3 - std::min<std::size_t>(3, number.size()), '0') + number;
+std::string Plan::controller_name(int controller) const {
+    return "node-" + padded(std::uint64_t(controller), kControllerDigits);
 }
-std::string Plan::node_host(int node) const {
-    return "127." + std::to_string(200 + region_) + ".0." + std::to_string(1 + node);
+std::string Plan::controller_host(int controller) const {
+    return "127." + std::to_string(kControllersNetwork + region_) + ".0." +
+           std::to_string(1 + controller);
 }
-std::string Plan::host_of_stand_ins() const {
-    return "127." + std::to_string(200 + region_) + ".1.1";
+std::string Plan::services_host() const {
+    return "127." + std::to_string(kControllersNetwork + region_) + ".1.1";
 }
 std::string Plan::worker_host(int worker) const {
-    return "127." + std::to_string(100 + region_) + "." + std::to_string(worker / 250) + "." +
-           std::to_string(1 + worker % 250);
+    return "127." + std::to_string(kWorkersNetwork + region_) + "." +
+           std::to_string(worker / kWorkersPerSubnet) + "." +
+           std::to_string(1 + worker % kWorkersPerSubnet);
 }
 
 std::string Plan::zone(int number) const {
@@ -41,13 +82,13 @@
 InstanceType Plan::machine_type() const {
     InstanceType type;
     type.name = kMachineType;
-    type.cpus = std::max(1.0, std::ceil(kSpare * tasks() / workers()));
-    type.ram_gb = 4 * type.cpus;
+    type.cpus = std::max(1.0, std::ceil(kSlotsPerTask * tasks() / workers()));
+    type.ram_gb = kRamGbPerCpu * type.cpus;
     type.cache_gb = 50;
     type.fetch_gb_per_s = 1;
     type.price = 1;
     type.spot_price = 0.4;
-    type.boot_s = 40;
+    type.boot_s = kBoot_s;
     for (int z = 0; z < kZones; ++z) {
         type.zones.push_back(zone(z));
     }
@@ -68,118 +109,126 @@
     return out;
 }
 
-std::string Plan::settings(int node) const {
-    std::ostringstream s;
-    s << std::fixed;
-    std::string stand_ins = host_of_stand_ins() + ":";
-    s << "node = \"" << node_name(node) << "\"\nzone = \"" << zone(node % kZones) << "\"\n"
-      << "listen = \"" << node_host(node) << ":" << users_port() << "\"\n"
-      << "back = \"" << node_host(node) << ":" << back_port() << "\"\n";
-    for (int other = 0; other < options_.controllers; ++other) {
-        if (other != node) {
-            s << "[[siblings]]\nnode = \"" << node_name(other) << "\"\nzone = \""
-              << zone(other % kZones) << "\"\npeer_addr = \"" << node_host(other) << ":"
-              << back_port() << "\"\n";
+std::string Plan::settings(int controller) const {
+    std::ostringstream out;
+    out << std::fixed;
+    write_addresses(out, controller);
+    write_facts(out);
+    return out.str();
+}
+
+void Plan::write_addresses(std::ostream& out, int controller) const {
+    out << "node = \"" << controller_name(controller) << "\"\nzone = \""
+        << zone(controller % kZones) << "\"\n"
+        << "listen = \"" << controller_host(controller) << ":" << client_port() << "\"\n"
+        << "back = \"" << controller_host(controller) << ":" << peer_port() << "\"\n";
+    for (int peer = 0; peer < options_.controllers; ++peer) {
+        if (peer != controller) {
+            out << "[[siblings]]\nnode = \"" << controller_name(peer) << "\"\nzone = \""
+                << zone(peer % kZones) << "\"\npeer_addr = \"" << controller_host(peer) << ":"
+                << peer_port() << "\"\n";
         }
     }
-    s << "[external]\ncloud = \"" << stand_ins << cloud_port() << "\"\nstate = \"" << stand_ins
-      << state_port() << "\"\n[facts]\nzones = [";
+    std::string services = services_host() + ":";
+    out << "[external]\ncloud = \"" << services << cloud_port() << "\"\nstate = \"" << services
+        << state_port() << "\"\n";
+}
+
+void Plan::write_facts(std::ostream& out) const {
+    out << "[facts]\nzones = [";
     for (int z = 0; z < kZones; ++z) {
-        s << (z > 0 ? ", " : "") << "\"" << zone(z) << "\"";
+        out << (z > 0 ? ", " : "") << "\"" << zone(z) << "\"";
     }
-    s << "]\n";
-    for (const auto& t : teams()) {
-        s << "[[facts.teams]]\nname = \"" << t.name << "\"\ncpus = " << t.guaranteed_cpus
-          << "\ncpus_max = " << t.max_cpus << "\ngpus = 0.0\ngpus_max = 0.0\n";
+    out << "]\n";
+    for (const auto& team : teams()) {
+        out << "[[facts.teams]]\nname = \"" << team.name << "\"\ncpus = " << team.guaranteed_cpus
+            << "\ncpus_max = " << team.max_cpus << "\ngpus = 0.0\ngpus_max = 0.0\n";
     }
-    s << "[facts.workers]\nreport_s = " << kReport_s << "\nlease_s = " << kLease_s
-      << "\ncancel_s = " << kCancel_s << "\ngang_wait_s = 30.0\ngang_peer_s = 5.0\n"
-      << "[facts.state]\nrps = " << options_.state_rps
-      << "\nwrite_rps = " << options_.state_write_rps << "\nvalue_kb = 4.0\ntxn_ops = 12\n"
-      << "[facts.cloud]\nrps = " << options_.cloud_rps << "\nlist_lag_s = 8.0\n"
-      << "[facts.machine_limits]\nsockets = " << options_.sockets << "\n";
-    return s.str();
+    out << "[facts.workers]\nreport_s = " << kReport_s << "\nlease_s = " << kLease_s
+        << "\ncancel_s = " << kCancel_s << "\ngang_wait_s = 30.0\ngang_peer_s = 5.0\n"
+        << "[facts.state]\nrps = " << options_.state_rps
+        << "\nwrite_rps = " << options_.state_write_rps << "\nvalue_kb = 4.0\ntxn_ops = 12\n"
+        << "[facts.cloud]\nrps = " << options_.cloud_rps << "\nlist_lag_s = 8.0\n"
+        << "[facts.machine_limits]\nsockets = " << options_.sockets << "\n";
 }
 
 std::string Plan::machine_name(int worker) const {
-    std::string number = std::to_string(worker);
-    return "i-" + std::string(6 - std::min<std::size_t>(6, number.size()), '0') + number;
+    return std::string(kMachinePrefix) + padded(std::uint64_t(worker), kMachineDigits);
 }
 
-int Plan::worker_of(const std::string& machine) const {
-    if (!machine.starts_with("i-") || machine.size() < 8) {
+int Plan::worker_number(const std::string& machine) const {
+    if (!machine.starts_with(kMachinePrefix) ||
+        machine.size() < kMachinePrefix.size() + kMachineDigits) {
         return -1;
     }
-    return std::atoi(machine.c_str() + 2);
+    return std::atoi(machine.c_str() + kMachinePrefix.size());
 }
 
 int Plan::job_tasks() const {
     int chosen = options_.job_tasks > 0 ? options_.job_tasks : int(std::lround(2 * starts()));
-    return std::clamp(chosen, 1, 100000);
+    return std::clamp(chosen, 1, kLargestJob);
 }
 
 int Plan::fill_jobs() const { return int(std::ceil(tasks() / job_tasks())); }
 
-std::string Plan::job_id(Kind kind, int number) const {
-    std::uint64_t n = (std::uint64_t(number) * kKinds + std::uint64_t(kind)) * 100 + region_;
-    std::string digits = std::to_string(n);
-    return "req-" + std::string(9 - std::min<std::size_t>(9, digits.size()), '0') + digits;
+std::string Plan::job_id(JobKind kind, int number) const {
+    std::uint64_t n =
+        (std::uint64_t(number) * kKinds + std::uint64_t(kind)) * kJobRegions + region_;
+    return std::string(kJobPrefix) + padded(n, kJobDigits);
 }
 
-std::pair<Plan::Kind, int> Plan::kind_of(const std::string& id) {
-    std::uint64_t n = std::strtoull(id.c_str() + 4, nullptr, 10) / 100;
-    return {static_cast<Kind>(n % kKinds), static_cast<int>(n / kKinds)};
+Plan::JobNumber Plan::parse_job_id(const std::string& id) {
+    std::uint64_t n = std::strtoull(id.c_str() + kJobPrefix.size(), nullptr, 10) / kJobRegions;
+    return {static_cast<JobKind>(n % kKinds), static_cast<int>(n / kKinds)};
 }
 
 std::optional<JobSpec> Plan::job(const std::string& id) const {
-    if (!id.starts_with("req-")) {
+    if (!id.starts_with(kJobPrefix)) {
         return std::nullopt;
     }
-    auto [kind, number] = kind_of(id);
-    if (kind == Kind::nobody || job_id(kind, number) != id) {
+    auto [kind, number] = parse_job_id(id);
+    if (kind == JobKind::never_submitted || job_id(kind, number) != id) {
         return std::nullopt;
     }
+    JobSpec spec = ordinary_job(id, number);
+    switch (kind) {
+    case JobKind::urgent: make_urgent(spec); break;
+    case JobKind::waiting: make_waiting(spec); break;
+    case JobKind::fill: spec.job_class = "fill"; break;
+    default: break;
+    }
+    return spec;
+}
+
+// Some are spot jobs, some ask for a zone.
+JobSpec Plan::ordinary_job(const std::string& id, int number) const {
     JobSpec spec;
     spec.id = id;
+    spec.job_class = "ordinary";
     spec.team = "team-" + std::to_string(number % options_.teams);
     spec.tasks = std::uint32_t(job_tasks());
-    spec.cpus = 1;
-    spec.ram_gb = 2;
-    spec.image = "img-" + std::to_string(number % 4);
+    spec.cpus = kTaskCpus;
+    spec.ram_gb = kTaskRamGb;
+    spec.image = "img-" + std::to_string(number % kImages);
     spec.image_gb = kImageGb;
     spec.spot = number % 4 == 1;
-    spec.estimate_s = usual_run_s();
+    spec.estimate_s = mean_task_duration_s();
     if (number % 5 == 3) {
         spec.zone = zone(number % kZones);
     }
-    switch (kind) {
-    case Kind::urgent:
-        spec.job_class = "urgent";
-        spec.priority = Priority::high;
-        spec.tasks = kUrgentTasks;
-        spec.spot = true;
-        spec.zone.reset();
-        break;
-    case Kind::waiting:
-        spec.job_class = "waiting";
-        spec.team = kQueueTeam;
-        spec.tasks = 1;
-        spec.estimate_s = 1000;
-        break;
-    default: spec.job_class = kind == Kind::fill ? "fill" : "ordinary"; break;
-    }
     return spec;
 }
 
 // Tasks of the first jobs end evenly over a run time, so that from then on as many end as start.
-double Plan::run_s(const TaskId& task) const {
-    auto [kind, number] = kind_of(task.job);
-    if (kind == Kind::waiting) {
-        return 1000;
+double Plan::task_duration_s(const TaskId& task) const {
+    auto [kind, number] = parse_job_id(task.job);
+    if (kind == JobKind::waiting) {
+        return kWaitingJobDuration_s;
     }
     double drawn =
         double(stable_hash(task.job + "/" + std::to_string(task.index)) % 100000) / 100000;
-    return kind == Kind::fill ? usual_run_s() * drawn : usual_run_s() * (0.9 + 0.2 * drawn);
+    return kind == JobKind::fill ? mean_task_duration_s() * drawn
+                                 : mean_task_duration_s() * (0.9 + 0.2 * drawn);
 }
 
 } // namespace scheduler::scale
--- a/src/scale/plan.h
+++ b/src/scale/plan.h
@@ -2,12 +2,16 @@
 // processes of a run need not tell each other.
 #pragma once
 
+#include <iosfwd>
+#include <optional>
 #include <string>
+#include <vector>
 
 #include "scale/options.h"
 
 namespace scheduler::scale {
 
+// The plan of one region.
 class Plan {
   public:
     Plan(const Options& options, int region);
@@ -16,16 +20,19 @@
     int region() const { return region_; }
 
     // Addresses, all of the loopback range.
-    std::string node_name(int node) const;
-    std::string node_host(int node) const;
-    std::string host_of_stand_ins() const;
+    std::string controller_name(int controller) const;
+    std::string controller_host(int controller) const;
+    std::string services_host() const;
     std::string worker_host(int worker) const;
-    int users_port() const { return options_.port; }
-    int back_port() const { return options_.port + 1; }
+    // Of a controller, for users and workers; for its peers.
+    int client_port() const { return options_.port; }
+    int peer_port() const { return options_.port + 1; }
     int state_port() const { return options_.port + 2; }
     int cloud_port() const { return options_.port + 3; }
     int worker_port() const { return options_.port + 4; }
-    int control_port() const { return options_.port + 5; }
+    // Of the cloud, for the workers' process; of the workers' process, for the cloud.
+    int cloud_control_port() const { return options_.port + 5; }
+    int workers_control_port() const { return options_.port + 6; }
 
     // The settings' figures, those of the large sites.
     static constexpr double kReport_s = 3;
@@ -36,32 +43,46 @@
     InstanceType machine_type() const;
     std::string zone(int number) const;
     // A controller's settings file.
-    std::string settings(int node) const;
+    std::string settings(int controller) const;
 
     // Workers of this region; a replaced one has a new number, above all of the first.
     int workers() const { return options_.workers_of(region_); }
+    // Tasks of this region that run at once; tasks that start a second.
     double tasks() const { return double(options_.tasks) * workers() / options_.workers; }
-    double starts() const { return options_.starts * workers() / options_.workers; }
+    double starts() const { return options_.start_rate * workers() / options_.workers; }
     std::string machine_name(int worker) const;
     // -1: none of ours.
-    int worker_of(const std::string& machine) const;
+    int worker_number(const std::string& machine) const;
     std::string worker_zone(int worker) const { return zone(worker % kZones); }
     bool worker_spot(int worker) const { return worker % 5 == 4; }
 
     // Jobs by kind and number; the id says both.
-    enum class Kind { fill, ordinary, urgent, waiting, nobody };
-    std::string job_id(Kind kind, int number) const;
+    enum class JobKind {
+        fill,            // submitted at the beginning, so that the region is full
+        ordinary,        // submitted at the plan's rate
+        urgent,          // small ones with a high priority
+        waiting,         // at their team's limit, all the time
+        never_submitted, // only asked for
+    };
+    struct JobNumber {
+        JobKind kind = JobKind::fill;
+        int number = 0;
+    };
+    std::string job_id(JobKind kind, int number) const;
     // No job of the plan: none.
     std::optional<JobSpec> job(const std::string& id) const;
-    static std::pair<Kind, int> kind_of(const std::string& id);
+    static JobNumber parse_job_id(const std::string& id);
     int fill_jobs() const;
     int job_tasks() const;
     double job_every_s() const { return job_tasks() / starts(); }
     // A task's run time, seconds.
-    double run_s(const TaskId& task) const;
+    double task_duration_s(const TaskId& task) const;
 
   private:
-    double usual_run_s() const { return tasks() / starts(); }
+    JobSpec ordinary_job(const std::string& id, int number) const;
+    void write_addresses(std::ostream& out, int controller) const;
+    void write_facts(std::ostream& out) const;
+    double mean_task_duration_s() const { return tasks() / starts(); }
 
     Options options_;
     int region_;
--- a/src/scale/measure.cpp
+++ b/src/scale/process_usage.cpp
@@ -1,15 +1,19 @@
-#include "scale/measure.h"
+#include "scale/process_usage.h"
 
 #include <unistd.h>
 
-#include <algorithm>
 #include <filesystem>
 #include <fstream>
 #include <sstream>
+#include <string>
 
 namespace scheduler::scale {
 
 namespace {
+// Fields of /proc/PID/stat, counted from 1.
+constexpr int kFirstFieldAfterName = 3;
+constexpr int kUserTimeField = 14; // the system time follows
+
 double cpu_of(const std::string& stat) {
     std::ifstream in(stat);
     std::string text((std::istreambuf_iterator<char>(in)), {});
@@ -19,7 +23,7 @@
     }
     std::istringstream rest(text.substr(close + 2));
     std::string skipped;
-    for (int field = 3; field < 14; ++field) {
+    for (int field = kFirstFieldAfterName; field < kUserTimeField; ++field) {
         rest >> skipped;
     }
     double user = 0;
@@ -29,8 +33,8 @@
 }
 } // namespace
 
-ProcessUse use_of(pid_t pid, bool with_sockets) {
-    ProcessUse use;
+ProcessUsage process_usage(pid_t pid, bool with_sockets) {
+    ProcessUsage use;
     std::string folder = "/proc/" + std::to_string(pid) + "/";
     use.cpu_s = cpu_of(folder + "stat");
     use.main_cpu_s = cpu_of(folder + "task/" + std::to_string(pid) + "/stat");
@@ -65,22 +69,4 @@
     return 0;
 }
 
-void Times::add(double seconds) {
-    histogram_(std::max(seconds, 1e-4));
-    ++count_;
-    most_ = std::max(most_, seconds);
-}
-
-double Times::quantile(double shard) const {
-    double sought = shard * double(count_);
-    double seen = 0;
-    for (const auto& cell : boost::histogram::indexed(histogram_)) {
-        seen += *cell;
-        if (count_ > 0 && seen >= sought) {
-            return std::min(cell.bin().upper(), most_);
-        }
-    }
-    return most_;
-}
-
 } // namespace scheduler::scale
--- /dev/null
+++ b/src/scale/store_model.h
@@ -0,0 +1,78 @@
+// The key-value store of a region, on a clock that is handed in: keys with versions, leases,
+// changes. Sockets and limits are StoreServer's. It holds what it is given as it is and knows
+// nothing of the controllers' records (the model in tests/ holds these and no bytes).
+#pragma once
+
+#include <deque>
+#include <map>
+#include <optional>
+
+#include "scale/http_status.h"
+#include "scale/messages.h"
+
+namespace scheduler::scale {
+
+// Each call answers as the store's protocol has it: a status and a body.
+class StoreModel {
+  public:
+    // Watches from before the oldest of these changes are told that they are too old.
+    static constexpr std::size_t kChangesKept = 10000;
+    struct Answer {
+        int status = kHttpOk;
+        Json body;
+    };
+
+    Answer get(const std::string& key) const;
+    // The first `limit` keys with the prefix after the key `after`; empty: from the first.
+    Answer range(const std::string& prefix, const std::string& after, std::size_t limit) const;
+    // The number of changes, which counts against the limit of changes, also when the conditions
+    // fail.
+    static std::size_t changes(const Json& transaction);
+    // Atomic. Status 409: some key has another version than the transaction asks for.
+    Answer transact(Time now, const Json& transaction);
+    // Leases.
+    Answer grant(Time now, double ttl_s);
+    Answer renew(Time now, std::uint64_t lease);
+    Answer revoke(std::uint64_t lease);
+    // Removes the keys of leases that are over. True: some lease was.
+    bool expire(Time now);
+    // The changes under the prefix after the revision; none: there is none yet. Status 410: changes
+    // after that revision are not kept any more.
+    std::optional<Answer> watch(const std::string& prefix, std::uint64_t since) const;
+    // The answer to a watch whose time is over.
+    Answer nothing_changed() const {
+        return {kHttpOk, {{"ring", revision_}, {"events", Json::array()}}};
+    }
+    std::uint64_t revision() const { return revision_; }
+    std::size_t keys() const { return entries_.size(); }
+
+  private:
+    struct Entry {
+        Json data;
+        std::uint64_t version = 0;
+        std::uint64_t lease = 0;
+    };
+    struct Lease {
+        Time end = 0;
+        double ttl_s = 0;
+    };
+    struct Change {
+        std::uint64_t revision = 0;
+        std::string key;
+        std::optional<Json> data; // none: deleted
+    };
+    Json failed_conditions(const Json& transaction) const;
+    void apply(const Json& change);
+    static Json item(const std::string& key, const Entry& entry);
+    void drop_keys_of(std::uint64_t lease);
+    void record_change(Change change);
+
+    std::map<std::string, Entry> entries_;
+    std::map<std::uint64_t, Lease> leases_;
+    std::deque<Change> changes_;
+    std::uint64_t revision_ = 1;
+    std::uint64_t dropped_to_ = 0; // changes up to this revision are not kept any more
+    std::uint64_t next_lease_ = 1;
+};
+
+} // namespace scheduler::scale
--- /dev/null
+++ b/src/scale/worker_fleet.h
@@ -0,0 +1,92 @@
+// The hollow workers of a region: thousands in one process, each with an address of its own.
+#pragma once
+
+#include <functional>
+#include <map>
+#include <queue>
+#include <random>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "scale/counters.h"
+#include "scale/history.h"
+#include "scale/hollow_worker.h"
+#include "scale/http_client.h"
+#include "scale/http_server.h"
+#include "scale/plan.h"
+
+namespace scheduler::scale {
+
+// Boots the workers of the plan, sends their reports, hands them the controllers' commands, and
+// boots and ends workers as the cloud says. Runs an event loop in the calling thread.
+class WorkerFleet {
+  public:
+    // Throws ScaleTestError if the history cannot be written or an address cannot be listened on.
+    WorkerFleet(const Plan& plan, Counters& counters, const std::string& history);
+
+    // Until SIGTERM.
+    void run();
+
+  private:
+    struct Machine { // that is up
+        HollowWorker worker;
+        evhttp_bound_socket* socket = nullptr;
+        int controller = 0; // that the next report goes to
+        bool report_in_flight = false;
+        Time last_sent = kLongAgo;
+        Time report_due = 0;        // the next report by the timer
+        Time report_not_before = 0; // any report
+        Time queued = kNotQueued;   // the time that stands in the queue for it
+    };
+    // An entry of the queue. Outdated if the machine's `queued` is another time.
+    struct Wakeup {
+        Time time = 0;
+        int worker = 0;
+        auto operator<=>(const Wakeup&) const = default;
+    };
+    static constexpr Time kLongAgo = -1e9;
+    static constexpr Time kNotQueued = -1;
+
+    HollowWorker::Environment environment();
+    double random_between(double from, double to);
+    void record(Time at, Event::Kind kind, const std::string& machine, const TaskId& task);
+
+    void boot(int worker, double first_report_s);
+    void terminate(int worker);
+    void terminate_at_random();
+
+    Time next_report_at(const Machine& machine) const;
+    void queue_wakeup(int worker, Machine& machine);
+    void step();
+    void wake(Time at, const Wakeup& wakeup);
+
+    void send_report(Time at, int worker, Machine& machine);
+    void on_report_response(int worker, std::uint64_t session, Time sent,
+                            const HttpResponse& response);
+    void on_report_accepted(Time at, Machine& machine, std::uint64_t session, Time sent,
+                            const std::string& body);
+    void on_report_refused(Time at, Machine& machine, const HttpResponse& response);
+    void try_next_controller(Time at, Machine& machine);
+    // -1: no controller has this name.
+    int controller_number(const std::string& name) const;
+
+    void on_direct_command(const HttpServerRequest& request, Responder to);
+    void on_cloud_command(const HttpServerRequest& request, Responder to);
+
+    const Plan& plan_;
+    Counters& counters_;
+    HistoryWriter history_;
+    std::mt19937_64 random_;
+    InstanceType type_;
+    EventLoop loop_;
+    HollowWorker::Environment environment_;
+    std::map<int, Machine> machines_;    // by the worker's number
+    std::map<std::string, int> by_host_; // the worker's number
+    std::set<TaskId> completed_;
+    std::priority_queue<Wakeup, std::vector<Wakeup>, std::greater<>> wakeups_;
+    HttpServer command_server_; // for the controllers
+    HttpServer cloud_server_;   // for the cloud
+};
+
+} // namespace scheduler::scale
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -1,5 +1,5 @@
 // Each judge fails on a made history that breaks what it judges, and on no history that keeps it.
-#include "judge.h"
+#include "simulation/judge.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/scale_usage_test.sh
+++ b/tests/scale_usage_test.sh
@@ -8,7 +8,7 @@
   said=$("$run" "$@" 2>&1)
   status=$?
   if [ "$status" -ne 2 ] || ! printf '%s' "$said" | grep -q -e "$named"; then
-    echo "orchidscale $*: status $status, said: $said"
+    echo "scale-test $*: status $status, said: $said"
     exit 1
   fi
 }
--- a/tests/judge.cpp
+++ b/tests/simulation/judge.cpp
@@ -1,4 +1,4 @@
-#include "judge.h"
+#include "simulation/judge.h"
 
 #include <algorithm>
 #include <cmath>
--- /dev/null
+++ b/tests/simulation/queries.cpp
@@ -0,0 +1,151 @@
+/// @file
+/// Questions about the simulation's state: see queries.h.
+#include "simulation/queries.h"
+
+#include <utility>
+
+#include "core/model/partition_assignment.h"
+#include "simulation/cluster_setup.h"
+
+namespace scheduler::test {
+
+namespace {
+using OpenJobs = std::map<std::string, Judge::Standing>;
+/// CPUs and GPUs by team, as the judge takes them.
+using UsedByTeam = std::map<std::string, std::pair<double, double>>;
+
+bool holds(const Worker& worker, const TaskId& task) {
+    auto found = worker.tasks.find(task);
+    return found != worker.tasks.end() && found->second.stage != TaskStage::exited;
+}
+
+OpenJobs open_jobs(const KvStoreModel& store, const Judge& judge) {
+    OpenJobs jobs;
+    for (const auto& [id, outcome] : job_outcomes(store)) {
+        if (outcome != Outcome::none || !judge.knows(id)) {
+            continue;
+        }
+        Judge::Standing& job = jobs[id];
+        job = {id, judge.spec(id).tasks, {}};
+        for (std::uint32_t index = 0; index < judge.spec(id).tasks; ++index) {
+            job.waiting -= judge.done({id, index});
+        }
+    }
+    return jobs;
+}
+
+/// Returns the room that is left on the machine; its tasks are taken from what waits.
+Judge::Room room_of(const Worker& worker, const InstanceType& type, const Judge& judge,
+                    OpenJobs& jobs, UsedByTeam& used) {
+    Judge::Room room{worker.zone, worker.spot, &type, type.cpus, type.gpus, type.ram_gb};
+    for (const auto& [task, state] : worker.tasks) {
+        if (state.stage == TaskStage::exited) {
+            continue;
+        }
+        const JobSpec& spec = judge.spec(task.job);
+        room.cpus -= spec.cpus;
+        room.gpus -= spec.gpus;
+        room.ram_gb -= spec.ram_gb;
+        used[spec.team].first += spec.cpus;
+        used[spec.team].second += spec.gpus;
+        if (auto job = jobs.find(task.job); job != jobs.end()) {
+            job->second.waiting -= !judge.done(task);
+            ++job->second.in_zone[worker.zone];
+        }
+    }
+    return room;
+}
+
+bool usable(const Worker& worker, Time now) {
+    return worker.up && !worker.dead && !worker.cut && !worker.deaf && !worker.mute &&
+           now >= worker.hung_until && worker.taken == 0;
+}
+} // namespace
+
+int owner_of(const KvStoreModel& store, int partition) {
+    auto found = store.entries().find("part/" + std::to_string(partition));
+    if (found == store.entries().end()) {
+        return -1;
+    }
+    return controller_number(std::get<PartitionRecord>(found->second.record).node);
+}
+
+std::map<std::string, Outcome> job_outcomes(const KvStoreModel& store) {
+    static const std::string kPrefix = "job/";
+    std::map<std::string, Outcome> outcomes;
+    for (const auto& [key, entry] : store.entries()) {
+        const auto* job = std::get_if<JobRecord>(&entry.record);
+        if (job && key.starts_with(kPrefix)) {
+            outcomes[key.substr(kPrefix.size())] = job->outcome;
+        }
+    }
+    return outcomes;
+}
+
+std::vector<std::string> machines_up(const Workers& workers) {
+    std::vector<std::string> up;
+    for (const auto& [name, worker] : workers) {
+        if (worker.up && !worker.dead) {
+            up.push_back(name);
+        }
+    }
+    return up;
+}
+
+std::set<std::string> machines_of(const Workers& workers, const TaskId& task) {
+    std::set<std::string> machines;
+    for (const auto& [name, worker] : workers) {
+        if (holds(worker, task)) {
+            machines.insert(name);
+        }
+    }
+    return machines;
+}
+
+std::uint64_t attempt_of(const Workers& workers, const TaskId& task) {
+    for (const auto& [name, worker] : workers) {
+        if (holds(worker, task)) {
+            return worker.tasks.at(task).attempt;
+        }
+    }
+    return 0;
+}
+
+std::string describe(const Workers& workers, const JobSpec& spec) {
+    std::string text = " kind " + std::to_string(static_cast<int>(spec.kind)) + " tasks " +
+                       std::to_string(spec.tasks) + " cpus " + std::to_string(spec.cpus) +
+                       " gpus " + std::to_string(spec.gpus) + (spec.one_zone ? " one_zone" : "") +
+                       (spec.spread ? " spread" : "") + (spec.spot ? " spot" : "");
+    for (const auto& [name, worker] : workers) {
+        text += "\n" + name + " " + worker.zone + (worker.spot ? " spot" : "") +
+                (worker.up ? "" : " booting") + (worker.dead ? " dead" : "") +
+                (worker.cut ? " cut" : "");
+        for (const auto& [task, state] : worker.tasks) {
+            text += " " + task.job + "/" + std::to_string(task.index) + ":" +
+                    std::to_string(static_cast<int>(state.stage));
+        }
+    }
+    return text;
+}
+
+void observe_waiting(Time now, const KvStoreModel& store, const Workers& workers,
+                     const InstanceType& type, Judge& judge) {
+    OpenJobs jobs = open_jobs(store, judge);
+    UsedByTeam used;
+    std::vector<Judge::Room> rooms;
+    for (const auto& [name, worker] : workers) {
+        Judge::Room room = room_of(worker, type, judge, jobs, used);
+        if (usable(worker, now)) {
+            rooms.push_back(room);
+        }
+    }
+    std::vector<Judge::Standing> waiting;
+    for (const auto& [id, job] : jobs) {
+        if (job.waiting > 0) {
+            waiting.push_back(job);
+        }
+    }
+    judge.look(now, rooms, waiting, used);
+}
+
+} // namespace scheduler::test
