--- /dev/null
+++ b/src/core/messaging/outputs.h
@@ -0,0 +1,57 @@
+// Everything that the core wants done: responses, outbound requests and log lines. The core never
+// waits: it answers an input with these and is given the outcome of a request as a later input.
+#pragma once
+
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "core/messaging/cloud_messages.h"
+#include "core/messaging/peer_messages.h"
+#include "core/messaging/request_ids.h"
+#include "core/messaging/store_messages.h"
+#include "core/messaging/user_messages.h"
+#include "core/messaging/worker_messages.h"
+#include "core/model/quota.h"
+
+namespace scheduler {
+
+// What an outbound request asks for, by the service that it goes to: store, cloud, worker, peer.
+using OutboundBody =
+    std::variant<StoreGet, StoreRange, StoreTransaction, StoreLeaseGrant, StoreLeaseRenewal,
+                 StoreWatch, ListInstanceTypes, ListInstances, ScaleOut, ScaleIn, WorkerCommands,
+                 PeerSyncCall, LeaseExtensionCall, CancellationCall, QuotaStatusCall>;
+
+// A request to another service, answered by an OutboundResponse with the same id.
+struct OutboundRequest {
+    OutboundRequestId id = 0;
+    OutboundBody body;
+};
+
+using ResponseBody = std::variant<TextBody, JobStatusBody, HeartbeatBody, LeaderRedirect,
+                                  PeerSyncResponse, LeaseExtensionResponse, QuotaStatus>;
+
+// The response to a request that this controller received.
+struct Response {
+    RequestId request_id = 0;
+    int status = 0; // of HTTP
+    ResponseBody body;
+    double retry_after_s = 0; // when the sender should try again; 0: it is not told
+};
+
+enum class LogLevel { error, info, debug };
+
+// A line of the log, `event=... key=value ...`.
+struct LogLine {
+    LogLevel level = LogLevel::info;
+    std::string text;
+};
+
+// What one input has led to. The order within each list is the order to act in.
+struct Outputs {
+    std::vector<Response> responses;
+    std::vector<OutboundRequest> requests;
+    std::vector<LogLine> log;
+};
+
+} // namespace scheduler
