--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -1,99 +1,89 @@
-// The core: a state machine that takes inputs and says what to send, write and answer.
+// The core's state machine: takes one input at a time and returns what to send, answer and log. It
+// never waits and knows no clock but the time that comes with each input, in seconds of a steady
+// clock. Here is only wiring: which class handles an input, and what one class's result means to
+// the others.
 #pragma once
 
-#include <memory>
-
 #include "core/jobs/job_service.h"
 #include "core/jobs/job_status_reader.h"
+#include "core/leadership/leader_election.h"
 #include "core/leadership/lease_extender.h"
-#include "core/partition_leader.h"
+#include "core/leadership/store_lease_keeper.h"
+#include "core/messaging/instance_type_source.h"
+#include "core/partition_leaders.h"
 
 namespace scheduler {
 
-class Controller {
+class Controller : StoreLeaseKeeper::Delegate, LeaderElection::Delegate {
   public:
     Controller(const ClusterSettings& settings, const SchedulingPolicy& policy);
+    Controller(const Controller&) = delete;
+    Controller& operator=(const Controller&) = delete;
 
     Outputs handle(Time now, Input input);
-    // How long the core may be left alone when nothing comes in.
+    // The longest time between two inputs: when nothing else comes in, a `TimerTick` is due.
     double tick_s() const { return tick_s(settings_); }
     static double tick_s(const ClusterSettings& settings) {
         return settings.heartbeat_interval_s / 12;
     }
-    // See PartOwner::effort.
+    // See PartitionLeader::effort.
     std::uint64_t effort() const;
-    // Gives a share that a part of this node holds to another part, as `Balance` would. False: not
-    // now.
+    // Migrates a shard that a partition led here holds to another partition, as the shard balancer
+    // would. Returns false when that is not possible now.
     bool migrate_shard(Time now, int partition, const ShardId& shard, int to);
-    // The shares that a part of this node holds; none: it does not own the part.
+    // The shards that a partition led here holds; empty when it is not led here.
     std::vector<ShardId> shards(int partition) const;
 
   private:
-    static constexpr double kCampaignBackoffLeases = 2;
-    void tick(Time now);
-    void refresh_instance_types(Time now);
-    void fetch_catalog();
-    bool read_catalog(Time now);
-    void set_instance_types(Time now, const std::vector<InstanceType>& types);
-    void acquire_store_lease(Time now);
-    void renew_store_lease(Time now);
-    void read_partition_map(Time now);
-    void reread_partition_map(Time now);
-    void campaign(Time now);
-    void reassign_shards_of(StoreTransaction& transaction, int partition) const;
-    void watch_partition_map(Time now);
-    void campaign_for(Time now, int partition);
-    void reclaim_home_partition(Time now);
-    void hand_back(Time now, int partition);
-    void resign_all(Time now, const char* why);
-    void resign(int partition, const char* why);
-    void on_heartbeat(Time now, const HeartbeatReceived& in);
-    void on_peer_sync(Time now, const PeerSyncReceived& in);
-    void on_lease_extension(Time now, const LeaseExtensionReceived& in);
-    void request_lease_extension(Time now);
-    bool can_serve(Time now) const;
-    TaskCounts make_task_counts();
+    // One handler for each type of input.
+    void handle_input(Time now, const TimerTick& tick);
+    void handle_input(Time now, const SubmitJob& submit);
+    void handle_input(Time now, const PollJob& poll);
+    void handle_input(Time now, const CancelJob& cancel);
+    void handle_input(Time now, const ReadinessProbe& probe);
+    void handle_input(Time now, const HeartbeatReceived& in);
+    void handle_input(Time now, const PeerSyncReceived& in);
+    void handle_input(Time now, const LeaseExtensionReceived& in);
+    void handle_input(Time now, const CancellationsReceived& in);
+    void handle_input(Time now, const QuotaStatusQuery& query);
+    void handle_input(Time now, OutboundResponse& response);
+
+    void on_store_lease_granted(Time now) override;
+    void on_store_lease_ended(Time now) override;
+    void on_leadership_acquired(Time now, int partition) override;
+    void on_leadership_lost(int partition) override;
+    void on_partition_map_read(Time now) override;
     void on_job_cancelled(Time now, const std::string& job);
     void on_quota_changed(Time now, const TeamQuota& quota);
+
+    TaskCounts make_task_counts();
+    void request_lease_extension(Time now);
+    Time advance_cancellations_known(Time now);
+    bool can_serve(Time now) const;
+    bool workers_unreachable(Time now) const;
+    void tick_leaders(Time now);
     void collect_outputs(Time now, Outputs& out);
 
+    // Each of these refers to some of those above it.
     ClusterSettings settings_;
     SchedulingPolicy policy_;
     StoreRateLimiter rate_limiter_;
     OutboundRequests requests_;
     LeadershipLease lease_;
+    StoreContact store_contact_;
+    CampaignSuspension campaign_suspension_;
     JobRecordCache job_cache_;
     QuotaConfig quota_config_;
     JobService job_service_;
     JobStatusReader job_status_reader_;
     LeaseExtender lease_extender_;
-    std::map<int, std::unique_ptr<PartitionLeader>> leaders_;
     PartitionMap partition_map_;
+    InstanceTypeSource instance_types_;
+    StoreLeaseKeeper store_lease_keeper_;
+    LeaderElection election_;
+    PartitionLeaders leaders_;
     CpuHeadroom cpu_headroom_;
-    std::set<int> campaigns_;
-    std::vector<InstanceType> types_;
-    bool fetching_catalog_ = false;
-    bool catalog_is_current_ =
-        false; // the types are the cloud's own, not what another start heard of them
-    bool reading_catalog_ = false;
-    bool acquiring_lease_ = false;
-    bool renewing_lease_ = false;
-    bool reading_map_ = false;
-    bool watching_map_ = false;
-    bool reclaiming_home_ = false;
-    std::uint64_t watch_from_ = 0;
-    Time started_ = -1;
-    Time next_catalog_ = 0;
-    Time next_grant_ = 0;
-    Time next_renew_ = 0;
-    Time next_read_ = 0;
-    Time next_watch_ = 0;
-    Time next_reclaim_ = 0;
-    Time last_heartbeat_ = 0;
-    Time campaign_suspended_until_ = 0;
-    double campaign_backoff_leases_ = kCampaignBackoffLeases; // doubles while no worker is heard
-    std::set<std::string> reconnected_machines_; // machines that reported while it abstains
-    Time last_store_response_ = -1e9;            // the last answer that was the state service's own
+    Time last_heartbeat_ = 0; // of any worker, or since when workers have reason to send them
 };
 
 } // namespace scheduler
--- a/src/core/leadership/leadership.cpp
+++ b/src/core/leadership/leadership.cpp
@@ -3,7 +3,7 @@
 namespace scheduler {
 
 namespace {
-// Attempts left in a term when the part is claimed anew, under a later one.
+// When no more than these attempt numbers are left in a term, the leader campaigns for a later one.
 constexpr std::uint64_t kAttemptsLeft = 4096;
 } // namespace
 
--- a/src/core/leadership/leadership.h
+++ b/src/core/leadership/leadership.h
@@ -1,5 +1,6 @@
-// One claim of a part: its term, whether it still may be acted upon, and the attempt numbers that
-// are given out under it. Everything that works for the part lives as long as its claim.
+// One leadership of a partition: its term, whether it may still be acted upon, and the attempt
+// numbers that are issued under it. Everything that works for the partition lives as long as its
+// leadership. Times in seconds of this controller's steady clock.
 #pragma once
 
 #include "core/leadership/leadership_lease.h"
@@ -16,18 +17,21 @@
     int partition() const { return partition_; }
     std::uint64_t term() const { return term_; }
     Time since() const { return since_; }
+    // Whether commands and new answers may go out now.
     bool is_active(Time now) const { return lease_.is_valid(now, partition_) && !deposed_; }
-    // The claim turned out to be gone, or is to be made anew.
+    // The leadership turned out to be gone, or must be renewed under a later term.
     bool deposed() const { return deposed_; }
 
-    // A transaction that takes effect only while the part is ours.
+    // A transaction that takes effect only while this leadership lasts.
     StoreTransaction guarded_transaction() const {
         return StoreTransaction{{{partition_key(partition_), term_}}, {}};
     }
-    // Did the write take effect? Also notices when it was refused because the part is ours no more.
+    // Whether the write took effect; a failure is logged, `what` naming the write. Also notices
+    // when the store refused it because another leadership has begun.
     bool committed(OutboundRequests& requests, const OutboundResponse& response, const char* what);
-    // A number for tasks of jobs of `part`, never used before.
+    // An attempt number for tasks of jobs of `partition`, never issued before.
     std::uint64_t next_attempt(int partition, bool gang);
+    // Whether the attempt belongs to a job of this partition.
     bool is_own_attempt(std::uint64_t attempt) const {
         return partition_of_attempt(attempt) == partition_;
     }
--- a/src/core/leadership/leadership_lease.cpp
+++ b/src/core/leadership/leadership_lease.cpp
@@ -25,4 +25,12 @@
     extended_until_ = until;
 }
 
+std::vector<int> LeadershipLease::led_partitions() const {
+    std::vector<int> partitions;
+    for (const auto& [partition, term] : terms_) {
+        partitions.push_back(partition);
+    }
+    return partitions;
+}
+
 } // namespace scheduler
--- a/src/core/leadership/lease_extender.cpp
+++ b/src/core/leadership/lease_extender.cpp
@@ -5,19 +5,21 @@
 namespace scheduler {
 
 namespace {
-// Without an answer of the state service for this part of a report time, a node is out of contact:
-// while all is well it is answered once in a third of one.
-constexpr double kSilent = 0.5;
-constexpr double kAskAgain = 1.0 / 8; // of the longest promise
-constexpr double kLately = 1.0;       // report times for which an answer tells how a sibling fares
+// Without a response of the store for this part of a heartbeat interval, a controller has lost
+// contact with it: while all is well the store responds once in a third of one.
+constexpr double kStoreTimeoutHeartbeats = 0.5;
+// Between two requests to a peer, as a part of the longest extension.
+constexpr double kRequestInterval = 1.0 / 8;
+// For this many heartbeat intervals a response tells whether the peer reaches the store.
+constexpr double kPeerStatusHeartbeats = 1.0;
 } // namespace
 
-LeaseExtender::LeaseExtender(const ClusterSettings& settings, double longest_s,
+LeaseExtender::LeaseExtender(const ClusterSettings& settings, double max_extension_s,
                              OutboundRequests& requests, LeadershipLease& lease,
                              const JobRecordCache& job_cache, QuotaConfig& config)
     : home_partition_(settings.home_partition),
       heartbeat_interval_s_(settings.heartbeat_interval_s), lease_s_(settings.worker_lease_s),
-      max_extension_s_(longest_s), requests_(requests), lease_(lease), job_cache_(job_cache),
+      max_extension_s_(max_extension_s), requests_(requests), lease_(lease), job_cache_(job_cache),
       quotas_(config) {
     for (const auto& partition : settings.partitions) {
         if (partition.node != settings.node) {
@@ -26,119 +28,128 @@
     }
 }
 
-bool LeaseExtender::store_responsive(Time now, Time contact) const {
-    return now - contact < kSilent * heartbeat_interval_s_;
+bool LeaseExtender::store_responsive(Time now, std::optional<Time> last_response) const {
+    return last_response && now - *last_response < kStoreTimeoutHeartbeats * heartbeat_interval_s_;
 }
 
-// ---- As the one who asks ----
+// ---- Requesting extensions ----
 
-void LeaseExtender::tick(Time now, Time contact, Time complete_to, const OnCancelled& cancelled) {
-    if (store_responsive(now, contact) || now < next_request_) {
+void LeaseExtender::tick(Time now, std::optional<Time> last_response, Time known_until,
+                         const OnCancelled& cancelled) {
+    if (store_responsive(now, last_response) || now < next_request_) {
         return;
     }
-    next_request_ = now + kAskAgain * max_extension_s_;
-    for (const auto& [node, sibling] : peers_) {
-        if (!sibling.in_flight) {
-            request_extension(now, complete_to, node, cancelled);
+    next_request_ = now + kRequestInterval * max_extension_s_;
+    for (const auto& [node, peer] : peers_) {
+        if (!peer.in_flight) {
+            request_extension(now, known_until, node, cancelled);
         }
     }
 }
 
-void LeaseExtender::request_extension(Time now, Time complete_to, const std::string& node,
+void LeaseExtender::request_extension(Time now, Time known_until, const std::string& node,
                                       const OnCancelled& cancelled) {
     peers_.at(node).in_flight = true;
     LeaseExtensionRequest request;
     request.partition = home_partition_;
     request.term = lease_.leads(home_partition_) ? lease_.term(home_partition_) : 0;
     request.duration_s = max_extension_s_;
-    request.cancellations_age_s = std::max(0.0, now - complete_to);
+    request.cancellations_age_s = std::max(0.0, now - known_until);
     request.quota_revision = quotas_.revision();
     requests_.send(LeaseExtensionCall{node, request}, [this, node, request, cancelled, sent = now](
                                                           Time at, OutboundResponse& response) {
-        Peer& sibling = peers_.at(node);
-        sibling.in_flight = false;
-        if (response.status != 200 || !response.lease_extension) {
-            return;
+        Peer& peer = peers_.at(node);
+        peer.in_flight = false;
+        if (response.status == 200 && response.lease_extension) {
+            on_response(at, sent, peer, request, *response.lease_extension, cancelled);
         }
-        for (const auto& change : response.lease_extension->quota_changes) { // promised or not
-            quotas_.apply(at, change);
-        }
-        sibling.responded_at = at;
-        sibling.store_reachable = response.lease_extension->store_reachable;
-        bool current = request.term != 0 && lease_.leads(home_partition_) &&
-                       lease_.term(home_partition_) == request.term;
-        // It looked back by one lease more than it was asked to, for what came late.
-        if (!response.lease_extension->granted || !current || at - sent > lease_s_) {
-            return;
-        }
-        for (const auto& job : response.lease_extension->cancelled_jobs) {
-            cancelled(at, job);
-        }
-        if (sibling.term != request.term) {
-            sibling.term = request.term;
-            sibling.extended_until = 0;
-            sibling.cancellations_known_until = -1;
-        }
-        sibling.cancellations_known_until = std::max(sibling.cancellations_known_until, sent);
-        // Its clock began to count when the question came, after it was sent.
-        sibling.extended_until =
-            std::max(sibling.extended_until, sent + request.duration_s * (1 - kMaxClockDrift));
-        update_extension();
     });
 }
 
-// The earliest end of the promises of all siblings, each for the claim as it stands.
+void LeaseExtender::on_response(Time now, Time sent, Peer& peer,
+                                const LeaseExtensionRequest& request,
+                                const LeaseExtensionResponse& response,
+                                const OnCancelled& cancelled) {
+    for (const auto& change : response.quota_changes) { // granted or not
+        quotas_.apply(now, change);
+    }
+    peer.responded_at = now;
+    peer.store_reachable = response.store_reachable;
+    bool current = request.term != 0 && lease_.leads(home_partition_) &&
+                   lease_.term(home_partition_) == request.term;
+    // The peer looked back by one worker lease more than it was asked to, for what came late; a
+    // response that took longer than that may leave out a cancellation.
+    if (!response.granted || !current || now - sent > lease_s_) {
+        return;
+    }
+    for (const auto& job : response.cancelled_jobs) {
+        cancelled(now, job);
+    }
+    if (peer.term != request.term) {
+        peer.term = request.term;
+        peer.extended_until = 0;
+        peer.cancellations_known_until = kNeverKnown;
+    }
+    peer.cancellations_known_until = std::max(peer.cancellations_known_until, sent);
+    // The peer's clock began to count when the request arrived, which was after it was sent.
+    peer.extended_until =
+        std::max(peer.extended_until, sent + request.duration_s * (1 - kMaxClockDrift));
+    update_extension();
+}
+
+// The lease is extended until the earliest end of the extensions of all peers, each granted for the
+// present term.
 void LeaseExtender::update_extension() {
     std::uint64_t term = lease_.term(home_partition_);
     Time until = peers_.empty() ? 0 : peers_.begin()->second.extended_until;
-    for (const auto& [node, sibling] : peers_) {
-        until = sibling.term == term ? std::min(until, sibling.extended_until) : 0;
+    for (const auto& [node, peer] : peers_) {
+        until = peer.term == term ? std::min(until, peer.extended_until) : 0;
     }
     lease_.extend(home_partition_, until);
 }
 
 Time LeaseExtender::cancellations_known_until(std::uint64_t term) const {
-    Time to = peers_.empty() ? -1 : peers_.begin()->second.cancellations_known_until;
-    for (const auto& [node, sibling] : peers_) {
-        to = sibling.term == term ? std::min(to, sibling.cancellations_known_until) : -1;
+    Time until = peers_.empty() ? kNeverKnown : peers_.begin()->second.cancellations_known_until;
+    for (const auto& [node, peer] : peers_) {
+        until = peer.term == term ? std::min(until, peer.cancellations_known_until) : kNeverKnown;
     }
-    return to;
+    return until;
 }
 
-std::pair<bool, bool> LeaseExtender::recent_peers(Time now) const {
-    bool any = false;
-    bool reaches = false;
-    for (const auto& [node, sibling] : peers_) {
-        bool late = sibling.responded_at < 0 ||
-                    now - sibling.responded_at > kLately * heartbeat_interval_s_;
-        any = any || !late;
-        reaches = reaches || (!late && sibling.store_reachable);
+LeaseExtender::PeerContact LeaseExtender::recent_contact(Time now) const {
+    PeerContact contact;
+    for (const auto& [node, peer] : peers_) {
+        if (peer.responded_at &&
+            now - *peer.responded_at <= kPeerStatusHeartbeats * heartbeat_interval_s_) {
+            contact.any_responded = true;
+            contact.any_reaches_store = contact.any_reaches_store || peer.store_reachable;
+        }
     }
-    return {any, reaches};
+    return contact;
 }
 
-bool LeaseExtender::is_isolated(Time now) const { return recent_peers(now).second; }
+bool LeaseExtender::is_isolated(Time now) const { return recent_contact(now).any_reaches_store; }
 
 bool LeaseExtender::outage_is_cluster_wide(Time now) const {
-    auto [any, reaches] = recent_peers(now);
-    return any && !reaches;
+    PeerContact contact = recent_contact(now);
+    return contact.any_responded && !contact.any_reaches_store;
 }
 
-// ---- As the one who promises ----
+// ---- Granting extensions ----
 
 LeaseExtensionResponse LeaseExtender::handle_request(Time now, const LeaseExtensionRequest& request,
-                                                     bool owns_or_claims, Time started,
-                                                     Time contact) {
+                                                     bool leads_or_campaigns, Time started,
+                                                     std::optional<Time> last_response) {
     LeaseExtensionResponse response;
-    response.store_reachable = store_responsive(now, contact);
+    response.store_reachable = store_responsive(now, last_response);
     response.quota_changes = quotas_.changes_since(request.quota_revision);
-    if (request.term == 0 || response.store_reachable || owns_or_claims ||
+    if (request.term == 0 || response.store_reachable || leads_or_campaigns ||
         request.partition == home_partition_ || request.duration_s > max_extension_s_) {
         return response;
     }
-    // Every user that was told of a cancelled job was told by some node; this one names all that it
-    // has seen since the asking node's knowledge was complete, and one lease more, as the question
-    // may have come late.
+    // Every user that was told of a cancelled job was told by some controller; this one names all
+    // that it has seen since the requester's knowledge was complete, and for one worker lease
+    // before that, as the request may have arrived late.
     Time since = now - request.cancellations_age_s - lease_s_;
     auto cancelled = job_cache_.cancelled_since(since);
     if (started > since || !cancelled) {
@@ -153,7 +164,7 @@
 
 bool LeaseExtender::may_campaign(Time now, int partition, Time started) const {
     if (partition == home_partition_) {
-        return true; // nobody else goes on with it on promises
+        return true; // no other controller leads it under an extension
     }
     auto it = granted_until_.find(partition);
     return now - started > max_extension_s_ * (1 + kMaxClockDrift) &&
--- a/src/core/leadership/partition_map.cpp
+++ b/src/core/leadership/partition_map.cpp
@@ -9,86 +9,115 @@
 namespace scheduler {
 
 namespace {
-constexpr std::string_view kHomeEnd = "/home";
-constexpr std::string_view kSharesEnd = "/shares";
-constexpr int kConditionsPerOp = 4; // of a transaction, by the protocol
+constexpr std::string_view kReclaimSuffix = "/home";
+constexpr std::string_view kShardsSuffix = "/shares";
+// The store's protocol allows this many conditions for each write that a transaction may have.
+constexpr int kConditionsPerWrite = 4;
 } // namespace
 
 PartitionMap::PartitionMap(const ClusterSettings& settings)
     : settings_(settings), partitions_(settings.partitions.size()) {}
 
 std::string PartitionMap::reclaim_key(int partition) {
-    return partition_key(partition) + std::string(kHomeEnd);
+    return partition_key(partition) + std::string(kReclaimSuffix);
 }
 std::string PartitionMap::shards_key(int home) {
-    return partition_key(home) + std::string(kSharesEnd);
+    return partition_key(home) + std::string(kShardsSuffix);
 }
 
-bool PartitionMap::valid(int home, const ShardHoldersRecord& record) const {
+bool PartitionMap::is_valid(int home, const ShardHoldersRecord& record) const {
     return static_cast<int>(record.holders.size()) == shards_per_home(settings_, home) &&
            std::all_of(record.holders.begin(), record.holders.end(),
                        [&](int holder) { return holder >= 0 && holder < count(); });
 }
 
 bool PartitionMap::load(const OutboundResponse& response, OutboundRequests& requests) {
-    std::vector<Partition> partitions(partitions_.size());
-    ShardHolders holders;
-    std::map<int, std::uint64_t> versions;
-    std::map<int, std::uint64_t> fenced;
+    Snapshot next;
+    next.partitions.resize(partitions_.size());
     bool readable = !response.more;
-    auto unreadable = [&](const KeyedRecord& item) {
-        if (std::exchange(logged_unreadable_[item.key], item.version) != item.version) {
-            requests.log(LogLevel::error, "event=record_unreadable key=" + item.key);
-        }
-    };
     for (const auto& item : response.entries) {
-        std::string_view rest = std::string_view(item.key).substr(sizeof(kPrefix) - 1);
-        std::size_t p = partitions.size();
-        auto [end, error] = std::from_chars(rest.data(), rest.data() + rest.size(), p);
-        std::string_view kind(end, static_cast<std::size_t>(rest.data() + rest.size() - end));
-        bool known = error == std::errc() && p < partitions.size();
-        if (known && kind == kSharesEnd) {
-            const auto* record = std::get_if<ShardHoldersRecord>(&item.record);
-            int home = static_cast<int>(p);
-            versions[home] = item.version;
-            if (record && valid(home, *record)) {
-                holders[home] = record->holders;
-            } else {
-                unreadable(item);
-                fenced[home] = item.version;
-            }
-            continue;
-        }
-        const auto* record = std::get_if<PartitionRecord>(&item.record);
-        if (!known || !record || (!kind.empty() && kind != kHomeEnd)) {
-            unreadable(item);
-            readable = readable && !known;
-        } else if (kind == kHomeEnd) {
-            partitions[p].home_reclaims = true;
-        } else {
-            partitions[p].leader = record->node;
-            partitions[p].version = item.version;
-            partitions[p].supports_sharding = record->supports_sharding;
+        if (!load_record(item, next, requests)) {
+            readable = false;
         }
     }
     if (!readable) {
         return false;
     }
+    add_absent_holders(next);
+    partitions_ = std::move(next.partitions);
+    holders_ = std::move(next.holders);
+    versions_ = std::move(next.versions);
+    unreadable_ = std::move(next.unreadable);
+    revision_ = response.revision;
+    return true;
+}
+
+PartitionMap::ParsedKey PartitionMap::parse(std::string_view key) const {
+    std::string_view rest = key.substr(sizeof(kPrefix) - 1);
+    std::size_t number = 0;
+    auto [end, error] = std::from_chars(rest.data(), rest.data() + rest.size(), number);
+    ParsedKey parsed;
+    if (error == std::errc() && number < partitions_.size()) {
+        parsed.partition = number;
+    }
+    parsed.suffix =
+        std::string_view(end, static_cast<std::size_t>(rest.data() + rest.size() - end));
+    return parsed;
+}
+
+bool PartitionMap::load_record(const KeyedRecord& item, Snapshot& next,
+                               OutboundRequests& requests) {
+    ParsedKey key = parse(item.key);
+    if (key.partition && key.suffix == kShardsSuffix) {
+        load_holders(static_cast<int>(*key.partition), item, next, requests);
+        return true;
+    }
+    const auto* record = std::get_if<PartitionRecord>(&item.record);
+    bool known_suffix = key.suffix.empty() || key.suffix == kReclaimSuffix;
+    if (!key.partition || !record || !known_suffix) {
+        log_unreadable(item, requests);
+        return !key.partition; // a key of no partition of ours says nothing of these
+    }
+    Partition& partition = next.partitions[*key.partition];
+    if (key.suffix == kReclaimSuffix) {
+        partition.home_reclaims = true;
+    } else {
+        partition.leader = record->node;
+        partition.version = item.version;
+        partition.supports_sharding = record->supports_sharding;
+    }
+    return true;
+}
+
+void PartitionMap::load_holders(int home, const KeyedRecord& item, Snapshot& next,
+                                OutboundRequests& requests) {
+    const auto* record = std::get_if<ShardHoldersRecord>(&item.record);
+    next.versions[home] = item.version;
+    if (record && is_valid(home, *record)) {
+        next.holders[home] = record->holders;
+    } else {
+        log_unreadable(item, requests);
+        next.unreadable[home] = item.version;
+    }
+}
+
+void PartitionMap::log_unreadable(const KeyedRecord& item, OutboundRequests& requests) {
+    if (std::exchange(logged_unreadable_[item.key], item.version) != item.version) {
+        requests.log(LogLevel::error, "event=record_unreadable key=" + item.key);
+    }
+}
+
+void PartitionMap::add_absent_holders(Snapshot& next) const {
     for (int home = 0; home < count(); ++home) {
-        if (fenced.contains(home)) {
+        if (next.unreadable.contains(home)) {
             if (auto before = holders_.find(home); before != holders_.end()) {
-                holders[home] = before->second; // nobody can have changed it validly since
+                next.holders[home] = before->second; // nobody can have changed it validly since
             }
-        } else if (!holders.contains(home)) {
-            holders[home].assign(static_cast<std::size_t>(shards_per_home(settings_, home)), home);
+        } else if (!next.holders.contains(home)) {
+            auto shards = static_cast<std::size_t>(shards_per_home(settings_, home));
+            next.holders[home].assign(shards, home);
         }
     }
-    partitions_ = std::move(partitions);
-    holders_ = std::move(holders);
-    versions_ = std::move(versions);
-    unreadable_ = std::move(fenced);
-    revision_ = response.revision;
-    return true;
 }
 
 void PartitionMap::on_elected(int partition, const std::string& node, std::uint64_t version) {
@@ -111,8 +140,8 @@
     return home == holders_.end() ? -1 : home->second[static_cast<std::size_t>(shard.number)];
 }
 
-bool PartitionMap::can_reassign(int txn_ops) const {
-    bool fits = count() + txn_ops <= kConditionsPerOp * txn_ops;
+bool PartitionMap::can_reassign(int max_writes) const {
+    bool fits = count() + max_writes <= kConditionsPerWrite * max_writes;
     return fits && revision_ > 0 &&
            std::all_of(partitions_.begin(), partitions_.end(),
                        [](const Partition& p) { return p.version == 0 || p.supports_sharding; });
--- /dev/null
+++ b/src/core/local_peer_sync.cpp
@@ -0,0 +1,76 @@
+#include "core/local_peer_sync.h"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+namespace scheduler {
+
+namespace {
+
+// Ids of requests from the network stay below it.
+constexpr RequestId kLocalRequestId = 1ULL << 62;
+
+template <typename T> void append(std::vector<T>& to, std::vector<T>& from) {
+    std::move(from.begin(), from.end(), std::back_inserter(to));
+}
+
+// Moves the response to the local request, if there is one, from `out` into `response`.
+void take_local_response(Outputs& out, OutboundResponse& response) {
+    std::erase_if(out.responses, [&](Response& candidate) {
+        if (candidate.request_id != kLocalRequestId) {
+            return false;
+        }
+        response.status = candidate.status;
+        if (auto* body = std::get_if<PeerSyncResponse>(&candidate.body)) {
+            response.peer_sync = std::move(*body);
+        }
+        return true;
+    });
+}
+
+} // namespace
+
+void LocalPeerSync::collect(Time now, Outputs& out) {
+    drain_leaders(out);
+    while (!pending_.empty()) {
+        LocalRequest local = std::move(pending_.front());
+        pending_.pop_front();
+        deliver(now, local, out);
+    }
+}
+
+void LocalPeerSync::drain_leaders(Outputs& out) {
+    for (auto& [partition, leader] : leaders_) {
+        Outputs own;
+        leader->drain_into(own);
+        for (auto& request : own.requests) {
+            const auto* sync = std::get_if<PeerSyncCall>(&request.body);
+            if (sync && sync->node == node_) {
+                pending_.push_back({partition, std::move(request)});
+            } else {
+                out.requests.push_back(std::move(request));
+            }
+        }
+        append(out.responses, own.responses);
+        append(out.log, own.log);
+    }
+}
+
+// Without a leader of the callee's partition the caller gets a response of status 0.
+void LocalPeerSync::deliver(Time now, const LocalRequest& local, Outputs& out) {
+    const PeerSyncRequest& sync = std::get<PeerSyncCall>(local.request.body).sync;
+    OutboundResponse response;
+    response.request_id = local.request.id;
+    if (auto callee = leaders_.find(sync.to_partition); callee != leaders_.end()) {
+        callee->second->handle_peer_sync(now, kLocalRequestId, sync);
+        drain_leaders(out);
+        take_local_response(out, response);
+    }
+    if (auto caller = leaders_.find(local.from_partition); caller != leaders_.end()) {
+        caller->second->handle_response(now, response);
+        drain_leaders(out);
+    }
+}
+
+} // namespace scheduler
--- /dev/null
+++ b/src/core/local_peer_sync.h
@@ -0,0 +1,39 @@
+// Delivers peer syncs between two partitions that this controller leads itself, without the
+// network.
+#pragma once
+
+#include <deque>
+#include <map>
+#include <memory>
+#include <string>
+
+#include "core/partition_leader.h"
+
+namespace scheduler {
+
+// The leaders of the partitions that this controller leads, by partition.
+using PartitionLeaderMap = std::map<int, std::unique_ptr<PartitionLeader>>;
+
+class LocalPeerSync {
+  public:
+    LocalPeerSync(const std::string& node, PartitionLeaderMap& leaders)
+        : node_(node), leaders_(leaders) {}
+
+    // Appends the outputs of all leaders to `out`. Requests from one of them to another are carried
+    // out at once, and what they lead to is appended as well.
+    void collect(Time now, Outputs& out);
+
+  private:
+    struct LocalRequest {
+        int from_partition = 0;
+        OutboundRequest request;
+    };
+    void drain_leaders(Outputs& out);
+    void deliver(Time now, const LocalRequest& local, Outputs& out);
+
+    const std::string& node_;
+    PartitionLeaderMap& leaders_;
+    std::deque<LocalRequest> pending_; // empty between two calls of `collect`
+};
+
+} // namespace scheduler
--- /dev/null
+++ b/src/core/partition_leaders.h
@@ -0,0 +1,55 @@
+// The leaders of all partitions that this controller leads, and what is asked or told of all of
+// them. Every loop runs in the order of the partitions' numbers.
+#pragma once
+
+#include <map>
+#include <memory>
+
+#include "core/local_peer_sync.h"
+#include "core/partition_leader.h"
+
+namespace scheduler {
+
+class PartitionLeaders {
+  public:
+    // `node`: this controller's name.
+    explicit PartitionLeaders(const std::string& node) : local_peer_sync_(node, leaders_) {}
+    PartitionLeaders(const PartitionLeaders&) = delete;
+    PartitionLeaders& operator=(const PartitionLeaders&) = delete;
+
+    void add(int partition, std::unique_ptr<PartitionLeader> leader) {
+        leaders_[partition] = std::move(leader);
+    }
+    void remove(int partition) { leaders_.erase(partition); }
+    // Null: the partition is not led here.
+    PartitionLeader* find(int partition) const;
+    // The first leader whose partition is `holder`, which the partition map names for the shard, or
+    // that owns the shard already. Null: neither is led here.
+    PartitionLeader* find_for_shard(const ShardId& shard, int holder) const;
+    // The shards that the partition holds; empty when it is not led here.
+    std::vector<ShardId> shards(int partition) const;
+    // Partitions whose leader found that its leadership has ended.
+    std::vector<int> deposed() const;
+
+    // See PartitionLeader for each of these.
+    void tick(Time now, double cpu_headroom, bool may_move);
+    void cancel_job(Time now, const std::string& job);
+    void apply_quota(Time now, const TeamQuota& quota);
+    void on_map_updated(Time now);
+    void worker_responded();
+    bool handle_response(Time now, OutboundResponse& response);
+    bool task_counts(const std::string& job, std::uint32_t& done, std::uint32_t& running) const;
+    std::uint64_t effort() const;
+    std::size_t reporting_count() const;
+    // The most that any leader has found.
+    int unresponsive_workers() const;
+
+    // Appends what all leaders put out; see LocalPeerSync.
+    void collect(Time now, Outputs& out) { local_peer_sync_.collect(now, out); }
+
+  private:
+    PartitionLeaderMap leaders_;
+    LocalPeerSync local_peer_sync_;
+};
+
+} // namespace scheduler
