--- a/src/core/jobs/job_persistence.cpp
+++ b/src/core/jobs/job_persistence.cpp
@@ -15,22 +15,6 @@
 }
 } // namespace
 
-// Machines that have come onto the roster may be used.
-void PartitionLeader::on_machines_registered(Time now, const OutboundResponse& response,
-                                             const std::vector<std::string>& names) {
-    leadership_.committed(requests_, response, "roster");
-    for (const auto& name : names) {
-        if (Machine* machine = machines_.find(name)) {
-            machine->registered = true;
-            update_slot_lists(*machine);
-        }
-    }
-    if (!names.empty()) {
-        schedule(now);
-        send_commands(now);
-    }
-}
-
 // A transaction without an answer may be carried out after newer ones of this claim, so each chunk
 // is written over the version that it has now, and only while its job is open: an older set of bits
 // never replaces a newer one whose tasks have been cleared, and none comes back after the job's
@@ -164,49 +148,4 @@
                             });
 }
 
-void PartitionLeader::cancel_job(Time now, const std::string& id) {
-    if (loaded_ && !jobs_.find(id)) {
-        jobs_.record_outcome(
-            id, Outcome::cancelled); // its guests here are to stop, and it never starts
-    } else if (jobs_.cancel(id)) {
-        requests_.log(LogLevel::info, "event=job_cancelled job=" + id);
-        borrower_.stop_job(id, 0);                // on other parts' machines, by their owners
-        for (auto& [name, m] : machines_.all()) { // starts that are not out yet never go out
-            for (const auto& g : machines_.cancel_queued_starts(m, &id)) {
-                quotas_.remove_usage(g.placement.team, g.placement.cpus, g.placement.gpus);
-                jobs_.mark_waiting(*jobs_.find(id), g.task.index, m.zone);
-                update_slot_lists(m);
-            }
-            stop_at_once(m, id);
-        }
-        send_commands(now);
-    }
-    forget_if_over(id);
-}
-
-// A task whose image is still on its way would start before the next report brings its stop.
-void PartitionLeader::stop_at_once(Machine& machine, const std::string& job) {
-    for (auto it = machine.tasks.lower_bound({job, 0});
-         it != machine.tasks.end() && it->first.job == job; ++it) {
-        if (leadership_.is_own_attempt(it->second.attempt)) {
-            machines_.queue_stop(machine, it->first, it->second.attempt, 0);
-        }
-    }
-}
-
-// The order may point to the job.
-void PartitionLeader::drop_job(const std::string& id) {
-    queue_.clear();
-    gangs_.on_attempt_gone(id);
-    jobs_.drop(id);
-}
-
-void PartitionLeader::forget_if_over(const std::string& id) {
-    Job* job = jobs_.find(id);
-    if (job && reconciled_ && job->outcome == Outcome::cancelled && job->placed == 0) {
-        jobs_.record_outcome(id, Outcome::cancelled);
-        drop_job(id);
-    }
-}
-
 } // namespace scheduler
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -53,7 +53,23 @@
     load_records(now, kJobPrefix, "");
 }
 
-// ---- Reports ----
+// ---- Heartbeats ----
+
+// Machines that the registry has recorded durably may run tasks from now on.
+void PartitionLeader::on_machines_registered(Time now, const OutboundResponse& response,
+                                             const std::vector<std::string>& names) {
+    leadership_.committed(requests_, response, "roster");
+    for (const auto& name : names) {
+        if (Machine* machine = machines_.find(name)) {
+            machine->registered = true;
+            update_slot_lists(*machine);
+        }
+    }
+    if (!names.empty()) {
+        schedule(now);
+        send_commands(now);
+    }
+}
 
 void PartitionLeader::handle_heartbeat(Time now, RequestId request_id, const Heartbeat& heartbeat) {
     const InstanceType* type = instance_types_.find(heartbeat.type);
@@ -489,6 +505,87 @@
     lender_.handle_sync(now, request_id, request);
 }
 
+// ---- Cancellation and end of jobs ----
+
+void PartitionLeader::cancel_job(Time now, const std::string& id) {
+    if (loaded_ && !jobs_.find(id)) {
+        // Its remote tasks here are to stop, and it never starts.
+        jobs_.record_outcome(id, Outcome::cancelled);
+    } else if (jobs_.cancel(id)) {
+        requests_.log(LogLevel::info, "event=job_cancelled job=" + id);
+        borrower_.stop_job(id, 0); // on other partitions' machines, by their leaders
+        // Starts that have not been sent yet are never sent.
+        for (auto& [name, m] : machines_.all()) {
+            for (const auto& g : machines_.cancel_queued_starts(m, &id)) {
+                quotas_.remove_usage(g.placement.team, g.placement.cpus, g.placement.gpus);
+                jobs_.mark_waiting(*jobs_.find(id), g.task.index, m.zone);
+                update_slot_lists(m);
+            }
+            stop_at_once(m, id);
+        }
+        send_commands(now);
+    }
+    forget_if_over(id);
+}
+
+// A task whose image is still being fetched would start before the next heartbeat's response
+// brings its stop.
+void PartitionLeader::stop_at_once(Machine& machine, const std::string& job) {
+    for (auto it = machine.tasks.lower_bound({job, 0});
+         it != machine.tasks.end() && it->first.job == job; ++it) {
+        if (leadership_.is_own_attempt(it->second.attempt)) {
+            machines_.queue_stop(machine, it->first, it->second.attempt, 0);
+        }
+    }
+}
+
+// The pending queue may point to the job.
+void PartitionLeader::drop_job(const std::string& id) {
+    queue_.clear();
+    gangs_.on_attempt_gone(id);
+    jobs_.drop(id);
+}
+
+void PartitionLeader::forget_if_over(const std::string& id) {
+    Job* job = jobs_.find(id);
+    if (job && reconciled_ && job->outcome == Outcome::cancelled && job->placed == 0) {
+        jobs_.record_outcome(id, Outcome::cancelled);
+        drop_job(id);
+    }
+}
+
+// ---- Quota configuration ----
+
+void PartitionLeader::apply_quota(Time now, const TeamQuota& quota) {
+    quotas_.configure(quota, quota_config_.is_blocked(quota.name));
+    if (!own_teams_.contains(quota.name)) {
+        return; // another partition's team: its usage is counted there
+    }
+    mark_over_guarantee(quota.name);
+    queue_.invalidate();
+    demand_.invalidate();
+    if (!loaded_ || !leadership_.is_active(now)) {
+        return;
+    }
+    evict_over_quota(now);
+    schedule(now);
+    retry_preemption(now);
+    send_commands(now);
+    borrower_.sync_soon();
+    borrower_.sync_due_peers(now);
+}
+
+// Whether the configuration that earlier leaders applied is known, and recent enough to start tasks
+// by.
+void PartitionLeader::refresh_quota_config(Time now) {
+    if (bool known = quota_config_.is_known(now, leadership_.since());
+        known != quota_config_known_) {
+        quota_config_known_ = known;
+        quotas_.set_known(known);
+        queue_.invalidate();
+    }
+}
+
 // ---- Figures ----
 
 // Where this part's slots are, and what waits: one line now and then.
--- a/src/core/scheduling/quota_eviction.cpp
+++ b/src/core/scheduling/quota_evictor.cpp
@@ -7,35 +7,6 @@
 
 namespace scheduler {
 
-void PartitionLeader::apply_quota(Time now, const TeamQuota& quota) {
-    quotas_.configure(quota, quota_config_.is_blocked(quota.name));
-    if (!own_teams_.contains(quota.name)) {
-        return; // another part's: its work is counted there
-    }
-    mark_over_guarantee(quota.name);
-    queue_.invalidate();
-    demand_.invalidate();
-    if (!loaded_ || !leadership_.is_active(now)) {
-        return;
-    }
-    evict_over_quota(now);
-    schedule(now);
-    retry_preemption(now);
-    send_commands(now);
-    borrower_.sync_soon();
-    borrower_.sync_due_peers(now);
-}
-
-// Is the configuration known that owners before us had in force, and new enough to start tasks by?
-void PartitionLeader::refresh_quota_config(Time now) {
-    if (bool known = quota_config_.is_known(now, leadership_.since());
-        known != quota_config_known_) {
-        quota_config_known_ = known;
-        quotas_.set_known(known);
-        queue_.invalidate();
-    }
-}
-
 // Which tasks run beyond the team's guarantee as it is now: those that count first are within it.
 void PartitionLeader::mark_over_guarantee(const std::string& team) {
     const TeamQuota& quota = *quotas_.quota(team);
