--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -41,6 +41,7 @@
                      planner_,
                      {machines_, slots_, registry_, reconciliation_, lender_, borrower_, demand_},
                      requests_, *this),
+      job_persistence_(leadership_, settings_, jobs_, job_cache_, requests_, *this),
       staleness_(settings_) {
     for (const auto& [team, its_part] : partitions_of_teams(settings_)) {
         quotas_.configure(*quota_config_.team(team), quota_config_.is_blocked(team));
@@ -214,7 +215,7 @@
         jobs_.mark_done(*job, task.index);
         job->failures = 0;
         if (job->complete()) {
-            finish_job(now, *job);
+            job_persistence_.finish_job(now, *job);
         }
     } else if (why == ExitReason::error || why == ExitReason::unknown) {
         requests_.log(LogLevel::info,
@@ -444,7 +445,7 @@
 void PartitionLeader::on_found_done(Time now, Job& job, std::uint32_t task) {
     jobs_.mark_done(job, task);
     if (job.complete()) {
-        finish_job(now, job);
+        job_persistence_.finish_job(now, job);
     }
 }
 
@@ -507,6 +508,23 @@
 
 // ---- Cancellation and end of jobs ----
 
+void PartitionLeader::on_completion_durable(const std::string& id) {
+    if (const Job* job = jobs_.find(id)) {
+        queue_.on_job_done(job->spec);
+    }
+    jobs_.record_outcome(id, Outcome::done);
+    drop_job(id);
+}
+
+void PartitionLeader::on_outcome_found(Time now, const std::string& id, Outcome outcome) {
+    if (outcome == Outcome::cancelled) {
+        cancel_job(now, id);
+    } else if (outcome == Outcome::done) {
+        jobs_.record_outcome(id, Outcome::done);
+        drop_job(id);
+    }
+}
+
 void PartitionLeader::cancel_job(Time now, const std::string& id) {
     if (loaded_ && !jobs_.find(id)) {
         // Its remote tasks here are to stop, and it never starts.
@@ -675,12 +693,10 @@
     watch_jobs(now);
     for (const auto& [id, job] : jobs_.all()) {
         if (job->open() && job->complete()) {
-            finish_job(now, *job);
+            job_persistence_.finish_job(now, *job);
         }
     }
-    if (now >= next_persist_) {
-        persist_completed_tasks(now);
-    }
+    job_persistence_.persist_completed_tasks(now);
     autoscaler_.list_instances(now);
     if (now >= next_stats_) {
         next_stats_ = now + 2 * settings_.heartbeat_interval_s;
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "core/autoscaling/autoscaler.h"
-#include "core/jobs/job_record_cache.h"
+#include "core/jobs/job_persistence.h"
 #include "core/leadership/staleness_bound.h"
 #include "core/partition_tables.h"
 #include "core/quotas/quota_config.h"
@@ -23,7 +23,8 @@
                         SlotLender::Delegate,
                         SlotBorrower::Delegate,
                         ShardManager::Delegate,
-                        InventoryRelay::Delegate {
+                        InventoryRelay::Delegate,
+                        JobPersistence::Delegate {
   public:
     PartitionLeader(Time now, int partition, const ClusterSettings& settings,
                     const SchedulingPolicy& policy, const LeadershipLease& lease,
@@ -155,13 +156,11 @@
     std::vector<EvictionCandidate> eviction_candidates(const std::string& team);
     void mark_over_guarantee(const std::string& team);
 
-    // Durable writes.
+    // Jobs and machines whose record has become durable or has changed.
     void on_machines_registered(Time now, const OutboundResponse& response,
                                 const std::vector<std::string>& names);
-    void persist_completed_tasks(Time now);
-    void finish_job(Time now, Job& job);
-    void reread_job(Time now, const std::string& id);
-    void reread_chunk(Time now, const std::string& id, std::uint32_t chunk);
+    void on_completion_durable(const std::string& id) override;
+    void on_outcome_found(Time now, const std::string& id, Outcome outcome) override;
     void stop_at_once(Machine& machine, const std::string& job);
     void forget_if_over(const std::string& id);
     void drop_job(const std::string& id);
@@ -209,6 +208,7 @@
     SlotBorrower borrower_;
     InventoryRelay inventory_relay_;
     ShardManager shard_manager_;
+    JobPersistence job_persistence_;
     int commands_in_flight_ = 0; // direct commands under way
     mutable std::uint64_t effort_ = 0;
     std::optional<GangReservation> gang_reservation_;
@@ -227,9 +227,7 @@
     bool was_fresh_ = true;           // at the last tick
     bool quota_config_known_ = false; // as well
     Time loading_since_ = 0;          // the reading of all jobs that is under way was sent then
-    bool persisting_ = false;
     Time next_stats_ = 0;
-    Time next_persist_ = 0;
     Time next_watch_ = 0;
 };
 
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -305,7 +305,7 @@
         jobs_.mark_done(job, mate);
     }
     if (job.complete() && job.open()) {
-        finish_job(now, job);
+        job_persistence_.finish_job(now, job);
     }
 }
 
