--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -42,6 +42,8 @@
                      {machines_, slots_, registry_, reconciliation_, lender_, borrower_, demand_},
                      requests_, *this),
       job_persistence_(leadership_, settings_, jobs_, job_cache_, requests_, *this),
+      quota_evictor_(leadership_, settings_, own_teams_, jobs_, machines_, quotas_, gangs_,
+                     borrower_, requests_, *this),
       staleness_(settings_) {
     for (const auto& [team, its_part] : partitions_of_teams(settings_)) {
         quotas_.configure(*quota_config_.team(team), quota_config_.is_blocked(team));
@@ -579,13 +581,13 @@
     if (!own_teams_.contains(quota.name)) {
         return; // another partition's team: its usage is counted there
     }
-    mark_over_guarantee(quota.name);
+    quota_evictor_.mark_over_guarantee(quota.name);
     queue_.invalidate();
     demand_.invalidate();
     if (!loaded_ || !leadership_.is_active(now)) {
         return;
     }
-    evict_over_quota(now);
+    quota_evictor_.evict_over_quota(now);
     schedule(now);
     retry_preemption(now);
     send_commands(now);
@@ -678,7 +680,7 @@
                                           " partition=" + std::to_string(leadership_.partition()));
     }
     refresh_quota_config(now);
-    evict_over_quota(now);
+    quota_evictor_.evict_over_quota(now);
     expire_leases(now);
     lender_.fence_lent_slots(now);
     reconciliation_.probe_due();
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -13,6 +13,7 @@
 #include "core/partition_tables.h"
 #include "core/quotas/quota_config.h"
 #include "core/recovery/inventory_relay.h"
+#include "core/scheduling/quota_evictor.h"
 #include "core/sharding/shard_manager.h"
 
 namespace scheduler {
@@ -24,7 +25,8 @@
                         SlotBorrower::Delegate,
                         ShardManager::Delegate,
                         InventoryRelay::Delegate,
-                        JobPersistence::Delegate {
+                        JobPersistence::Delegate,
+                        QuotaEvictor::Delegate {
   public:
     PartitionLeader(Time now, int partition, const ClusterSettings& settings,
                     const SchedulingPolicy& policy, const LeadershipLease& lease,
@@ -53,7 +55,9 @@
     // A worker has reported to this node.
     void worker_responded() { requests_.worker_responded(); }
     // Machines and jobs looked at so far: what grows with the fleet must not grow with each report.
-    std::uint64_t effort() const { return effort_ + lender_.effort() + demand_.effort(); }
+    std::uint64_t effort() const {
+        return effort_ + lender_.effort() + demand_.effort() + quota_evictor_.effort();
+    }
     // The owner of another part asks for slots for its tasks, as the owner of their jobs.
     void handle_peer_sync(Time now, RequestId request_id, const PeerSyncRequest& request);
     // Tasks done and running of an open job, for display.
@@ -91,7 +95,7 @@
     void adopt_own(Time now, Machine& machine, const TaskStatus& task);
     void stop_cancelled(const Heartbeat& heartbeat, std::vector<WorkerCommand>& out) const;
     void add_corrective_commands(Machine& machine, std::vector<WorkerCommand>& out);
-    void send_commands(Time now);
+    void send_commands(Time now) override;
     void expire_leases(Time now);
     void log_stats(Time now);
 
@@ -137,24 +141,7 @@
     void retry_preemption(Time now);
     void expire_reservations(Time now);
 
-    // Work beyond a limit that was lowered (shedding.cpp).
-    struct EvictionCandidate { // what may be stopped: a task, or all of a gang
-        enum class Loss { saving_time, run_time, all_run_time } loss = Loss::run_time;
-        Time job_since = 0; // that its job is known
-        double cpus = 0;
-        double gpus = 0;
-        TaskId task;
-        bool gang = false;
-        Machine* machine = nullptr; // none: another part's
-        std::uint64_t attempt = 0;
-        double grace_s = 0;
-    };
     void refresh_quota_config(Time now);
-    void evict_over_quota(Time now);
-    void evict_over_quota(Time now, const std::string& team);
-    void stop_unreached_directly(Time now);
-    std::vector<EvictionCandidate> eviction_candidates(const std::string& team);
-    void mark_over_guarantee(const std::string& team);
 
     // Jobs and machines whose record has become durable or has changed.
     void on_machines_registered(Time now, const OutboundResponse& response,
@@ -191,13 +178,6 @@
 
     const QuotaConfig& quota_config_; // the node's
     std::set<std::string> own_teams_;
-    struct PendingEviction { // told to stop for a limit
-        Time retry_at = 0;   // not gone by then, it is told again
-        Time direct_stop_at =
-            0; // another part's machine is told by us, if its owner has not heard by then
-        double grace_s = 0;
-    };
-    std::map<TaskId, PendingEviction> pending_evictions_;
     JobRecordCache& job_cache_; // the node's, told of each job record that this owner sees
     MachineRegistry registry_;
     PendingQueue queue_;
@@ -209,6 +189,7 @@
     InventoryRelay inventory_relay_;
     ShardManager shard_manager_;
     JobPersistence job_persistence_;
+    QuotaEvictor quota_evictor_;
     int commands_in_flight_ = 0; // direct commands under way
     mutable std::uint64_t effort_ = 0;
     std::optional<GangReservation> gang_reservation_;
--- a/src/core/quotas/quota_ledger.cpp
+++ b/src/core/quotas/quota_ledger.cpp
@@ -49,7 +49,7 @@
     return sum;
 }
 
-std::pair<double, double> QuotaLedger::excess(const std::string& team) const {
+QuotaLedger::Excess QuotaLedger::excess(const std::string& team) const {
     auto it = quotas_.find(team);
     if (it == quotas_.end()) {
         return {0, 0};
@@ -61,10 +61,10 @@
     return {beyond(t.cpus, t.quota.max_cpus), beyond(t.gpus, t.quota.max_gpus)};
 }
 
-std::vector<std::string> QuotaLedger::excess() const {
+std::vector<std::string> QuotaLedger::teams_over_limit() const {
     std::vector<std::string> out;
     for (const auto& [name, t] : quotas_) {
-        if (excess(name) != std::pair(0.0, 0.0)) {
+        if (excess(name).any()) {
             out.push_back(name);
         }
     }
--- a/src/core/quotas/quota_ledger.h
+++ b/src/core/quotas/quota_ledger.h
@@ -16,12 +16,17 @@
     double total_guarantee() const;
     // Whether the limits are known at all: nothing fits while they are not.
     void set_known(bool known) { known_ = known; }
-    // What the team's known tasks use beyond its limit: CPUs and GPUs; 0: nothing. Doubtful ones
-    // are left out: all unfinished tasks of older jobs are in doubt after a takeover, far more than
-    // ran.
-    std::pair<double, double> excess(const std::string& team) const;
-    // Teams that use more than their limit.
-    std::vector<std::string> excess() const;
+    // What is used beyond a limit; 0 or less: nothing.
+    struct Excess {
+        double cpus = 0;
+        double gpus = 0;
+
+        bool any() const { return cpus > 0 || gpus > 0; }
+    };
+    // What the team's known tasks use beyond its limit. Doubtful ones are left out: all unfinished
+    // tasks of older jobs are in doubt after a failover, far more than ran.
+    Excess excess(const std::string& team) const;
+    std::vector<std::string> teams_over_limit() const;
     bool fits(const std::string& team, double cpus, double gpus) const;
     bool within_guarantee(const std::string& team, double cpus, double gpus) const;
     // What the team can count on, in its own measure: its guarantee, or what it has beyond that.
--- a/src/core/scheduling/quota_evictor.cpp
+++ b/src/core/scheduling/quota_evictor.cpp
@@ -1,159 +1,203 @@
-// A team that uses more than its limit, which was lowered under it: what is over goes by orderly
-// stops, least loss first. See "quota" in docs/configuration.md.
+/// See quota_evictor.h.
+#include "core/scheduling/quota_evictor.h"
+
 #include <algorithm>
+#include <tuple>
 #include <utility>
 
-#include "core/partition_leader.h"
-
 namespace scheduler {
 
-// Which tasks run beyond the team's guarantee as it is now: those that count first are within it.
-void PartitionLeader::mark_over_guarantee(const std::string& team) {
+QuotaEvictor::QuotaEvictor(const Leadership& leadership, const ClusterSettings& settings,
+                           const std::set<std::string>& own_teams, JobStore& jobs,
+                           MachineTable& machines, const QuotaLedger& quotas,
+                           const GangTracker& gangs, SlotBorrower& borrower,
+                           OutboundRequests& requests, Delegate& delegate)
+    : leadership_(leadership), settings_(settings), own_teams_(own_teams), jobs_(jobs),
+      machines_(machines), quotas_(quotas), gangs_(gangs), borrower_(borrower), requests_(requests),
+      delegate_(delegate) {}
+
+void QuotaEvictor::mark_over_guarantee(const std::string& team) {
     const TeamQuota& quota = *quotas_.quota(team);
     double cpus = 0;
     double gpus = 0;
-    for (auto& [name, m] : machines_.all()) {
-        for (auto& [task, p] : m.tasks) {
-            if (p.team == team && leadership_.is_own_attempt(p.attempt)) {
-                cpus += p.cpus;
-                gpus += p.gpus;
-                p.over_guarantee = !quota.guarantees(cpus, gpus);
+    for (auto& [name, machine] : machines_.all()) {
+        for (auto& [task, placement] : machine.tasks) {
+            if (placement.team == team && leadership_.is_own_attempt(placement.attempt)) {
+                cpus += placement.cpus;
+                gpus += placement.gpus;
+                placement.over_guarantee = !quota.guarantees(cpus, gpus);
             }
         }
     }
 }
 
-void PartitionLeader::evict_over_quota(Time now) {
-    std::erase_if(pending_evictions_, [&](const auto& s) {
-        const Job* job = jobs_.find(s.first.job);
-        return now >= s.second.retry_at || !job || job->tasks[s.first.index] != TaskState::placed;
-    });
-    for (const auto& team : quotas_.excess()) {
+void QuotaEvictor::evict_over_quota(Time now) {
+    forget_ended(now);
+    for (const auto& team : quotas_.teams_over_limit()) {
         if (own_teams_.contains(team)) {
-            evict_over_quota(now, team);
+            evict_team(now, team);
         }
     }
     stop_unreached_directly(now);
 }
 
-// Guests of owners whom our calls do not reach would stay for as long as these renew their leases.
-void PartitionLeader::stop_unreached_directly(Time now) {
-    int most =
-        settings_.max_concurrent_commands / 2; // a step; starts have their share of the sockets
-    for (auto& [task, going] : pending_evictions_) {
-        if (most > 0 && now >= going.direct_stop_at &&
-            borrower_.stop_directly(task, going.grace_s)) {
-            going.direct_stop_at = now + settings_.heartbeat_interval_s;
+void QuotaEvictor::forget_ended(Time now) {
+    std::erase_if(pending_evictions_, [&](const auto& entry) {
+        const auto& [task, eviction] = entry;
+        const Job* job = jobs_.find(task.job);
+        return now >= eviction.retry_at || !job || job->tasks[task.index] != TaskState::placed;
+    });
+}
+
+// Remote tasks on machines whose leaders our requests do not reach would stay for as long as these
+// renew the machines' leases.
+void QuotaEvictor::stop_unreached_directly(Time now) {
+    // In one step; starts have their share of the sockets.
+    int most = settings_.max_concurrent_commands / 2;
+    for (auto& [task, eviction] : pending_evictions_) {
+        if (most > 0 && now >= eviction.direct_stop_at &&
+            borrower_.stop_directly(task, eviction.grace_s)) {
+            eviction.direct_stop_at = now + settings_.heartbeat_interval_s;
             --most;
         }
     }
 }
 
-void PartitionLeader::evict_over_quota(Time now, const std::string& team) {
-    auto [cpus, gpus] = quotas_.excess(team);
-    for (const auto& [task, going] : pending_evictions_) { // on their way already
-        const JobSpec& spec = jobs_.find(task.job)->spec;
-        if (spec.team == team) {
-            cpus -= spec.cpus;
-            gpus -= spec.gpus;
-        }
-    }
-    if (cpus <= 0 && gpus <= 0) {
+void QuotaEvictor::evict_team(Time now, const std::string& team) {
+    QuotaLedger::Excess excess = remaining_excess(team);
+    if (!excess.any()) {
         return;
     }
-    std::vector<EvictionCandidate> all = eviction_candidates(team);
-    // How long a task on another part's machine has run is that owner's to know, and it chose the
-    // attempt's number too: so those of the youngest jobs go first.
-    std::sort(all.begin(), all.end(), [](const EvictionCandidate& a, const EvictionCandidate& b) {
-        return std::tie(a.loss, b.job_since, a.task) < std::tie(b.loss, a.job_since, b.task);
-    });
+    std::vector<EvictionCandidate> candidates = eviction_candidates(team);
+    std::sort(candidates.begin(), candidates.end());
     std::size_t stopped = 0;
-    for (const EvictionCandidate& s : all) {
-        if (cpus <= 0 && gpus <= 0) {
+    for (const EvictionCandidate& candidate : candidates) {
+        if (!excess.any()) {
             break;
         }
-        if ((cpus <= 0 || s.cpus <= 0) && (gpus <= 0 || s.gpus <= 0)) {
-            continue; // it frees nothing of what is over
-        }
-        cpus -= s.cpus;
-        gpus -= s.gpus;
-        // A silent machine has none of it by then.
-        PendingEviction going{now + s.grace_s + settings_.worker_lease_s,
-                              now + settings_.heartbeat_interval_s / 2, s.grace_s};
-        if (s.gang) {
-            const Job& job = *jobs_.find(s.task.job);
-            for (std::uint32_t i = 0; i < job.spec.tasks; ++i) {
-                if (job.tasks[i] == TaskState::placed) {
-                    pending_evictions_[{s.task.job, i}] = going;
-                }
-            }
-            end_attempt(now, s.task.job, s.grace_s > 0);
-        } else if (pending_evictions_[s.task] = going; s.machine) {
-            machines_.queue_stop(*s.machine, s.task, s.attempt, s.grace_s);
-        } else {
-            borrower_.stop_task(s.task, s.grace_s);
+        bool frees_cpus = excess.cpus > 0 && candidate.cpus > 0;
+        bool frees_gpus = excess.gpus > 0 && candidate.gpus > 0;
+        if (!frees_cpus && !frees_gpus) {
+            continue;
         }
+        excess.cpus -= candidate.cpus;
+        excess.gpus -= candidate.gpus;
+        evict(now, candidate);
         ++stopped;
     }
     if (stopped > 0) {
         requests_.log(LogLevel::info,
                       "event=tasks_evicted team=" + team + " stopped=" + std::to_string(stopped));
-        send_commands(now);
+        delegate_.send_commands(now);
         borrower_.sync_soon();
     }
 }
 
-// What of the team can be stopped now, and what is lost by it.
-std::vector<PartitionLeader::EvictionCandidate>
-PartitionLeader::eviction_candidates(const std::string& team) {
-    std::vector<EvictionCandidate> out;
-    std::set<std::string> gangs;
-    auto add = [&](const TaskId& task, Machine* machine, std::uint64_t attempt) {
-        const Job* job = jobs_.find(task.job);
-        if (!job || !job->open() || job->spec.team != team || pending_evictions_.contains(task)) {
-            return;
+QuotaLedger::Excess QuotaEvictor::remaining_excess(const std::string& team) const {
+    QuotaLedger::Excess excess = quotas_.excess(team);
+    for (const auto& [task, eviction] : pending_evictions_) {
+        const JobSpec& spec = jobs_.find(task.job)->spec;
+        if (spec.team == team) {
+            excess.cpus -= spec.cpus;
+            excess.gpus -= spec.gpus;
         }
-        const JobSpec& spec = job->spec;
-        double save_s = kSaveGraceFactor * spec.save_s;
-        bool saves = spec.checkpoint_s > 0 && save_s <= settings_.worker_lease_s / 2;
-        EvictionCandidate shed;
-        shed.loss =
-            saves ? EvictionCandidate::Loss::saving_time : EvictionCandidate::Loss::run_time;
-        shed.job_since = job->first_seen;
-        shed.task = task;
-        shed.cpus = spec.cpus;
-        shed.gpus = spec.gpus;
-        shed.machine = machine;
-        shed.attempt = attempt;
-        shed.grace_s = saves ? std::max(save_s, settings_.heartbeat_interval_s / 12) : 0;
-        if (spec.kind == JobKind::gang) {
-            const GangTracker::Attempt* a = gangs_.find(task.job);
-            if (!gangs.insert(task.job).second || (a && a->ending)) {
-                return; // whole, once
-            }
-            shed.gang = true;
-            shed.cpus *= job->placed;
-            shed.gpus *= job->placed;
-            if (!saves) {
-                shed.loss = EvictionCandidate::Loss::all_run_time;
+    }
+    return excess;
+}
+
+void QuotaEvictor::evict(Time now, const EvictionCandidate& candidate) {
+    PendingEviction eviction;
+    // By then the lease of an unreachable machine has expired, so that the task is gone there too.
+    eviction.retry_at = now + candidate.grace_s + settings_.worker_lease_s;
+    eviction.direct_stop_at = now + settings_.heartbeat_interval_s / 2;
+    eviction.grace_s = candidate.grace_s;
+    const std::string& id = candidate.task.job;
+    if (candidate.gang) {
+        const Job& job = *jobs_.find(id);
+        for (std::uint32_t index = 0; index < job.spec.tasks; ++index) {
+            if (job.tasks[index] == TaskState::placed) {
+                pending_evictions_[{id, index}] = eviction;
             }
         }
-        out.push_back(shed);
-    };
-    for (auto& [name, m] : machines_.all()) {
+        delegate_.end_attempt(now, id, candidate.grace_s > 0);
+        return;
+    }
+    pending_evictions_[candidate.task] = eviction;
+    if (candidate.machine) {
+        machines_.queue_stop(*candidate.machine, candidate.task, candidate.attempt,
+                             candidate.grace_s);
+    } else {
+        borrower_.stop_task(candidate.task, candidate.grace_s);
+    }
+}
+
+// How long a task on another partition's machine has run is known to that machine's leader only,
+// which chose the attempt's number too: so the tasks of the youngest jobs go first.
+bool QuotaEvictor::EvictionCandidate::operator<(const EvictionCandidate& other) const {
+    return std::tie(loss, other.job_since, task) < std::tie(other.loss, job_since, other.task);
+}
+
+// What of the team can be stopped now.
+std::vector<QuotaEvictor::EvictionCandidate>
+QuotaEvictor::eviction_candidates(const std::string& team) {
+    std::vector<EvictionCandidate> candidates;
+    std::set<std::string> gangs_seen;
+    for (auto& [name, machine] : machines_.all()) {
         ++effort_;
-        for (const auto& [task, p] : m.tasks) {
-            // One that is on its way can be told only when it is listed.
-            if (p.team == team && leadership_.is_own_attempt(p.attempt) &&
-                p.via == Placement::Via::reported && p.stage != TaskStage::saving) {
-                add(task, &m, p.attempt);
+        for (const auto& [task, placement] : machine.tasks) {
+            // A task that is still on its way can be stopped only when the worker reports it.
+            if (placement.team == team && leadership_.is_own_attempt(placement.attempt) &&
+                placement.via == Placement::Via::reported && placement.stage != TaskStage::saving) {
+                add_candidate({task, &machine, placement.attempt}, team, gangs_seen, candidates);
             }
         }
     }
-    for (const auto& [task, r] : borrower_.remote_tasks()) {
-        add(task, nullptr, r.attempt);
+    for (const auto& [task, remote] : borrower_.remote_tasks()) {
+        add_candidate({task, nullptr, remote.attempt}, team, gangs_seen, candidates);
+    }
+    return candidates;
+}
+
+// Adds the task if it may be stopped, a gang whole and once.
+void QuotaEvictor::add_candidate(EvictionCandidate candidate, const std::string& team,
+                                 std::set<std::string>& gangs_seen,
+                                 std::vector<EvictionCandidate>& candidates) const {
+    const std::string& id = candidate.task.job;
+    const Job* job = jobs_.find(id);
+    if (!job || !job->open() || job->spec.team != team ||
+        pending_evictions_.contains(candidate.task)) {
+        return;
+    }
+    if (job->spec.kind == JobKind::gang) {
+        const GangTracker::Attempt* attempt = gangs_.find(id);
+        bool is_new = gangs_seen.insert(id).second;
+        if (!is_new || (attempt && attempt->ending)) {
+            return;
+        }
+        candidate.gang = true;
+    }
+    set_costs(candidate, *job);
+    candidates.push_back(std::move(candidate));
+}
+
+// What the eviction frees, and what is lost by it.
+void QuotaEvictor::set_costs(EvictionCandidate& candidate, const Job& job) const {
+    const JobSpec& spec = job.spec;
+    double save_s = kSaveGraceFactor * spec.save_s;
+    bool saves = spec.checkpoint_s > 0 && save_s <= settings_.worker_lease_s / 2;
+    candidate.job_since = job.first_seen;
+    candidate.cpus = spec.cpus;
+    candidate.gpus = spec.gpus;
+    if (saves) {
+        candidate.loss = Loss::saving_time;
+        candidate.grace_s = std::max(save_s, settings_.heartbeat_interval_s / 12);
+    } else {
+        candidate.loss = candidate.gang ? Loss::all_run_time : Loss::run_time;
+    }
+    if (candidate.gang) {
+        candidate.cpus *= job.placed;
+        candidate.gpus *= job.placed;
     }
-    return out;
 }
 
 } // namespace scheduler
