--- a/src/core/jobs/job_persistence.cpp
+++ b/src/core/jobs/job_persistence.cpp
@@ -36,7 +36,7 @@
 // never replaces a newer one whose tasks have been cleared, and none comes back after the job's
 // end.
 void PartitionLeader::persist_completed_tasks(Time now) {
-    if (persisting_ || !loaded_) {
+    if (persisting_ || !failover_.loaded()) {
         return;
     }
     // No more than the budget can ever give at once, or nothing would be saved while much changes.
@@ -165,7 +165,7 @@
 }
 
 void PartitionLeader::cancel_job(Time now, const std::string& id) {
-    if (loaded_ && !jobs_.find(id)) {
+    if (failover_.loaded() && !jobs_.find(id)) {
         jobs_.record_outcome(
             id, Outcome::cancelled); // its guests here are to stop, and it never starts
     } else if (jobs_.cancel(id)) {
@@ -203,7 +203,7 @@
 
 void PartitionLeader::forget_if_over(const std::string& id) {
     Job* job = jobs_.find(id);
-    if (job && reconciled_ && job->outcome == Outcome::cancelled && job->placed == 0) {
+    if (job && failover_.reconciled() && job->outcome == Outcome::cancelled && job->placed == 0) {
         jobs_.record_outcome(id, Outcome::cancelled);
         drop_job(id);
     }
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -41,7 +41,11 @@
                      planner_,
                      {machines_, slots_, registry_, reconciliation_, lender_, borrower_, demand_},
                      requests_, *this),
-      staleness_(settings_) {
+      staleness_(settings_),
+      failover_({leadership_, settings_, all_shards_, own_teams_, owned_shards_, instance_types_},
+                {job_cache_, jobs_, machines_, quotas_, registry_, queue_, demand_, reconciliation_,
+                 lender_, borrower_, staleness_},
+                requests_, *this) {
     for (const auto& [team, its_part] : partitions_of_teams(settings_)) {
         quotas_.configure(*quota_config_.team(team), quota_config_.is_blocked(team));
         if (its_part == partition) {
@@ -50,7 +54,7 @@
     }
     quota_config_known_ = quota_config_.is_known(now, leadership_.since());
     quotas_.set_known(quota_config_known_);
-    load_records(now, kJobPrefix, "");
+    failover_.start(now);
 }
 
 // ---- Reports ----
@@ -107,7 +111,7 @@
     HeartbeatBody answer;
     if (staleness_.is_fresh(now)) {
         answer.fencing_token = machine->fencing_token();
-        if (current && machine->fenced && loaded_) {
+        if (current && machine->fenced && failover_.loaded()) {
             add_corrective_commands(*machine, answer.commands);
         } else {
             stop_cancelled(heartbeat, answer.commands);
@@ -137,7 +141,7 @@
     }
     if (result.is_newer) {
         adopt_reported(now, machine);
-        if (machine.fenced && loaded_) { // what we had borrowed here and is not listed
+        if (machine.fenced && failover_.loaded()) { // what we had borrowed here and is not listed
             borrower_.on_inventory_complete(now, machine.name);
         }
     }
@@ -225,7 +229,7 @@
 // started and no longer knew the machine; its tasks' true places were then taken for foreign, and
 // the tasks started again while they ran.
 void PartitionLeader::adopt_reported(Time now, Machine& machine) {
-    if (!loaded_ || !machine.fenced) {
+    if (!failover_.loaded() || !machine.fenced) {
         return;
     }
     std::vector<TaskStatus> listed = std::move(machine.unexpected);
@@ -415,6 +419,42 @@
     return true;
 }
 
+// ---- Failover ----
+
+void PartitionLeader::on_partition_loaded(Time now) {
+    for (auto& [name, machine] : machines_.all()) {
+        adopt_reported(now, machine);
+        update_slot_lists(machine);
+    }
+    refresh_quota_config(now);
+}
+
+void PartitionLeader::on_reconciled(Time now) {
+    std::vector<std::string> ids;
+    for (const auto& [id, job] : jobs_.all()) {
+        ids.push_back(id);
+    }
+    for (const auto& id : ids) {
+        forget_if_over(id);
+    }
+    // A gang attempt of an earlier leader goes on if it is whole, and is ended if not.
+    for (const auto& id : ids) {
+        const Job* job = jobs_.find(id);
+        if (job && job->open() && job->placed > 0 && !job->waiting.empty()) {
+            end_attempt(now, id, false);
+        }
+    }
+    schedule(now);
+    send_commands(now);
+}
+
+void PartitionLeader::on_jobs_changed(Time now) {
+    schedule(now);
+    retry_preemption(now);
+    send_commands(now);
+    borrower_.sync_due_peers(now);
+}
+
 // ---- What the parts of this owner ask of it ----
 
 void PartitionLeader::on_remote_exit(Time now, const TaskId& task, ExitReason why,
@@ -482,7 +522,7 @@
 
 void PartitionLeader::handle_peer_sync(Time now, RequestId request_id,
                                        const PeerSyncRequest& request) {
-    if (!leadership_.is_active(now) || !loaded_) {
+    if (!leadership_.is_active(now) || !failover_.loaded()) {
         requests_.respond(request_id, 503, TextBody{"not entitled"}, 1);
         return;
     }
@@ -550,10 +590,8 @@
 // ---- Time ----
 
 void PartitionLeader::tick(Time now, double capacity, bool may_move) {
-    for (const auto& again : std::exchange(failed_loads_, {})) {
-        load_records(now, again.prefix, again.after);
-    }
-    if (!loaded_ || !leadership_.is_active(now)) {
+    failover_.retry_failed_loads(now);
+    if (!failover_.loaded() || !leadership_.is_active(now)) {
         return;
     }
     if (bool knows = staleness_.is_fresh(now); knows != was_fresh_) {
@@ -569,13 +607,13 @@
     reconciliation_.probe_due();
     reconciliation_.release_missing(now);
     try_reconcile(now);
-    if (!reconciled_) {
-        count_doubtful_usage();
+    if (!failover_.reconciled()) {
+        failover_.count_doubtful_usage();
     }
     supervise_gangs(now);
     expire_reservations(now);
     registry_.flush(now);
-    watch_jobs(now);
+    failover_.watch_jobs(now);
     for (const auto& [id, job] : jobs_.all()) {
         if (job->open() && job->complete()) {
             finish_job(now, *job);
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -12,6 +12,7 @@
 #include "core/leadership/staleness_bound.h"
 #include "core/partition_tables.h"
 #include "core/quotas/quota_config.h"
+#include "core/recovery/failover.h"
 #include "core/recovery/inventory_relay.h"
 #include "core/sharding/shard_manager.h"
 
@@ -23,7 +24,8 @@
                         SlotLender::Delegate,
                         SlotBorrower::Delegate,
                         ShardManager::Delegate,
-                        InventoryRelay::Delegate {
+                        InventoryRelay::Delegate,
+                        Failover::Delegate {
   public:
     PartitionLeader(Time now, int partition, const ClusterSettings& settings,
                     const SchedulingPolicy& policy, const LeadershipLease& lease,
@@ -64,21 +66,15 @@
     // The team's guarantee and limit from now on.
     void apply_quota(Time now, const TeamQuota& quota);
     // A sibling has seen the job cancelled.
-    void cancel_job(Time now, const std::string& id);
+    void cancel_job(Time now, const std::string& id) override;
 
   private:
-    // Reading what is durable, and what is not known yet (takeover.cpp).
-    void load_records(Time now, std::string prefix, std::string after);
-    void on_records_loaded(Time now, const std::string& prefix);
-    void load_registries(Time now) override;
-    void begin_leading(Time now);
-    void apply_record(Time now, const KeyedRecord& item);
-    void load_job(Time now, const KeyedRecord& item);
-    void load_machine(Time now, const KeyedRecord& item);
-    void watch_jobs(Time now);
-    void try_reconcile(Time now) override;
-    bool all_shards_reconciled() const;
-    void count_doubtful_usage();
+    // Failover: what the partition does as it is loaded and reconciled.
+    void load_registries(Time now) override { failover_.load_registries(now); }
+    void try_reconcile(Time now) override { failover_.try_reconcile(now); }
+    void on_partition_loaded(Time now) override;
+    void on_reconciled(Time now) override;
+    void on_jobs_changed(Time now) override;
 
     // Machines and what is placed on them.
     void apply_heartbeat(Time now, Machine& machine, const Heartbeat& heartbeat,
@@ -171,7 +167,7 @@
     void on_remote_exit(Time now, const TaskId& task, ExitReason why,
                         const std::string& zone) override;
     void on_found_done(Time now, Job& job, std::uint32_t task) override;
-    bool reconciled() const override { return reconciled_; }
+    bool reconciled() const override { return failover_.reconciled(); }
     void on_peer_response(Time now) override;
     void on_slot_requests(Time now) override;
     void request_inventory(const std::string& machine) override {
@@ -183,7 +179,9 @@
     void accept_transfer(Time now, const ShardTransfer& transfer) override {
         shard_manager_.accept_transfer(now, transfer);
     }
-    bool awaits_inventories() const override { return loaded_ && !reconciled_; }
+    bool awaits_inventories() const override {
+        return failover_.loaded() && !failover_.reconciled();
+    }
     void on_machine_released(Time now, const std::string& machine) override;
     void resume_scheduling(Time now) override;
     bool has_unacked_exits(Time now, const Machine& machine) const override;
@@ -215,22 +213,13 @@
     std::map<std::string, Time>
         preemption_retry_at_;                 // jobs that room was looked for, and when again
     std::set<std::string> reserved_machines_; // machines that room may have been made on
-    std::uint64_t watch_from_ = 0;
-    std::vector<StoreRange> failed_loads_;
-    // Under way, for which shares under which terms.
-    std::map<std::string, std::map<ShardId, std::uint64_t>> registry_reads_;
-    bool jobs_loaded_ = false;
-    bool loaded_ = false;
-    bool reconciled_ = false;
-    bool watching_ = false;
     StalenessBound staleness_;
+    Failover failover_;
     bool was_fresh_ = true;           // at the last tick
     bool quota_config_known_ = false; // as well
-    Time loading_since_ = 0;          // the reading of all jobs that is under way was sent then
     bool persisting_ = false;
     Time next_stats_ = 0;
     Time next_persist_ = 0;
-    Time next_watch_ = 0;
 };
 
 } // namespace scheduler
--- a/src/core/quotas/quota_ledger.cpp
+++ b/src/core/quotas/quota_ledger.cpp
@@ -99,13 +99,12 @@
                     t.quota.amount(t.quota.guaranteed_cpus, t.quota.guaranteed_gpus));
 }
 
-void QuotaLedger::set_doubtful(
-    const std::map<std::string, std::pair<double, double>>& cpus_and_gpus) {
+void QuotaLedger::set_doubtful(const std::map<std::string, DoubtfulUsage>& usage_by_team) {
     for (auto& [name, t] : quotas_) {
-        auto it = cpus_and_gpus.find(name);
-        bool known = it == cpus_and_gpus.end();
-        t.doubtful_cpus = known ? 0 : it->second.first;
-        t.doubtful_gpus = known ? 0 : it->second.second;
+        auto it = usage_by_team.find(name);
+        bool known = it == usage_by_team.end();
+        t.doubtful_cpus = known ? 0 : it->second.cpus;
+        t.doubtful_gpus = known ? 0 : it->second.gpus;
     }
 }
 
--- a/src/core/quotas/quota_ledger.h
+++ b/src/core/quotas/quota_ledger.h
@@ -7,6 +7,11 @@
 
 class QuotaLedger {
   public:
+    // What a team's tasks that may be running somewhere use.
+    struct DoubtfulUsage {
+        double cpus = 0;
+        double gpus = 0;
+    };
     explicit QuotaLedger(const std::vector<TeamQuota>& facts);
 
     const TeamQuota* quota(const std::string& team) const;
@@ -27,7 +32,7 @@
     // What the team can count on, in its own measure: its guarantee, or what it has beyond that.
     double entitled_amount(const std::string& team) const;
     // Tasks that may be running somewhere count for the limit until they are accounted for.
-    void set_doubtful(const std::map<std::string, std::pair<double, double>>& cpus_and_gpus);
+    void set_doubtful(const std::map<std::string, DoubtfulUsage>& usage_by_team);
     void add_usage(const std::string& team, double cpus, double gpus);
     void remove_usage(const std::string& team, double cpus, double gpus);
 
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -329,7 +329,7 @@
 }
 
 void PartitionLeader::supervise_gangs(Time now) {
-    if (!reconciled_) {
+    if (!failover_.reconciled()) {
         return;
     }
     if (gang_reservation_) {
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -135,7 +135,7 @@
 }
 
 void PartitionLeader::retry_preemption(Time now) {
-    if (!loaded_ || !leadership_.is_active(now)) {
+    if (!failover_.loaded() || !leadership_.is_active(now)) {
         return;
     }
     std::erase_if(preemption_retry_at_, [&](const auto& p) { return now > p.second; });
--- a/src/core/scheduling/quota_eviction.cpp
+++ b/src/core/scheduling/quota_eviction.cpp
@@ -15,7 +15,7 @@
     mark_over_guarantee(quota.name);
     queue_.invalidate();
     demand_.invalidate();
-    if (!loaded_ || !leadership_.is_active(now)) {
+    if (!failover_.loaded() || !leadership_.is_active(now)) {
         return;
     }
     evict_over_quota(now);
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -105,13 +105,14 @@
 bool PartitionLeader::has_schedulable_tasks(Time now, const Job& job) const {
     // After an outage for all, an owner whose claim had outlived it once started replicas of a job
     // that had been cancelled before, until the first answer of its watch.
-    return staleness_.is_fresh(now) && (reconciled_ || (loaded_ && !job.in_doubt)) && job.open() &&
+    return staleness_.is_fresh(now) &&
+           (failover_.reconciled() || (failover_.loaded() && !job.in_doubt)) && job.open() &&
            !job.waiting.empty() && now >= job.backoff_until &&
            (job.spec.kind != JobKind::gang || gangs_.may_place(now, job));
 }
 
 void PartitionLeader::schedule(Time now) {
-    if (!loaded_ || !leadership_.is_active(now) || slots_.empty()) {
+    if (!failover_.loaded() || !leadership_.is_active(now) || slots_.empty()) {
         return;
     }
     queue_.invalidate();
@@ -199,7 +200,7 @@
 // whose image the machine has goes before one due a little earlier whose image it would have to
 // fetch: while it is fetched, the slots stand idle.
 void PartitionLeader::schedule_on(Time now, Machine& machine) {
-    if (!loaded_ || !leadership_.is_active(now) || !is_schedulable(machine) ||
+    if (!failover_.loaded() || !leadership_.is_active(now) || !is_schedulable(machine) ||
         machine.command_in_flight != 0) {
         return;
     }
