--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -57,29 +57,56 @@
     failover_.start(now);
 }
 
-// ---- Reports ----
+// ---- Heartbeats ----
 
 void PartitionLeader::handle_heartbeat(Time now, RequestId request_id, const Heartbeat& heartbeat) {
+    Machine* machine = admit_heartbeat(now, request_id, heartbeat);
+    if (!machine) {
+        return;
+    }
+    bool current = heartbeat.agent_epoch > machine->agent_epoch ||
+                   (heartbeat.agent_epoch == machine->agent_epoch &&
+                    heartbeat.sequence > machine->heartbeat_sequence);
+    update_machine(now, *machine, heartbeat);
+    apply_heartbeat(now, *machine, heartbeat, 0);
+    try_reconcile(now);
+    schedule_on(now, *machine);
+    // Without a fencing token in the response, the worker stays with this controller and its lease
+    // runs on unrenewed (one that has never seen a token has no tasks, yet counts its lease from
+    // here). A leader that does not know of cancellations, since it has only just become leader or
+    // since the key-value store refuses it, would keep their tasks alive by every response.
+    HeartbeatBody response;
+    if (staleness_.is_fresh(now)) {
+        response = heartbeat_response(*machine, heartbeat, current);
+    }
+    machines_.on_lease_renewed(now, *machine);
+    requests_.respond(request_id, 200, std::move(response));
+    send_commands(now);
+}
+
+// The machine that the heartbeat is of, added if it is not known; none: it has been refused.
+Machine* PartitionLeader::admit_heartbeat(Time now, RequestId request_id,
+                                          const Heartbeat& heartbeat) {
+    auto refuse = [&](const char* reason) -> Machine* {
+        requests_.respond(request_id, 503, TextBody{reason}, 1);
+        return nullptr;
+    };
     const InstanceType* type = instance_types_.find(heartbeat.type);
     if (!type) {
         requests_.log(LogLevel::error, "event=machine_rejected machine=" + heartbeat.machine);
-        requests_.respond(request_id, 503, TextBody{"unknown machine type"}, 1);
-        return;
+        return refuse("unknown machine type");
     }
     if (!leadership_.is_active(now)) {
-        requests_.respond(request_id, 503, TextBody{"not entitled"}, 1);
-        return;
+        return refuse("not entitled");
     }
     ShardId shard = shard_of_machine(settings_, heartbeat.machine, heartbeat.zone);
-    if (!owned_shards_.may_serve(shard)) { // it passes on, or has
-        requests_.respond(request_id, 503, TextBody{"share not held"}, 1);
-        return;
+    if (!owned_shards_.may_serve(shard)) { // it is migrating, or has migrated
+        return refuse("share not held");
     }
     Machine* machine = machines_.find(heartbeat.machine);
     if (!machine) {
-        if (planner_.was_released(now, heartbeat.machine)) { // a message from the dead
-            requests_.respond(request_id, 503, TextBody{"released"}, 1);
-            return;
+        if (planner_.was_released(now, heartbeat.machine)) { // delayed, from a terminated machine
+            return refuse("released");
         }
         machine = &machines_.add(now, heartbeat.machine, *type, heartbeat.zone, heartbeat.spot,
                                  shard, owned_shards_.term(shard));
@@ -87,68 +114,63 @@
         requests_.log(LogLevel::info, "event=machine_registered machine=" + heartbeat.machine);
     }
     if (machine->releasing || heartbeat.agent_epoch <= machine->expired_epoch) {
-        requests_.respond(request_id, 503, TextBody{"session is over"}, 1);
-        return;
+        return refuse("session is over");
     }
-    bool current = heartbeat.agent_epoch > machine->agent_epoch ||
-                   (heartbeat.agent_epoch == machine->agent_epoch &&
-                    heartbeat.sequence > machine->heartbeat_sequence);
-    machine->endpoint = heartbeat.endpoint;
-    machine->zone = heartbeat.zone;
-    machine->spot = heartbeat.spot;
-    if (!machine->reporting) {
-        machine->idle_since = now;
-    }
-    machine->last_heartbeat = now;
-    if (!machine->registered && !machine->registration_pending) {
-        machine->registration_pending = true;
-        registry_.add(now, machine->shard.home_partition, machine->name,
-                      {machine->endpoint, machine->type.name, machine->zone, machine->spot});
+    return machine;
+}
+
+// Takes over what the heartbeat says of the machine itself, and registers the machine if need be.
+void PartitionLeader::update_machine(Time now, Machine& machine, const Heartbeat& heartbeat) {
+    machine.endpoint = heartbeat.endpoint;
+    machine.zone = heartbeat.zone;
+    machine.spot = heartbeat.spot;
+    if (!machine.reporting) {
+        machine.idle_since = now;
     }
-    apply_heartbeat(now, *machine, heartbeat, 0);
-    try_reconcile(now);
-    schedule_on(now, *machine);
-    HeartbeatBody answer;
-    if (staleness_.is_fresh(now)) {
-        answer.fencing_token = machine->fencing_token();
-        if (current && machine->fenced && failover_.loaded()) {
-            add_corrective_commands(*machine, answer.commands);
-        } else {
-            stop_cancelled(heartbeat, answer.commands);
-        }
-        if (current && machine->fenced) {
-            auto starts = machines_.send_in_response(*machine);
-            answer.commands.insert(answer.commands.end(), starts.begin(), starts.end());
-        }
+    machine.last_heartbeat = now;
+    if (!machine.registered && !machine.registration_pending) {
+        machine.registration_pending = true;
+        registry_.add(now, machine.shard.home_partition, machine.name,
+                      {machine.endpoint, machine.type.name, machine.zone, machine.spot});
     }
-    // Else it has no token: the worker stays with this node and its lease runs on unrenewed (one
-    // that has never seen a token has no tasks, yet counts its lease from here). An owner that does
-    // not know of cancellations, since it has only just claimed the part or since the state service
-    // refuses it, would keep their tasks alive by every answer.
-    machines_.on_lease_renewed(now, *machine);
-    requests_.respond(request_id, 200, std::move(answer));
-    send_commands(now);
+}
+
+// The fencing token and the commands for the machine. `current`: the heartbeat is its newest.
+HeartbeatBody PartitionLeader::heartbeat_response(Machine& machine, const Heartbeat& heartbeat,
+                                                  bool current) {
+    HeartbeatBody response;
+    response.fencing_token = machine.fencing_token();
+    if (current && machine.fenced && failover_.loaded()) {
+        add_corrective_commands(machine, response.commands);
+    } else {
+        stop_cancelled(heartbeat, response.commands);
+    }
+    if (current && machine.fenced) {
+        auto starts = machines_.send_in_response(machine);
+        response.commands.insert(response.commands.end(), starts.begin(), starts.end());
+    }
+    return response;
 }
 
 void PartitionLeader::apply_heartbeat(Time now, Machine& machine, const Heartbeat& heartbeat,
                                       OutboundRequestId orders) {
     HeartbeatResult result = machines_.apply_heartbeat(now, machine, heartbeat, orders);
-    for (const auto& g : result.removed) {
-        on_task_removed(now, machine.name, g);
+    for (const auto& removed : result.removed) {
+        on_task_removed(now, machine.name, removed);
     }
     if (machine.fenced) {
-        reconciliation_.on_inventory(machine); // from here on its listings are all there is
+        reconciliation_.on_inventory(machine); // from here on its inventories are complete
     }
     if (result.is_newer) {
         adopt_reported(now, machine);
-        if (machine.fenced && failover_.loaded()) { // what we had borrowed here and is not listed
+        if (machine.fenced && failover_.loaded()) { // for tasks on borrowed slots not listed here
             borrower_.on_inventory_complete(now, machine.name);
         }
     }
     observe_gangs(now, machine);
     if (machine.preemption_notice_s || machine.consecutive_errors >= policy_.quarantine_errors) {
-        for (const auto& g : machines_.cancel_queued_starts(machine)) {
-            on_task_removed(now, machine.name, g);
+        for (const auto& removed : machines_.cancel_queued_starts(machine)) {
+            on_task_removed(now, machine.name, removed);
         }
         if (!machine.draining) {
             requests_.log(LogLevel::info,
@@ -173,8 +195,8 @@
         }
     }
     bool failed = removed.reason == ExitReason::error || removed.reason == ExitReason::unknown;
-    if (!leadership_.is_own_attempt(
-            placement.attempt)) { // a guest: its job's owner hears of it by exchange
+    if (!leadership_.is_own_attempt(placement.attempt)) {
+        // On a lent slot: the leader of its job's partition hears of it by peer sync.
         if (machine && failed) {
             ++machine->consecutive_errors;
         }
@@ -223,39 +245,36 @@
     return counts;
 }
 
-// Tasks that an owner before us started come to light through the listing. Only one under our token
-// counts: a report that comes late, of a machine that was released long ago or of one that has
-// since ended the task, cannot show it. Once such a report was believed by an owner that had just
-// started and no longer knew the machine; its tasks' true places were then taken for foreign, and
-// the tasks started again while they ran.
+// Tasks that an earlier leader started come to light through the inventory in a heartbeat. Only one
+// under our fencing token counts: a heartbeat that comes late, of a machine that was released long
+// ago or of one that has since ended the task, cannot show it. Once such a heartbeat was believed
+// by a leader that had just started and no longer knew the machine; the true placements of its
+// tasks were then taken for unexpected ones, and the tasks started again while they ran.
 void PartitionLeader::adopt_reported(Time now, Machine& machine) {
     if (!failover_.loaded() || !machine.fenced) {
         return;
     }
     std::vector<TaskStatus> listed = std::move(machine.unexpected);
     machine.unexpected.clear();
-    for (const auto& t : listed) {
-        bool guest = !leadership_.is_own_attempt(t.attempt);
-        if (guest) {
-            if (t.stage == TaskStage::exited) {
-                machine.finished.push_back(t); // until its job's owner says that its end is durable
-            } else if (machine.tasks.contains(t.task)) {
-                machine.unexpected.push_back(t);
-            } else {
-                Placement placement;
-                placement.resources_unknown = true;
-                MachineTable::adopt(now, machine, t, std::move(placement));
-            }
-            continue;
+    for (const auto& status : listed) {
+        if (leadership_.is_own_attempt(status.attempt)) {
+            adopt_own(now, machine, status);
+        } else if (status.stage == TaskStage::exited) {
+            machine.finished.push_back(status); // until its job's leader says its end is durable
+        } else if (machine.tasks.contains(status.task)) {
+            machine.unexpected.push_back(status);
+        } else {
+            Placement placement;
+            placement.resources_unknown = true;
+            MachineTable::adopt(now, machine, status, std::move(placement));
         }
-        adopt_own(now, machine, t);
     }
 }
 
 void PartitionLeader::adopt_own(Time now, Machine& machine, const TaskStatus& status) {
     Job* job = jobs_.find(status.task.job);
-    if (borrower_.adopt_local(status.task, status.attempt,
-                              machine.name)) { // its machine has come to us
+    if (borrower_.adopt_local(status.task, status.attempt, machine.name)) {
+        // It ran on a borrowed slot, and the machine's shard has migrated to us.
         if (!job || status.stage == TaskStage::exited) {
             machine.finished.push_back(status);
             on_remote_exit(now, status.task, status.exit_reason, machine.zone);
@@ -295,9 +314,10 @@
            (status.task.index < job->spec.tasks && jobs_.is_durable(*job, status.task.index));
 }
 
-// What upkeep is too early or too late for: a report that is not the newest, a machine that has not
-// shown our token, or jobs not read yet. Nothing but tasks of cancelled jobs is stopped then, but
-// these are, or one that comes back from a cut for a single report would keep them for two leases.
+// For a heartbeat that corrective commands are too early or too late for: one that is not the
+// newest, of a machine that has not shown our fencing token, or before the jobs are read. Nothing
+// but tasks of cancelled jobs is stopped then, but these are, or a machine that comes back from a
+// network partition for a single heartbeat would keep them for two leases.
 void PartitionLeader::stop_cancelled(const Heartbeat& heartbeat,
                                      std::vector<WorkerCommand>& out) const {
     for (const auto& status : heartbeat.tasks) {
@@ -312,49 +332,62 @@
 // machine fenced: else it may be a job's rightful task. Both can be repeated.
 void PartitionLeader::add_corrective_commands(Machine& machine, std::vector<WorkerCommand>& out) {
     machine.forget_remote_commands();
-    for (const auto& t : machine.finished) {
-        bool guest = !leadership_.is_own_attempt(t.attempt);
-        bool durable = guest ? machine.remote_clears.contains(launch_id(t.attempt, t.task.index))
-                             : end_is_durable(t);
-        if (durable && out.size() < kMostCommands) {
-            out.push_back({CommandType::clear, t.task, t.attempt, 0});
-        }
-    }
-    for (const auto& t : machine.unexpected) {
+    add_clears(machine, out);
+    for (const auto& status : machine.unexpected) {
         if (out.size() >= kMostCommands) {
             break;
         }
-        if (t.stage == TaskStage::exited) {
-            out.push_back({CommandType::clear, t.task, t.attempt, 0});
-        } else {
-            out.push_back({CommandType::stop, t.task, t.attempt, 0});
+        bool exited = status.stage == TaskStage::exited;
+        out.push_back(
+            {exited ? CommandType::clear : CommandType::stop, status.task, status.attempt, 0});
+    }
+    for (const auto& [task, placement] : machine.tasks) {
+        std::optional<double> grace_s = stop_grace_s(machine, task, placement);
+        if (grace_s && placement.via == Placement::Via::reported && out.size() < kMostCommands) {
+            out.push_back({CommandType::stop, task, placement.attempt, *grace_s});
         }
     }
-    for (const auto& [task, p] : machine.tasks) {
-        Job* job = jobs_.find(task.job);
-        bool stop = !job || !job->open();
-        double grace_s = 0;
-        if (!leadership_.is_own_attempt(p.attempt)) {
-            auto told = machine.remote_stops.find(launch_id(p.attempt, task.index));
-            stop = told != machine.remote_stops.end();
-            grace_s = stop ? told->second : 0;
-            if (jobs_.final_outcome(task.job) == Outcome::cancelled) {
-                stop = true;
-                grace_s = 0;
-            }
-        } else if (!stop && job->spec.kind == JobKind::service) {
-            // Replicas move off a machine that is to go; a task of an array may end there.
-            stop = machine.draining || machine.cordoned;
-            grace_s = job->spec.save_s;
-        } else if (!stop && job->spec.kind == JobKind::gang) {
-            const GangTracker::Attempt* attempt = gangs_.find(task.job);
-            stop = attempt && attempt->ending;
-            grace_s = stop && attempt->saves ? kSaveGraceFactor * job->spec.save_s : 0;
+}
+
+// Clears for the exited tasks whose end is durable: here, or with the leader that placed them.
+void PartitionLeader::add_clears(const Machine& machine, std::vector<WorkerCommand>& out) {
+    for (const auto& status : machine.finished) {
+        bool remote = !leadership_.is_own_attempt(status.attempt);
+        bool durable =
+            remote ? machine.remote_clears.contains(launch_id(status.attempt, status.task.index))
+                   : end_is_durable(status);
+        if (durable && out.size() < kMostCommands) {
+            out.push_back({CommandType::clear, status.task, status.attempt, 0});
         }
-        if (stop && p.via == Placement::Via::reported && out.size() < kMostCommands) {
-            out.push_back({CommandType::stop, task, p.attempt, grace_s});
+    }
+}
+
+// How long the task may take to save its work if it is to be stopped; none: it goes on.
+std::optional<double> PartitionLeader::stop_grace_s(const Machine& machine, const TaskId& task,
+                                                    const Placement& placement) {
+    if (!leadership_.is_own_attempt(placement.attempt)) {
+        if (jobs_.final_outcome(task.job) == Outcome::cancelled) {
+            return 0;
+        }
+        auto told = machine.remote_stops.find(launch_id(placement.attempt, task.index));
+        return told != machine.remote_stops.end() ? std::optional<double>(told->second)
+                                                  : std::nullopt;
+    }
+    const Job* job = jobs_.find(task.job);
+    if (!job || !job->open()) {
+        return 0;
+    }
+    if (job->spec.kind == JobKind::service && (machine.draining || machine.cordoned)) {
+        // Replicas move off a machine that is to go; a task of an array may end there.
+        return job->spec.save_s;
+    }
+    if (job->spec.kind == JobKind::gang) {
+        const GangTracker::Attempt* attempt = gangs_.find(task.job);
+        if (attempt && attempt->ending) {
+            return attempt->saves ? kSaveGraceFactor * job->spec.save_s : 0;
         }
     }
+    return std::nullopt;
 }
 
 void PartitionLeader::send_commands(Time now) {
@@ -395,14 +428,14 @@
 
 void PartitionLeader::expire_leases(Time now) {
     for (Machine* machine : machines_.expired_machines(now)) {
-        // While a share may be another's, that one may renew the leases there.
+        // While a shard may be another partition's, that one may renew the leases there.
         if ((!machine->reporting && machine->tasks.empty()) ||
             !owned_shards_.may_serve(machine->shard)) {
             continue;
         }
         requests_.log(LogLevel::info, "event=machine_lease_expired machine=" + machine->name);
-        for (const auto& g : machines_.expire_lease(*machine)) {
-            on_task_removed(now, machine->name, g);
+        for (const auto& removed : machines_.expire_lease(*machine)) {
+            on_task_removed(now, machine->name, removed);
         }
         update_slot_lists(*machine);
     }
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -77,6 +77,9 @@
     void on_jobs_changed(Time now) override;
 
     // Machines and what is placed on them.
+    Machine* admit_heartbeat(Time now, RequestId request_id, const Heartbeat& heartbeat);
+    void update_machine(Time now, Machine& machine, const Heartbeat& heartbeat);
+    HeartbeatBody heartbeat_response(Machine& machine, const Heartbeat& heartbeat, bool current);
     void apply_heartbeat(Time now, Machine& machine, const Heartbeat& heartbeat,
                          OutboundRequestId orders) override;
     void on_task_removed(Time now, const std::string& machine,
@@ -86,6 +89,9 @@
     void adopt_own(Time now, Machine& machine, const TaskStatus& task);
     void stop_cancelled(const Heartbeat& heartbeat, std::vector<WorkerCommand>& out) const;
     void add_corrective_commands(Machine& machine, std::vector<WorkerCommand>& out);
+    void add_clears(const Machine& machine, std::vector<WorkerCommand>& out);
+    std::optional<double> stop_grace_s(const Machine& machine, const TaskId& task,
+                                       const Placement& placement);
     void send_commands(Time now);
     void expire_leases(Time now);
     void log_stats(Time now);
