--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -24,6 +24,7 @@
           [this](Time at, const OutboundResponse& response, const std::vector<std::string>& names) {
               on_machines_registered(at, response, names);
           }),
+      slot_finder_(policy_, owned_shards_, instance_types_, machines_, slots_),
       queue_(
           settings_, policy_, jobs_, quotas_,
           [this](Time at, const Job& job) { return has_schedulable_tasks(at, job); },
@@ -520,7 +521,7 @@
         for (const auto& [attempt, lot] : m.lent_slots) {
             sent += taken(m.type, lot.placement);
         }
-        (is_schedulable(m) ? idle : closed) += m.free_slots();
+        (slot_finder_.is_schedulable(m) ? idle : closed) += m.free_slots();
     }
     std::size_t waiting = 0;
     for (const auto& [id, job] : jobs_.all()) {
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -13,6 +13,7 @@
 #include "core/partition_tables.h"
 #include "core/quotas/quota_config.h"
 #include "core/recovery/inventory_relay.h"
+#include "core/scheduling/slot_finder.h"
 #include "core/sharding/shard_manager.h"
 
 namespace scheduler {
@@ -52,7 +53,9 @@
     // A worker has reported to this node.
     void worker_responded() { requests_.worker_responded(); }
     // Machines and jobs looked at so far: what grows with the fleet must not grow with each report.
-    std::uint64_t effort() const { return effort_ + lender_.effort() + demand_.effort(); }
+    std::uint64_t effort() const {
+        return effort_ + slot_finder_.effort() + lender_.effort() + demand_.effort();
+    }
     // The owner of another part asks for slots for its tasks, as the owner of their jobs.
     void handle_peer_sync(Time now, RequestId request_id, const PeerSyncRequest& request);
     // Tasks done and running of an open job, for display.
@@ -96,7 +99,6 @@
 
     // Placing (placing.cpp): idle slots to what waits.
     void update_slot_lists(Machine& machine) override;
-    bool is_schedulable(const Machine& machine) const;
     void schedule(Time now);
     void fill_slots(Time now, bool spot, bool spot_jobs);
     bool fits_machine(Time now, const Machine& machine, const PendingJob& candidate) const;
@@ -106,9 +108,6 @@
     bool schedule_task(Time now, bool spot, Job& job, std::uint32_t task);
     void launch_on(Time now, Machine& machine, Job& job, std::uint32_t task, std::uint64_t attempt);
     void lend_slots(Time now, bool spot, int borrower, SlotRequest& request);
-    const std::string* find_slots(bool spot, const JobSpec& shape, const TaskId* task,
-                                  const Job* job, const GangPlacement* plan = nullptr,
-                                  const std::string& zone = {}) const;
 
     // Gangs (gang_placing.cpp): all tasks of an attempt start together or none does.
     bool schedule_gang(Time now, bool spot, Job& job);
@@ -201,6 +200,7 @@
     std::map<TaskId, PendingEviction> pending_evictions_;
     JobRecordCache& job_cache_; // the node's, told of each job record that this owner sees
     MachineRegistry registry_;
+    SlotFinder slot_finder_;
     PendingQueue queue_;
     DemandTracker demand_;
     Autoscaler autoscaler_;
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -31,7 +31,8 @@
     plan.tasks_by_zone = std::move(in_zone);
     for (std::uint32_t member : members) {
         TaskId task{shape.id, member};
-        const std::string* found = find_slots(spot, shape, &task, job, &plan, zone);
+        const std::string* found = slot_finder_.find(
+            {.spot = spot, .spec = shape, .task = &task, .job = job, .plan = &plan, .zone = zone});
         if (!found) {
             break;
         }
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -70,8 +70,8 @@
     std::map<std::string, std::vector<Room>> by_zone;
     for (auto& [name, m] : machines_.all()) {
         ++effort_;
-        if (!is_schedulable(m) || m.command_in_flight != 0 || !m.reserved_for.empty() ||
-            (m.spot && !spec.spot) || !spec.allows_type(m.type.name) ||
+        if (!slot_finder_.is_schedulable(m) || m.command_in_flight != 0 ||
+            !m.reserved_for.empty() || (m.spot && !spec.spot) || !spec.allows_type(m.type.name) ||
             (spec.zone && *spec.zone != m.zone) || (job && !job->allows_zone(m.zone))) {
             continue;
         }
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -8,25 +8,10 @@
 
 namespace scheduler {
 
-namespace {
-std::uint32_t planned(const std::map<std::string, std::uint32_t>* plan, const std::string& where) {
-    auto it = plan ? plan->find(where) : decltype(plan->end()){};
-    return plan && it != plan->end() ? it->second : 0;
-}
-} // namespace
-
-bool PartitionLeader::is_schedulable(const Machine& machine) const {
-    return machine.reporting && machine.fenced && machine.registered &&
-           owned_shards_.may_lend(machine.shard) && !machine.draining && !machine.cordoned &&
-           !machine.releasing && !machine.preemption_notice_s && !machine.has_unexpected() &&
-           !machine.has_unknown_resources() &&
-           machine.consecutive_errors < policy_.quarantine_errors;
-}
-
 void PartitionLeader::update_slot_lists(Machine& machine) {
     int idle =
         idle_slots(machine.free_cpus(), machine.free_gpus(), machine.free_ram(), machine.type);
-    bool listed = is_schedulable(machine) && (idle > 0 || machine.type.gpus > 0);
+    bool listed = slot_finder_.is_schedulable(machine) && (idle > 0 || machine.type.gpus > 0);
     slots_.set({machine.type.name, machine.spot}, machine.name, listed ? idle : -1);
     if (slots_.images_version(machine.name) != machine.images_version) {
         std::vector<std::string> images;
@@ -38,50 +23,11 @@
     lender_.on_machine_changed(machine);
 }
 
-// The head of the first list that has enough idle slots for a task of this shape. `task` and
-// `job` are null when another part asks, whose owner checks the rest itself.
-const std::string* PartitionLeader::find_slots(bool spot, const JobSpec& spec, const TaskId* task,
-                                               const Job* job, const GangPlacement* plan,
-                                               const std::string& zone) const {
-    // A machine that has the image before one that has to fetch it.
-    for (bool warm : {true, false}) {
-        for (const InstanceType* candidate : instance_types_.by_fetch_speed()) {
-            const InstanceType& type = *candidate;
-            if (!spec.allows_type(type.name)) {
-                continue;
-            }
-            auto fits = [&](const std::string& name) {
-                ++effort_;
-                const Machine& machine = machines_.all().at(name);
-                double n = 1 + planned(plan ? &plan->tasks_by_machine : nullptr, name);
-                std::uint32_t more =
-                    1 + planned(plan ? &plan->tasks_by_zone : nullptr, machine.zone);
-                bool allowed =
-                    job ? job->allows_zone(machine.zone, more)
-                        : (!spec.zone || *spec.zone == machine.zone) && spec.may_spread(more);
-                return allowed && (zone.empty() || zone == machine.zone) &&
-                       machine.command_in_flight == 0 && machine.available_to(spec.id) &&
-                       machine.free_cpus() >= n * spec.cpus &&
-                       machine.free_ram() >= n * spec.ram_gb &&
-                       machine.free_gpus() >= n * spec.gpus &&
-                       !(task && machine.reports_exited(*task));
-            };
-            SlotKind kind{type.name, spot};
-            int least = min_listed_slots(type, spec.cpus, spec.gpus, spec.ram_gb);
-            const std::string* found = warm ? slots_.pop_warm(kind, least, spec.image, fits)
-                                            : slots_.pop(kind, least, fits);
-            if (found) {
-                return found;
-            }
-        }
-    }
-    return nullptr;
-}
-
 bool PartitionLeader::schedule_task(Time now, bool spot, Job& job, std::uint32_t index) {
     const JobSpec& spec = job.spec;
     TaskId task{spec.id, index};
-    const std::string* found = find_slots(spot, spec, &task, &job);
+    const std::string* found =
+        slot_finder_.find({.spot = spot, .spec = spec, .task = &task, .job = &job});
     if (!found) {
         return false;
     }
@@ -127,7 +73,7 @@
 void PartitionLeader::lend_slots(Time now, bool spot, int borrower, SlotRequest& request) {
     JobSpec shape = requested_resources(request);
     while (request.count > 0 && lender_.slots_left(borrower) > 0) {
-        const std::string* found = find_slots(spot, shape, nullptr, nullptr);
+        const std::string* found = slot_finder_.find({.spot = spot, .spec = shape});
         if (!found) {
             return;
         }
@@ -199,7 +145,7 @@
 // whose image the machine has goes before one due a little earlier whose image it would have to
 // fetch: while it is fetched, the slots stand idle.
 void PartitionLeader::schedule_on(Time now, Machine& machine) {
-    if (!loaded_ || !leadership_.is_active(now) || !is_schedulable(machine) ||
+    if (!loaded_ || !leadership_.is_active(now) || !slot_finder_.is_schedulable(machine) ||
         machine.command_in_flight != 0) {
         return;
     }
