--- a/src/core/machines/machine_table.h
+++ b/src/core/machines/machine_table.h
@@ -84,7 +84,7 @@
     bool draining = false;             // for good: a notice, or failures
     bool cordoned = false; // more than is wanted: no new tasks, unless the wants grow again
     bool releasing = false;
-    std::string reserved_for; // the job that room was made for; see preemption.cpp
+    std::string reserved_for; // the job that room was made for; see Preemptor
     Time reserved_until = 0;
     Time idle_since = 0;
     std::optional<double> preemption_notice_s;
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -29,6 +29,7 @@
           settings_, policy_, jobs_, quotas_,
           [this](Time at, const Job& job) { return has_schedulable_tasks(at, job); },
           [this] { return lender_.slot_requests(); }),
+      preemptor_(settings_, quotas_, slot_finder_, machines_, queue_, requests_),
       demand_(leadership_, settings_, policy_, instance_types_, jobs_, quotas_, machines_,
               planner_),
       autoscaler_(leadership_, settings_, owned_shards_, instance_types_, machines_, planner_,
@@ -37,6 +38,9 @@
       lender_(leadership_, settings_, owned_shards_, machines_, queue_, demand_, requests_, *this),
       borrower_(leadership_, settings_, policy_, partition_map, owned_shards_, jobs_, quotas_,
                 gangs_, queue_, demand_, requests_, *this),
+      gang_scheduler_({leadership_, settings_, jobs_, machines_, quotas_, gangs_, slot_finder_,
+                       queue_, lender_, borrower_, requests_},
+                      *this),
       inventory_relay_(leadership_, settings_, partition_map, lender_, borrower_, requests_, *this),
       shard_manager_(leadership_, settings_, partition_map, owned_shards_, instance_types_,
                      planner_,
@@ -142,7 +146,7 @@
             borrower_.on_inventory_complete(now, machine.name);
         }
     }
-    observe_gangs(now, machine);
+    gang_scheduler_.observe(now, machine);
     if (machine.preemption_notice_s || machine.consecutive_errors >= policy_.quarantine_errors) {
         for (const auto& g : machines_.cancel_queued_starts(machine)) {
             on_task_removed(now, machine.name, g);
@@ -214,7 +218,7 @@
         }
     }
     if (job->spec.kind == JobKind::gang) {
-        on_gang_task_gone(now, *job, why);
+        gang_scheduler_.on_task_gone(now, *job, why);
     }
     forget_if_over(task.job);
     return counts;
@@ -445,6 +449,14 @@
     send_commands(now);
 }
 
+void PartitionLeader::retry_preemption(Time now) {
+    if (!loaded_ || !leadership_.is_active(now)) {
+        return;
+    }
+    preemptor_.retry(now);
+    send_commands(now);
+}
+
 void PartitionLeader::on_machine_released(Time now, const std::string& name) {
     Machine& machine = *machines_.find(name);
     slots_.forget(name);
@@ -573,8 +585,8 @@
     if (!reconciled_) {
         count_doubtful_usage();
     }
-    supervise_gangs(now);
-    expire_reservations(now);
+    gang_scheduler_.supervise(now);
+    preemptor_.expire_reservations(now);
     registry_.flush(now);
     watch_jobs(now);
     for (const auto& [id, job] : jobs_.all()) {
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -13,6 +13,8 @@
 #include "core/partition_tables.h"
 #include "core/quotas/quota_config.h"
 #include "core/recovery/inventory_relay.h"
+#include "core/scheduling/gang_scheduler.h"
+#include "core/scheduling/preemptor.h"
 #include "core/scheduling/slot_finder.h"
 #include "core/sharding/shard_manager.h"
 
@@ -23,6 +25,7 @@
                         Reconciliation::Delegate,
                         SlotLender::Delegate,
                         SlotBorrower::Delegate,
+                        GangScheduler::Delegate,
                         ShardManager::Delegate,
                         InventoryRelay::Delegate {
   public:
@@ -54,7 +57,8 @@
     void worker_responded() { requests_.worker_responded(); }
     // Machines and jobs looked at so far: what grows with the fleet must not grow with each report.
     std::uint64_t effort() const {
-        return effort_ + slot_finder_.effort() + lender_.effort() + demand_.effort();
+        return effort_ + slot_finder_.effort() + preemptor_.effort() + lender_.effort() +
+               demand_.effort();
     }
     // The owner of another part asks for slots for its tasks, as the owner of their jobs.
     void handle_peer_sync(Time now, RequestId request_id, const PeerSyncRequest& request);
@@ -106,34 +110,24 @@
     // Has the job tasks to be placed now?
     bool has_schedulable_tasks(Time now, const Job& job) const override;
     bool schedule_task(Time now, bool spot, Job& job, std::uint32_t task);
-    void launch_on(Time now, Machine& machine, Job& job, std::uint32_t task, std::uint64_t attempt);
+    void launch_on(Time now, Machine& machine, Job& job, std::uint32_t task,
+                   std::uint64_t attempt) override;
     void lend_slots(Time now, bool spot, int borrower, SlotRequest& request);
 
-    // Gangs (gang_placing.cpp): all tasks of an attempt start together or none does.
-    bool schedule_gang(Time now, bool spot, Job& job);
-    bool lend_gang_slots(Time now, bool spot, int borrower, SlotRequest& request);
-    std::vector<std::string> candidate_zones(bool one_zone) const;
-    GangPlacement plan_gang(bool spot, const JobSpec& shape,
-                            const std::vector<std::uint32_t>& members, const Job* job,
-                            const std::string& zone,
-                            std::map<std::string, std::uint32_t> in_zone) const;
-    bool gang_fits_quota(const Job& job) const;
-    void launch_gang(Time now, Job& job, const std::vector<std::uint32_t>& members,
-                     const GangPlacement& plan, std::uint64_t number);
-    bool request_gang_slots(const Job& job, bool rest, SlotRequest& request) override;
-    void release_reservation();
-    void on_gang_grants(Time now, int partition, const std::vector<SlotGrant>& grants) override;
-    void end_attempt(Time now, const std::string& job, bool saves) override;
-    void on_gang_task_gone(Time now, Job& job, ExitReason why);
-    void finish_gang_members(Time now, Job& job);
-    void observe_gangs(Time now, const Machine& machine);
-    void supervise_gangs(Time now);
+    // Gangs: see GangScheduler.
+    bool request_gang_slots(const Job& job, bool rest, SlotRequest& request) override {
+        return gang_scheduler_.request_slots(job, rest, request);
+    }
+    void on_gang_grants(Time now, int partition, const std::vector<SlotGrant>& grants) override {
+        gang_scheduler_.on_grants(now, partition, grants);
+    }
+    void end_attempt(Time now, const std::string& job, bool saves) override {
+        gang_scheduler_.end_attempt(now, job, saves);
+    }
+    void on_gang_complete(Time now, Job& job) override { finish_job(now, job); }
 
-    // Preemption (preemption.cpp).
-    bool preempt_for(Time now, const JobSpec& shape, std::size_t tasks, bool guaranteed,
-                     const Job* job);
+    // Preempts for what waits, and sends the stops.
     void retry_preemption(Time now);
-    void expire_reservations(Time now);
 
     // Work beyond a limit that was lowered (shedding.cpp).
     struct EvictionCandidate { // what may be stopped: a task, or all of a gang
@@ -202,19 +196,17 @@
     MachineRegistry registry_;
     SlotFinder slot_finder_;
     PendingQueue queue_;
+    Preemptor preemptor_;
     DemandTracker demand_;
     Autoscaler autoscaler_;
     Reconciliation reconciliation_;
     SlotLender lender_;
     SlotBorrower borrower_;
+    GangScheduler gang_scheduler_;
     InventoryRelay inventory_relay_;
     ShardManager shard_manager_;
     int commands_in_flight_ = 0; // direct commands under way
     mutable std::uint64_t effort_ = 0;
-    std::optional<GangReservation> gang_reservation_;
-    std::map<std::string, Time>
-        preemption_retry_at_;                 // jobs that room was looked for, and when again
-    std::set<std::string> reserved_machines_; // machines that room may have been made on
     std::uint64_t watch_from_ = 0;
     std::vector<StoreRange> failed_loads_;
     // Under way, for which shares under which terms.
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -1,15 +1,36 @@
-// The owner of a part and its gangs: all slots or none before any start, an orderly end, and the
-// next attempt only after every task of the last is known gone. See docs/design.md, "Gangs".
+#include "core/scheduling/gang_scheduler.h"
+
 #include <algorithm>
 #include <utility>
 
-#include "core/model/partition_assignment.h"
-#include "core/partition_leader.h"
-
 namespace scheduler {
 
+GangScheduler::GangScheduler(const Dependencies& dependencies, Delegate& delegate)
+    : leadership_(dependencies.leadership), settings_(dependencies.settings),
+      jobs_(dependencies.jobs), machines_(dependencies.machines), quotas_(dependencies.quotas),
+      gangs_(dependencies.gangs), slot_finder_(dependencies.slot_finder),
+      queue_(dependencies.queue), lender_(dependencies.lender), borrower_(dependencies.borrower),
+      requests_(dependencies.requests), delegate_(delegate) {}
+
+GangScheduler::Members GangScheduler::waiting_members(const Job& job) {
+    return {job.waiting.begin(), job.waiting.end()};
+}
+
+GangScheduler::TasksByZone GangScheduler::count_by_zone(const HeldGrants& held) {
+    TasksByZone counts;
+    for (const auto& [member, held_grant] : held) {
+        ++counts[held_grant.grant.zone];
+    }
+    return counts;
+}
+
+// Are slots being held for this gang?
+bool GangScheduler::is_gathering(const Job& job) const {
+    return reservation_ && reservation_->job == job.spec.id;
+}
+
 // The zones to try for a gang, each as its only one where it asks for that; else any mix of them.
-std::vector<std::string> PartitionLeader::candidate_zones(bool one_zone) const {
+std::vector<std::string> GangScheduler::candidate_zones(bool one_zone) const {
     std::set<std::string> zones;
     if (one_zone) {
         for (const auto& partition : settings_.partitions) {
@@ -22,17 +43,18 @@
     return {zones.begin(), zones.end()};
 }
 
-// Finds slots for as many of the members as there are, without striking any.
-GangPlacement PartitionLeader::plan_gang(bool spot, const JobSpec& shape,
-                                         const std::vector<std::uint32_t>& members, const Job* job,
-                                         const std::string& zone,
-                                         std::map<std::string, std::uint32_t> in_zone) const {
+// Finds slots for as many of the members as there are, without taking any.
+GangPlacement GangScheduler::plan(const PlanRequest& request) const {
     GangPlacement plan;
-    plan.tasks_by_zone = std::move(in_zone);
-    for (std::uint32_t member : members) {
-        TaskId task{shape.id, member};
-        const std::string* found = slot_finder_.find(
-            {.spot = spot, .spec = shape, .task = &task, .job = job, .plan = &plan, .zone = zone});
+    plan.tasks_by_zone = request.tasks_by_zone;
+    for (std::uint32_t member : request.members) {
+        TaskId task{request.spec.id, member};
+        const std::string* found = slot_finder_.find({.spot = request.spot,
+                                                      .spec = request.spec,
+                                                      .task = &task,
+                                                      .job = request.job,
+                                                      .plan = &plan,
+                                                      .zone = request.zone});
         if (!found) {
             break;
         }
@@ -43,97 +65,54 @@
     return plan;
 }
 
-bool PartitionLeader::schedule_gang(Time now, bool spot, Job& job) {
-    const JobSpec& spec = job.spec;
-    if (!has_schedulable_tasks(now, job) || !gang_fits_quota(job)) {
+bool GangScheduler::schedule(Time now, bool spot, Job& job) {
+    if (!delegate_.has_schedulable_tasks(now, job) || !gang_fits_quota(quotas_, job)) {
         return false;
     }
-    std::vector<std::uint32_t> members(job.waiting.begin(), job.waiting.end());
-    for (const auto& zone : candidate_zones(spec.one_zone)) {
-        GangPlacement plan = plan_gang(spot, spec, members, &job, zone, {});
-        if (plan.machines.size() == members.size()) {
-            launch_gang(now, job, members, plan, 0);
+    Members members = waiting_members(job);
+    for (const auto& zone : candidate_zones(job.spec.one_zone)) {
+        GangPlacement found =
+            plan({.spot = spot, .spec = job.spec, .members = members, .job = &job, .zone = zone});
+        if (found.machines.size() == members.size()) {
+            launch(now, job, members, found, 0);
             return true;
         }
     }
     return false;
 }
 
-bool PartitionLeader::gang_fits_quota(const Job& job) const {
-    const JobSpec& spec = job.spec;
-    auto n = static_cast<double>(job.waiting.size());
-    return quotas_.fits(spec.team, n * spec.cpus, n * spec.gpus);
-}
-
-// `number`: of the attempt that other members are part of; 0: the gang's own, or a new one.
-void PartitionLeader::launch_gang(Time now, Job& job, const std::vector<std::uint32_t>& members,
-                                  const GangPlacement& plan, std::uint64_t number) {
-    const std::string id = job.spec.id;
-    const GangTracker::Attempt* attempt = gangs_.find(id);
-    if (number == 0) {
-        number =
-            attempt ? attempt->number : leadership_.next_attempt(leadership_.partition(), true);
+// `attempt`: the one that other members are part of; 0: the gang's own, or a new one.
+void GangScheduler::launch(Time now, Job& job, const Members& members, const GangPlacement& plan,
+                           std::uint64_t attempt) {
+    const GangTracker::Attempt* current = gangs_.find(job.spec.id);
+    if (attempt == 0) {
+        attempt =
+            current ? current->number : leadership_.next_attempt(leadership_.partition(), true);
     }
-    if (!attempt) {
-        gangs_.begin(now, id, number);
+    if (!current) {
+        gangs_.begin(now, job.spec.id, attempt);
     }
     for (std::size_t i = 0; i < members.size(); ++i) {
-        launch_on(now, *machines_.find(plan.machines[i]), job, members[i], number);
+        delegate_.launch_on(now, *machines_.find(plan.machines[i]), job, members[i], attempt);
     }
 }
 
-// ---- Slots of other parts ----
+// ---- Slots of other partitions ----
 
-// What is wanted for a gang from one peer: all of it, or every other time what our own slots and
-// those held already lack.
-bool PartitionLeader::request_gang_slots(const Job& job, bool rest, SlotRequest& request) {
+bool GangScheduler::request_slots(const Job& job, bool missing_only, SlotRequest& request) {
     const JobSpec& spec = job.spec;
     const GangTracker::Attempt* attempt = gangs_.find(spec.id);
-    bool gathers = gang_reservation_ && gang_reservation_->job == spec.id;
     request.one_zone = spec.one_zone;
     request.spread = spec.spread;
     request.gang_size = spec.tasks;
-    std::vector<std::uint32_t> members(job.waiting.begin(), job.waiting.end());
     request.attempt = attempt ? attempt->number : 0;
+    Members members = waiting_members(job);
     if (spec.one_zone && !job.placed_by_zone.empty()) {
-        request.zone =
-            job.placed_by_zone.begin()->first; // a lost mate comes back where the others are
-    } else if (rest && !attempt && members.size() > 1 && (gathers || !gang_reservation_)) {
-        std::string zone;
-        if (gathers) {
-            std::erase_if(members,
-                          [&](std::uint32_t m) { return gang_reservation_->grants.contains(m); });
-            zone = spec.one_zone && !gang_reservation_->grants.empty()
-                       ? gang_reservation_->grants.begin()->second.second.zone
-                       : "";
-        }
-        std::size_t most = 0;
-        for (const auto& z : candidate_zones(spec.one_zone)) {
-            if (!zone.empty() && z != zone) {
-                continue;
-            }
-            for (bool spot : {true, false}) {
-                std::size_t here =
-                    spot && !spec.spot
-                        ? 0
-                        : plan_gang(spot, spec, members, &job, z, {}).machines.size();
-                if (here > most) {
-                    most = here;
-                    zone = z;
-                }
-            }
-        }
-        // Our own slots are the last to be struck, so they are for the last members.
-        members.resize(members.size() - most);
-        if (!zone.empty()) {
-            request.zone = zone;
-        }
-        request.accepts_partial = true;
-        if (!gathers && !members.empty()) {
-            gang_reservation_ = GangReservation{
-                spec.id, leadership_.next_attempt(leadership_.partition(), true), {}, 0};
-        }
-        request.attempt = gang_reservation_ ? gang_reservation_->attempt : 0;
+        // A lost member comes back where the others are.
+        request.zone = job.placed_by_zone.begin()->first;
+    } else if (missing_only && !attempt && members.size() > 1 &&
+               (is_gathering(job) || !reservation_)) {
+        request_missing(job, members, request);
     }
     if (members.empty()) {
         return false; // our own slots will do
@@ -146,109 +125,183 @@
     return true;
 }
 
-void PartitionLeader::release_reservation() {
-    if (gang_reservation_) {
-        for (const auto& [member, held] : gang_reservation_->grants) {
-            borrower_.return_grant(held.first, held.second);
+// Leaves only the members that neither a held slot nor one of our own is there for, and begins to
+// gather slots for them.
+void GangScheduler::request_missing(const Job& job, Members& members, SlotRequest& request) {
+    const JobSpec& spec = job.spec;
+    bool gathers = is_gathering(job);
+    std::string zone;
+    if (gathers) {
+        const HeldGrants& held = reservation_->grants;
+        std::erase_if(members, [&](std::uint32_t member) { return held.contains(member); });
+        zone = spec.one_zone && !held.empty() ? held.begin()->second.grant.zone : "";
+    }
+    // Our own slots are the last to be taken, so they are for the last members.
+    std::size_t own_slots = count_own_slots(job, members, zone);
+    members.resize(members.size() - own_slots);
+    if (!zone.empty()) {
+        request.zone = zone;
+    }
+    request.accepts_partial = true;
+    if (!gathers && !members.empty()) {
+        std::uint64_t attempt = leadership_.next_attempt(leadership_.partition(), true);
+        reservation_ = GangReservation{spec.id, attempt, {}, 0};
+    }
+    request.attempt = reservation_ ? reservation_->attempt : 0;
+}
+
+// How many of the members our own slots would do for. `zone`: the only one to look in; if empty,
+// the first zone with any slots is chosen and put there.
+std::size_t GangScheduler::count_own_slots(const Job& job, const Members& members,
+                                           std::string& zone) const {
+    const JobSpec& spec = job.spec;
+    std::size_t most = 0;
+    for (const auto& candidate : candidate_zones(spec.one_zone)) {
+        if (!zone.empty() && candidate != zone) {
+            continue;
+        }
+        for (bool spot : {true, false}) {
+            if (spot && !spec.spot) {
+                continue;
+            }
+            GangPlacement found = plan(
+                {.spot = spot, .spec = spec, .members = members, .job = &job, .zone = candidate});
+            if (found.machines.size() > most) {
+                most = found.machines.size();
+                zone = candidate;
+            }
         }
-        gang_reservation_.reset();
     }
+    return most;
 }
 
-// The whole set that was asked for came, or a part of what is being gathered. With our own slots
-// for the rest it becomes an attempt; else it is held for a moment or goes back, and nothing
-// starts.
-void PartitionLeader::on_gang_grants(Time now, int partition,
-                                     const std::vector<SlotGrant>& grants) {
+// With our own slots for the rest the grants become an attempt; else they are held for a moment or
+// go back, and nothing starts.
+void GangScheduler::on_grants(Time now, int partition, const std::vector<SlotGrant>& grants) {
     Job* job = jobs_.find(grants.front().job);
     std::uint64_t number = grants.front().launch.attempt;
-    bool gathers = gang_reservation_ && gang_reservation_->attempt == number;
-    bool ok = job && leadership_.is_active(now) && has_schedulable_tasks(now, *job) &&
-              gang_fits_quota(*job);
-    const GangTracker::Attempt* attempt = ok ? gangs_.find(job->spec.id) : nullptr;
-    ok = ok && (!attempt || attempt->number == number);
-    std::map<std::uint32_t, std::pair<int, SlotGrant>> held;
-    std::map<std::string, std::uint32_t> in_zone;
+    bool gathers = reservation_ && reservation_->attempt == number;
+    bool usable = can_use_grants(now, job, number);
+    HeldGrants held;
     if (gathers) {
-        held = gang_reservation_->grants;
-        for (const auto& [member, h] : held) {
-            ++in_zone[h.second.zone];
+        held = reservation_->grants;
+    }
+    hold_or_return(usable ? job : nullptr, partition, grants, held);
+    if (!usable) {
+        return;
+    }
+    Members rest = waiting_members(*job);
+    std::erase_if(rest, [&](std::uint32_t member) { return held.contains(member); });
+    GangPlacement own = plan_rest(*job, rest, held);
+    if (!held.empty() && own.machines.size() == rest.size()) {
+        if (gathers) {
+            reservation_.reset(); // what it held is used now
         }
+        launch(now, *job, rest, own, number);
+        launch_with_grants(*job, held, gathers);
+    } else if (gathers) {
+        reservation_->grants = std::move(held);
+        if (reservation_->until == 0) {
+            // Before their leader takes them back.
+            reservation_->until = now + settings_.heartbeat_interval_s;
+        }
+    } else {
+        return_grants(held);
     }
+}
+
+bool GangScheduler::can_use_grants(Time now, const Job* job, std::uint64_t attempt) const {
+    if (!job || !leadership_.is_active(now) || !delegate_.has_schedulable_tasks(now, *job) ||
+        !gang_fits_quota(quotas_, *job)) {
+        return false;
+    }
+    const GangTracker::Attempt* current = gangs_.find(job->spec.id);
+    return !current || current->number == attempt;
+}
+
+// Adds the grants that suit the job to those held and returns the others. `job` is null if none
+// can be used.
+void GangScheduler::hold_or_return(const Job* job, int partition,
+                                   const std::vector<SlotGrant>& grants, HeldGrants& held) {
+    TasksByZone in_zone = count_by_zone(held);
     for (const auto& grant : grants) {
-        bool zone_ok = ok && job->allows_zone(grant.zone, in_zone[grant.zone] + 1) &&
-                       !(job->spec.one_zone && !held.empty() &&
-                         held.begin()->second.second.zone != grant.zone);
-        if (zone_ok && job->waiting.contains(grant.launch.index) &&
-            borrower_.grant_suits(*job, grant) &&
-            held.emplace(grant.launch.index, std::pair(partition, grant)).second) {
+        std::uint32_t member = grant.launch.index;
+        bool zone_ok =
+            job && job->allows_zone(grant.zone, in_zone[grant.zone] + 1) &&
+            !(job->spec.one_zone && !held.empty() && held.begin()->second.grant.zone != grant.zone);
+        if (zone_ok && job->waiting.contains(member) && borrower_.grant_suits(*job, grant) &&
+            held.emplace(member, HeldGrant{partition, grant}).second) {
             ++in_zone[grant.zone];
-        } else if (auto same = held.find(grant.launch.index);
-                   same == held.end() || same->second.second.machine != grant.machine) {
-            borrower_.return_grant(partition, grant); // but not the very slot that is held
+            continue;
         }
-    }
-    if (!ok) {
-        return;
-    }
-    const JobSpec& spec = job->spec;
-    std::vector<std::uint32_t> rest;
-    for (std::uint32_t member : job->waiting) {
-        if (!held.contains(member)) {
-            rest.push_back(member);
+        auto same = held.find(member);
+        if (same == held.end() || same->second.grant.machine != grant.machine) {
+            borrower_.return_grant(partition, grant); // but not the very slot that is held
         }
     }
-    std::erase_if(in_zone, [](const auto& z) { return z.second == 0; });
-    std::string zone = spec.one_zone && !held.empty() ? held.begin()->second.second.zone : "";
-    GangPlacement plan;
+}
+
+// Our own slots for the members that no slot is held for; fewer if there are not enough.
+GangPlacement GangScheduler::plan_rest(const Job& job, const Members& rest,
+                                       const HeldGrants& held) const {
+    const JobSpec& spec = job.spec;
+    bool keep_zone = spec.one_zone && !held.empty();
+    PlanRequest request{.spec = spec,
+                        .members = rest,
+                        .job = &job,
+                        .zone = keep_zone ? held.begin()->second.grant.zone : "",
+                        .tasks_by_zone = count_by_zone(held)};
+    GangPlacement found;
     for (bool spot : {true, false}) {
-        if (plan.machines.size() < rest.size() && (!spot || spec.spot)) {
-            plan = plan_gang(spot, spec, rest, job, zone, in_zone);
+        if (found.machines.size() < rest.size() && (!spot || spec.spot)) {
+            request.spot = spot;
+            found = plan(request);
         }
     }
-    if (!held.empty() && plan.machines.size() == rest.size()) {
-        if (gathers) {
-            gang_reservation_.reset(); // what it held is used now
-        }
-        launch_gang(now, *job, rest, plan, number);
-        for (const auto& [member, h] : held) {
-            borrower_.launch(h.first, h.second, *job, member);
-            if (gathers) {
-                borrower_.request_full_resync(h.first);
-            }
-        }
-    } else if (gathers) {
-        gang_reservation_->grants = std::move(held);
-        if (gang_reservation_->until == 0) {
-            gang_reservation_->until =
-                now + settings_.heartbeat_interval_s; // before their owner takes them back
-        }
-    } else {
-        for (const auto& [member, h] : held) {
-            borrower_.return_grant(h.first, h.second);
+    return found;
+}
+
+// `gathered`: the slots came from several partitions, so what these were asked for is out of date.
+void GangScheduler::launch_with_grants(Job& job, const HeldGrants& held, bool gathered) {
+    for (const auto& [member, held_grant] : held) {
+        borrower_.launch(held_grant.partition, held_grant.grant, job, member);
+        if (gathered) {
+            borrower_.request_full_resync(held_grant.partition);
         }
     }
 }
 
-// Strikes all the slots that are wanted for a gang, or none; as many as there are if its owner
-// gathers the rest elsewhere.
-bool PartitionLeader::lend_gang_slots(Time now, bool spot, int borrower, SlotRequest& request) {
+void GangScheduler::return_grants(const HeldGrants& held) {
+    for (const auto& [member, held_grant] : held) {
+        borrower_.return_grant(held_grant.partition, held_grant.grant);
+    }
+}
+
+void GangScheduler::release_reservation() {
+    if (reservation_) {
+        return_grants(reservation_->grants);
+        reservation_.reset();
+    }
+}
+
+bool GangScheduler::lend_slots(Time now, bool spot, int borrower, SlotRequest& request) {
     if (request.count == 0 || lender_.slots_left(borrower) < request.count) {
         return false;
     }
     JobSpec shape = requested_resources(request);
     GangPlacement best;
     for (const auto& zone : candidate_zones(request.one_zone)) {
-        GangPlacement plan = plan_gang(spot, shape, request.gang_members, nullptr, zone, {});
-        if (plan.machines.size() > best.machines.size()) {
-            best = std::move(plan);
+        GangPlacement found =
+            plan({.spot = spot, .spec = shape, .members = request.gang_members, .zone = zone});
+        if (found.machines.size() > best.machines.size()) {
+            best = std::move(found);
         }
     }
-    std::size_t n = best.machines.size();
-    if (n == 0 || (n < request.gang_members.size() && !request.accepts_partial)) {
+    std::size_t count = best.machines.size();
+    if (count == 0 || (count < request.gang_members.size() && !request.accepts_partial)) {
         return false;
     }
-    for (std::size_t i = 0; i < n; ++i) {
+    for (std::size_t i = 0; i < count; ++i) {
         lender_.lend(now, *machines_.find(best.machines[i]), borrower, request,
                      request.gang_members[i]);
     }
@@ -259,7 +312,7 @@
 // ---- The end of an attempt ----
 
 // All its tasks are told at once, and directly: those that are not told in time cannot save.
-void PartitionLeader::end_attempt(Time now, const std::string& id, bool saves) {
+void GangScheduler::end_attempt(Time now, const std::string& id, bool saves) {
     Job* job = jobs_.find(id);
     if (!job || !gangs_.end(id, saves)) {
         return;
@@ -269,29 +322,35 @@
                                       " saves=" + (saves ? "1" : "0"));
     double grace_s = saves ? kSaveGraceFactor * job->spec.save_s : 0;
     borrower_.stop_job(id, grace_s);
-    for (auto& [name, m] : machines_.all()) {
-        for (const auto& g : machines_.cancel_queued_starts(m, &id)) {
-            on_task_removed(now, name, g);
-        }
-        for (auto it = m.tasks.lower_bound({id, 0}); it != m.tasks.end() && it->first.job == id;
-             ++it) {
-            if (it->second.via == Placement::Via::reported &&
-                partition_of_attempt(it->second.attempt) == leadership_.partition()) {
-                machines_.queue_stop(m, it->first, it->second.attempt, grace_s);
-            }
+    for (auto& [name, machine] : machines_.all()) {
+        stop_tasks_on(now, machine, id, grace_s);
+    }
+}
+
+void GangScheduler::stop_tasks_on(Time now, Machine& machine, const std::string& job,
+                                  double grace_s) {
+    for (const auto& removed : machines_.cancel_queued_starts(machine, &job)) {
+        delegate_.on_task_removed(now, machine.name, removed);
+    }
+    auto it = machine.tasks.lower_bound({job, 0});
+    for (; it != machine.tasks.end() && it->first.job == job; ++it) {
+        const Placement& placement = it->second;
+        if (placement.via == Placement::Via::reported &&
+            leadership_.is_own_attempt(placement.attempt)) {
+            machines_.queue_stop(machine, it->first, placement.attempt, grace_s);
         }
     }
 }
 
-// Another task of the gang is known gone. One that is done shows that all are: they complete
-// together, even if the machine of another was lost before it could say so.
-void PartitionLeader::on_gang_task_gone(Time now, Job& job, ExitReason why) {
+// One that is done shows that all are: they complete together, even if the machine of another was
+// lost before it could say so.
+void GangScheduler::on_task_gone(Time now, Job& job, ExitReason reason) {
     const std::string id = job.spec.id;
+    const GangTracker::Attempt* attempt = gangs_.find(id);
     if (job.done > 0) {
-        finish_gang_members(now, job);
-    } else if (const GangTracker::Attempt* a = gangs_.find(id);
-               a && (a->ran || why == ExitReason::gang_incomplete ||
-                     why == ExitReason::gang_member_lost)) {
+        finish_members(now, job);
+    } else if (attempt && (attempt->ran || reason == ExitReason::gang_incomplete ||
+                           reason == ExitReason::gang_member_lost)) {
         end_attempt(now, id, false);
     }
     if (job.placed == 0) {
@@ -300,24 +359,22 @@
     }
 }
 
-void PartitionLeader::finish_gang_members(Time now, Job& job) {
-    std::vector<std::uint32_t> mates(job.waiting.begin(), job.waiting.end());
-    for (std::uint32_t mate : mates) {
-        jobs_.mark_done(job, mate);
+void GangScheduler::finish_members(Time now, Job& job) {
+    for (std::uint32_t member : waiting_members(job)) {
+        jobs_.mark_done(job, member);
     }
     if (job.complete() && job.open()) {
-        finish_job(now, job);
+        delegate_.on_gang_complete(now, job);
     }
 }
 
-// What a listing of one of our machines means for gangs.
-void PartitionLeader::observe_gangs(Time now, const Machine& machine) {
-    std::set<std::string> leaving;
-    for (const auto& [task, p] : machine.tasks) {
-        if (p.kind != JobKind::gang || partition_of_attempt(p.attempt) != leadership_.partition()) {
+void GangScheduler::observe(Time now, const Machine& machine) {
+    std::set<std::string> leaving; // gangs with tasks on a machine that is about to go
+    for (const auto& [task, placement] : machine.tasks) {
+        if (placement.kind != JobKind::gang || !leadership_.is_own_attempt(placement.attempt)) {
             continue;
         }
-        if (p.stage == TaskStage::running && p.via == Placement::Via::reported) {
+        if (placement.stage == TaskStage::running && placement.via == Placement::Via::reported) {
             gangs_.on_running(task.job);
         }
         if (machine.preemption_notice_s) {
@@ -329,26 +386,32 @@
     }
 }
 
-void PartitionLeader::supervise_gangs(Time now) {
-    if (!reconciled_) {
+void GangScheduler::supervise(Time now) {
+    if (!delegate_.reconciled()) {
         return;
     }
-    if (gang_reservation_) {
-        const Job* job = jobs_.find(gang_reservation_->job);
-        bool late = gang_reservation_->until > 0 && now > gang_reservation_->until;
-        if (late || !job || !has_schedulable_tasks(now, *job)) {
-            release_reservation();
-        }
-    }
+    supervise_reservation(now);
     for (const auto& id : gangs_.overdue(now, jobs_)) {
         end_attempt(now, id, false);
     }
     for (const auto& [id, job] : jobs_.all()) {
         if (job->spec.kind == JobKind::gang && job->open() && job->done > 0 &&
             !job->waiting.empty()) {
-            finish_gang_members(now, *job); // the owner before us saw one of them done
+            finish_members(now, *job); // the leader before us saw one of them done
         }
     }
 }
 
+// Held slots go back when they were not enough in time, or are wanted no more.
+void GangScheduler::supervise_reservation(Time now) {
+    if (!reservation_) {
+        return;
+    }
+    const Job* job = jobs_.find(reservation_->job);
+    bool late = reservation_->until > 0 && now > reservation_->until;
+    if (late || !job || !delegate_.has_schedulable_tasks(now, *job)) {
+        release_reservation();
+    }
+}
+
 } // namespace scheduler
--- a/src/core/scheduling/gang_tracker.cpp
+++ b/src/core/scheduling/gang_tracker.cpp
@@ -2,6 +2,12 @@
 
 namespace scheduler {
 
+bool gang_fits_quota(const QuotaLedger& quotas, const Job& job) {
+    const JobSpec& spec = job.spec;
+    auto tasks = static_cast<double>(job.waiting.size());
+    return quotas.fits(spec.team, tasks * spec.cpus, tasks * spec.gpus);
+}
+
 namespace {
 // A lost mate is replaced in the first half of the others' patience: it has to fetch its image yet.
 constexpr double kReplaceShare = 0.5;
--- a/src/core/scheduling/gang_tracker.h
+++ b/src/core/scheduling/gang_tracker.h
@@ -6,6 +6,7 @@
 
 #include "core/jobs/job_store.h"
 #include "core/model/messages.h"
+#include "core/quotas/quota_ledger.h"
 
 namespace scheduler {
 
@@ -18,15 +19,8 @@
     std::map<std::string, std::uint32_t> tasks_by_zone;
 };
 
-// A gang that no owner has room for alone: slots of several are held for a moment until they
-// are enough. One gang at a time, so that two of ours never hold halves.
-struct GangReservation {
-    std::string job;
-    std::uint64_t attempt = 0;
-    std::map<std::uint32_t, std::pair<int, SlotGrant>>
-        grants; // by task; with the part of the slots
-    Time until = 0;
-};
+// Does the team's quota leave room for all tasks of the gang that wait?
+bool gang_fits_quota(const QuotaLedger& quotas, const Job& job);
 
 class GangTracker {
   public:
--- /dev/null
+++ b/src/core/scheduling/preemptor.cpp
@@ -0,0 +1,229 @@
+#include "core/scheduling/preemptor.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "core/stealing/slot_lender.h"
+
+namespace scheduler {
+
+namespace {
+constexpr double kMinFetchGbPerS = 1e-3; // keeps the time to fetch finite
+
+struct Victim { // a task that may be stopped; in the order in which they are
+    double run_s = 0;
+    TaskId task;
+    auto operator<=>(const Victim&) const = default;
+};
+
+struct Resources {
+    double cpus = 0;
+    double gpus = 0;
+    double ram_gb = 0;
+
+    bool fit(const JobSpec& spec) const {
+        return cpus >= spec.cpus && gpus >= spec.gpus && ram_gb >= spec.ram_gb;
+    }
+    void take(const JobSpec& spec) {
+        cpus -= spec.cpus;
+        gpus -= spec.gpus;
+        ram_gb -= spec.ram_gb;
+    }
+    void release(const Placement& placement) {
+        cpus += placement.cpus;
+        gpus += placement.gpus;
+        ram_gb += placement.ram_gb;
+    }
+};
+
+// The tasks on the machine that may be stopped for the job, least run time first.
+std::vector<Victim> find_victims(Time now, const Machine& machine, const JobSpec& spec,
+                                 bool within_guarantee) {
+    std::vector<Victim> victims;
+    for (const auto& [task, placement] : machine.tasks) {
+        bool lower =
+            placement.priority > spec.priority || (within_guarantee && placement.over_guarantee);
+        bool stays = placement.via != Placement::Via::reported ||
+                     placement.kind != JobKind::array || placement.stage == TaskStage::saving ||
+                     placement.resources_unknown;
+        if (lower && !stays) {
+            bool runs = placement.stage == TaskStage::running;
+            victims.push_back({runs ? now - placement.running_since : 0, task});
+        }
+    }
+    std::sort(victims.begin(), victims.end());
+    return victims;
+}
+
+// Up to `most` options on the machine, each with the victims that it needs besides those of the
+// options before it.
+std::vector<PreemptionOption> options_on(Machine& machine, const JobSpec& spec,
+                                         const std::vector<Victim>& victims, std::size_t most) {
+    Resources free{machine.free_cpus(), machine.free_gpus(), machine.free_ram()};
+    double fetch_s = machine.has_image(spec.image)
+                         ? 0
+                         : spec.image_gb / std::max(kMinFetchGbPerS, machine.type.fetch_gb_per_s);
+    std::vector<PreemptionOption> options;
+    PreemptionOption option{fetch_s, &machine, {}};
+    auto next = victims.begin();
+    while (options.size() < most) {
+        if (free.fit(spec)) {
+            free.take(spec);
+            options.push_back(std::move(option));
+            option = PreemptionOption{fetch_s, &machine, {}};
+            continue;
+        }
+        if (next == victims.end()) {
+            break;
+        }
+        free.release(machine.tasks.at(next->task));
+        option.cost_s += next->run_s;
+        option.victims.push_back(next->task);
+        ++next;
+    }
+    return options;
+}
+
+bool is_cheaper(const PreemptionOption& a, const PreemptionOption& b) {
+    if (a.cost_s != b.cost_s) {
+        return a.cost_s < b.cost_s;
+    }
+    return a.victims.size() < b.victims.size();
+}
+
+const std::string& job_id(const PendingJob& candidate) {
+    return candidate.slot_request ? candidate.slot_request->job : candidate.job->spec.id;
+}
+} // namespace
+
+void Preemptor::retry(Time now) {
+    std::erase_if(retry_at_, [&](const auto& entry) { return now > entry.second; });
+    for (const PendingJob& candidate : queue_.ordered(now)) {
+        const std::string& id = job_id(candidate);
+        if (!may_preempt_for(candidate) || retry_at_.contains(id)) {
+            continue;
+        }
+        retry_at_[id] = now + settings_.heartbeat_interval_s;
+        preempt_for_candidate(now, candidate);
+    }
+}
+
+bool Preemptor::may_preempt_for(const PendingJob& candidate) {
+    if (candidate.kind == JobKind::array ||
+        (candidate.over_guarantee && candidate.priority != Priority::production)) {
+        return false;
+    }
+    const SlotRequest* request = candidate.slot_request;
+    return !request || (request->preempt && !request->accepts_partial && request->count > 0);
+}
+
+void Preemptor::preempt_for_candidate(Time now, const PendingJob& candidate) {
+    bool within_guarantee = !candidate.over_guarantee;
+    if (const SlotRequest* request = candidate.slot_request) {
+        JobSpec shape = requested_resources(*request);
+        preempt_for(now, {shape, request->count, within_guarantee, nullptr});
+        return;
+    }
+    Job& job = *candidate.job;
+    const JobSpec& spec = job.spec;
+    bool fits_quota = spec.kind == JobKind::gang ? gang_fits_quota(quotas_, job)
+                                                 : quotas_.fits(spec.team, spec.cpus, spec.gpus);
+    if (fits_quota) {
+        bool made = preempt_for(now, {spec, job.waiting.size(), within_guarantee, &job});
+        job.needs_preemption = !made || spec.spread;
+    }
+}
+
+// Stops what has to go for the demand, all of it in one zone if the job says so, or nothing. The
+// machines are reserved for the job for one heartbeat interval.
+bool Preemptor::preempt_for(Time now, const Demand& demand) {
+    std::optional<Plan> plan = cheapest_plan(demand, options_by_zone(now, demand));
+    if (!plan) {
+        return false;
+    }
+    std::size_t stopped = stop_victims(now, demand.spec, *plan);
+    requests_.log(LogLevel::info, "event=tasks_preempted job=" + demand.spec.id +
+                                      " tasks=" + std::to_string(demand.tasks) +
+                                      " stopped=" + std::to_string(stopped) +
+                                      " cost_s=" + std::to_string(std::llround(plan->cost_s)));
+    return true;
+}
+
+bool Preemptor::is_eligible(const Machine& machine, const Demand& demand) const {
+    const JobSpec& spec = demand.spec;
+    return slot_finder_.is_schedulable(machine) && machine.command_in_flight == 0 &&
+           machine.reserved_for.empty() && (!machine.spot || spec.spot) &&
+           spec.allows_type(machine.type.name) && (!spec.zone || *spec.zone == machine.zone) &&
+           (!demand.job || demand.job->allows_zone(machine.zone));
+}
+
+// All options by zone; under one name if the job's tasks need not share a zone.
+Preemptor::OptionsByZone Preemptor::options_by_zone(Time now, const Demand& demand) {
+    OptionsByZone by_zone;
+    for (auto& [name, machine] : machines_.all()) {
+        ++effort_;
+        if (!is_eligible(machine, demand)) {
+            continue;
+        }
+        auto victims = find_victims(now, machine, demand.spec, demand.within_guarantee);
+        auto options = options_on(machine, demand.spec, victims, demand.tasks);
+        auto& in_zone = by_zone[demand.spec.one_zone ? machine.zone : ""];
+        std::move(options.begin(), options.end(), std::back_inserter(in_zone));
+    }
+    return by_zone;
+}
+
+// The plan that loses least run time: for a gang, one for all of its tasks or none.
+std::optional<Preemptor::Plan> Preemptor::cheapest_plan(const Demand& demand,
+                                                        OptionsByZone by_zone) {
+    std::optional<Plan> best;
+    bool whole = demand.spec.kind == JobKind::gang;
+    for (auto& [zone, options] : by_zone) {
+        // A machine's options come in the order of their cost, so the cheapest of all are a
+        // consistent choice.
+        std::stable_sort(options.begin(), options.end(), is_cheaper);
+        if (options.size() > demand.tasks) {
+            options.resize(demand.tasks);
+        }
+        double cost_s = 0;
+        for (const auto& option : options) {
+            cost_s += option.cost_s;
+        }
+        bool enough = whole ? options.size() == demand.tasks : true;
+        if (enough && !options.empty() && (!best || cost_s < best->cost_s)) {
+            best = Plan{std::move(options), cost_s};
+        }
+    }
+    return best;
+}
+
+// Reserves the machines of the plan and queues the stops. Returns how many tasks are stopped.
+std::size_t Preemptor::stop_victims(Time now, const JobSpec& spec, const Plan& plan) {
+    std::size_t stopped = 0;
+    for (const auto& option : plan.options) {
+        Machine& machine = *option.machine;
+        machine.reserved_for = spec.id;
+        machine.reserved_until = now + settings_.heartbeat_interval_s;
+        reserved_machines_.insert(machine.name);
+        for (const auto& task : option.victims) {
+            machines_.queue_stop(machine, task, machine.tasks.at(task).attempt, 0);
+            ++stopped;
+        }
+    }
+    return stopped;
+}
+
+void Preemptor::expire_reservations(Time now) {
+    std::erase_if(reserved_machines_, [&](const std::string& name) {
+        Machine* machine = machines_.find(name);
+        if (machine && now <= machine->reserved_until) {
+            return false;
+        }
+        if (machine) {
+            machine->reserved_for.clear();
+        }
+        return true;
+    });
+}
+
+} // namespace scheduler
--- a/src/core/scheduling/scheduler.cpp
+++ b/src/core/scheduling/scheduler.cpp
@@ -92,7 +92,7 @@
             Shape shape{candidate.slot_request->cpus, candidate.slot_request->gpus,
                         candidate.slot_request->ram_gb};
             if (candidate.kind == JobKind::gang) {
-                lend_gang_slots(now, spot, candidate.borrower, *candidate.slot_request);
+                gang_scheduler_.lend_slots(now, spot, candidate.borrower, *candidate.slot_request);
             } else if (!full.contains(shape)) {
                 lend_slots(now, spot, candidate.borrower, *candidate.slot_request);
             }
@@ -102,7 +102,7 @@
         bool plain = !spec.types && !spec.zone && !spec.one_zone && !spec.spread;
         Shape shape{spec.cpus, spec.gpus, spec.ram_gb};
         if (spec.kind == JobKind::gang) {
-            schedule_gang(now, spot, *candidate.job);
+            gang_scheduler_.schedule(now, spot, *candidate.job);
             continue;
         }
         if (plain && full.contains(shape)) {
@@ -182,10 +182,11 @@
         }
         while (const PendingJob* candidate = best_of(spot_jobs)) {
             if (candidate->kind == JobKind::gang) {
-                bool placed = candidate->slot_request
-                                  ? lend_gang_slots(now, machine.spot, candidate->borrower,
-                                                    *candidate->slot_request)
-                                  : schedule_gang(now, machine.spot, *candidate->job);
+                bool placed =
+                    candidate->slot_request
+                        ? gang_scheduler_.lend_slots(now, machine.spot, candidate->borrower,
+                                                     *candidate->slot_request)
+                        : gang_scheduler_.schedule(now, machine.spot, *candidate->job);
                 if (!placed) {
                     lacking.insert(candidate);
                 }
