--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -14,7 +14,10 @@
 #include "core/quotas/quota_config.h"
 #include "core/recovery/failover.h"
 #include "core/recovery/inventory_relay.h"
+#include "core/scheduling/gang_scheduler.h"
+#include "core/scheduling/preemptor.h"
 #include "core/scheduling/quota_evictor.h"
+#include "core/scheduling/slot_finder.h"
 #include "core/sharding/shard_manager.h"
 
 namespace scheduler {
@@ -24,6 +27,7 @@
                         Reconciliation::Delegate,
                         SlotLender::Delegate,
                         SlotBorrower::Delegate,
+                        GangScheduler::Delegate,
                         ShardManager::Delegate,
                         InventoryRelay::Delegate,
                         JobPersistence::Delegate,
@@ -58,7 +62,8 @@
     void worker_responded() { requests_.worker_responded(); }
     // Machines and jobs looked at so far: what grows with the fleet must not grow with each report.
     std::uint64_t effort() const {
-        return effort_ + lender_.effort() + demand_.effort() + quota_evictor_.effort();
+        return effort_ + slot_finder_.effort() + preemptor_.effort() + lender_.effort() +
+               demand_.effort() + quota_evictor_.effort();
     }
     // The owner of another part asks for slots for its tasks, as the owner of their jobs.
     void handle_peer_sync(Time now, RequestId request_id, const PeerSyncRequest& request);
@@ -103,7 +108,6 @@
 
     // Placing (placing.cpp): idle slots to what waits.
     void update_slot_lists(Machine& machine) override;
-    bool is_schedulable(const Machine& machine) const;
     void schedule(Time now);
     void fill_slots(Time now, bool spot, bool spot_jobs);
     bool fits_machine(Time now, const Machine& machine, const PendingJob& candidate) const;
@@ -111,37 +115,26 @@
     // Has the job tasks to be placed now?
     bool has_schedulable_tasks(Time now, const Job& job) const override;
     bool schedule_task(Time now, bool spot, Job& job, std::uint32_t task);
-    void launch_on(Time now, Machine& machine, Job& job, std::uint32_t task, std::uint64_t attempt);
+    void launch_on(Time now, Machine& machine, Job& job, std::uint32_t task,
+                   std::uint64_t attempt) override;
     void lend_slots(Time now, bool spot, int borrower, SlotRequest& request);
-    const std::string* find_slots(bool spot, const JobSpec& shape, const TaskId* task,
-                                  const Job* job, const GangPlacement* plan = nullptr,
-                                  const std::string& zone = {}) const;
 
-    // Gangs (gang_placing.cpp): all tasks of an attempt start together or none does.
-    bool schedule_gang(Time now, bool spot, Job& job);
-    bool lend_gang_slots(Time now, bool spot, int borrower, SlotRequest& request);
-    std::vector<std::string> candidate_zones(bool one_zone) const;
-    GangPlacement plan_gang(bool spot, const JobSpec& shape,
-                            const std::vector<std::uint32_t>& members, const Job* job,
-                            const std::string& zone,
-                            std::map<std::string, std::uint32_t> in_zone) const;
-    bool gang_fits_quota(const Job& job) const;
-    void launch_gang(Time now, Job& job, const std::vector<std::uint32_t>& members,
-                     const GangPlacement& plan, std::uint64_t number);
-    bool request_gang_slots(const Job& job, bool rest, SlotRequest& request) override;
-    void release_reservation();
-    void on_gang_grants(Time now, int partition, const std::vector<SlotGrant>& grants) override;
-    void end_attempt(Time now, const std::string& job, bool saves) override;
-    void on_gang_task_gone(Time now, Job& job, ExitReason why);
-    void finish_gang_members(Time now, Job& job);
-    void observe_gangs(Time now, const Machine& machine);
-    void supervise_gangs(Time now);
+    // Gangs: see GangScheduler.
+    bool request_gang_slots(const Job& job, bool rest, SlotRequest& request) override {
+        return gang_scheduler_.request_slots(job, rest, request);
+    }
+    void on_gang_grants(Time now, int partition, const std::vector<SlotGrant>& grants) override {
+        gang_scheduler_.on_grants(now, partition, grants);
+    }
+    void end_attempt(Time now, const std::string& job, bool saves) override {
+        gang_scheduler_.end_attempt(now, job, saves);
+    }
+    void on_gang_complete(Time now, Job& job) override {
+        job_persistence_.finish_job(now, job);
+    }
 
-    // Preemption (preemption.cpp).
-    bool preempt_for(Time now, const JobSpec& shape, std::size_t tasks, bool guaranteed,
-                     const Job* job);
+    // Preempts for what waits, and sends the stops.
     void retry_preemption(Time now);
-    void expire_reservations(Time now);
 
     void refresh_quota_config(Time now);
 
@@ -184,22 +177,21 @@
     std::set<std::string> own_teams_;
     JobRecordCache& job_cache_; // the node's, told of each job record that this owner sees
     MachineRegistry registry_;
+    SlotFinder slot_finder_;
     PendingQueue queue_;
+    Preemptor preemptor_;
     DemandTracker demand_;
     Autoscaler autoscaler_;
     Reconciliation reconciliation_;
     SlotLender lender_;
     SlotBorrower borrower_;
+    GangScheduler gang_scheduler_;
     InventoryRelay inventory_relay_;
     ShardManager shard_manager_;
     JobPersistence job_persistence_;
     QuotaEvictor quota_evictor_;
     int commands_in_flight_ = 0; // direct commands under way
     mutable std::uint64_t effort_ = 0;
-    std::optional<GangReservation> gang_reservation_;
-    std::map<std::string, Time>
-        preemption_retry_at_;                 // jobs that room was looked for, and when again
-    std::set<std::string> reserved_machines_; // machines that room may have been made on
     StalenessBound staleness_;
     Failover failover_;
     bool was_fresh_ = true;           // at the last tick
