--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -542,7 +542,7 @@
 }
 
 void PartitionLeader::retry_preemption(Time now) {
-    if (!loaded_ || !leadership_.is_active(now)) {
+    if (!failover_.loaded() || !leadership_.is_active(now)) {
         return;
     }
     preemptor_.retry(now);
