--- a/src/core/recovery/inventory_relay.cpp
+++ b/src/core/recovery/inventory_relay.cpp
@@ -1,3 +1,4 @@
+// Implementation of the inventory relay; see the header.
 #include "core/recovery/inventory_relay.h"
 
 #include <algorithm>
@@ -7,18 +8,41 @@
 
 namespace {
 constexpr char kPrefix[] = "account/";
-// Report times that the owner of a part has to call by itself; it calls at once when it can.
-constexpr double kPatienceReports = 1;
-constexpr double kReadReports = 0.5;         // between two looks for what was written for us
-constexpr double kFill = 0.75;               // of a value, by a reckoning that errs
-constexpr std::size_t kTxnBytes = 48 * 1024; // of the 64 KiB that a transaction may have
-
-std::size_t size_of(const RemoteTaskStatus& remote_task) {
-    return 64 + remote_task.status.task.job.size() + remote_task.machine.size() +
+// Heartbeat intervals that a new leader is given to call its peers; it calls at once when it can.
+constexpr double kCallGraceHeartbeats = 1;
+// Heartbeat intervals between two reads of what was posted for this partition.
+constexpr double kReadIntervalHeartbeats = 0.5;
+// Part of the store's value limit that a page fills, as its size is only estimated.
+constexpr double kPageFill = 0.75;
+// Bytes of a transaction, of the 64 KiB that the store allows.
+constexpr std::size_t kMaxTransactionBytes = 48 * 1024;
+constexpr int kBytesPerKib = 1024;
+// Estimated sizes in a page, in bytes.
+constexpr std::size_t kTaskBytes = 64; // without its strings
+constexpr std::size_t kPendingLaunchBytes = 32;
+constexpr std::size_t kShardBytes = 32;
+
+std::size_t estimated_bytes(const RemoteTaskStatus& remote_task) {
+    return kTaskBytes + remote_task.status.task.job.size() + remote_task.machine.size() +
            remote_task.zone.size();
 }
-constexpr std::size_t kStartBytes = 32;
-constexpr std::size_t kShareBytes = 32;
+
+// The inventory that was split into these pages, all of one version.
+PeerSyncResponse join_pages(const std::vector<const InventoryRecord*>& pages) {
+    PeerSyncResponse response;
+    response.term = pages.front()->term;
+    response.version = pages.front()->version;
+    response.reconciled = response.no_stale_grants = response.complete = true;
+    response.shards.emplace();
+    for (const auto* page : pages) {
+        response.shards->insert(response.shards->end(), page->shards.begin(), page->shards.end());
+        response.tasks.insert(response.tasks.end(), page->tasks.begin(), page->tasks.end());
+        response.pending_launches.insert(response.pending_launches.end(),
+                                         page->pending_launches.begin(),
+                                         page->pending_launches.end());
+    }
+    return response;
+}
 } // namespace
 
 InventoryRelay::InventoryRelay(Leadership& leadership, const ClusterSettings& settings,
@@ -36,7 +60,7 @@
 void InventoryRelay::tick(Time now) {
     post(now);
     if (delegate_.awaits_inventories()) {
-        if (now - leadership_.since() > kPatienceReports * settings_.heartbeat_interval_s) {
+        if (now - leadership_.since() > kCallGraceHeartbeats * settings_.heartbeat_interval_s) {
             read(now);
         }
     } else {
@@ -44,7 +68,7 @@
     }
 }
 
-// ---- As a holder of shares ----
+// ---- Posting, as the leader that owns shards ----
 
 void InventoryRelay::post(Time now) {
     for (int partition = 0; partition < partition_map_.count(); ++partition) {
@@ -52,22 +76,22 @@
         if (partition == leadership_.partition() || term == 0) {
             continue;
         }
-        PostedInventory& p = posted_[partition];
-        if (p.term != term) {
-            p = {term, now, {}, 0, false};
+        PostedInventory& posted = posted_[partition];
+        if (posted.term != term) {
+            posted = {term, now, {}, 0, false};
         }
-        bool unheard = lender_.last_term_of(partition) < term || !p.pages.empty();
-        if (p.done || !unheard ||
-            now - p.since < kPatienceReports * settings_.heartbeat_interval_s) {
+        bool has_not_called = lender_.last_term_of(partition) < term || !posted.pages.empty();
+        if (posted.done || !has_not_called ||
+            now - posted.since < kCallGraceHeartbeats * settings_.heartbeat_interval_s) {
             continue;
         }
-        if (p.pages.empty()) {
-            if (auto reply = lender_.inventory_for(now, partition, term)) {
-                p.pages = split_into_pages(*reply, term);
+        if (posted.pages.empty()) {
+            if (auto inventory = lender_.inventory_for(now, partition, term)) {
+                posted.pages = split_into_pages(*inventory, term);
             }
         }
-        if (!p.pages.empty() && !writing_) {
-            writing_ = write(now, partition, p);
+        if (!posted.pages.empty() && !writing_) {
+            writing_ = write(now, partition, posted);
         }
     }
 }
@@ -75,26 +99,27 @@
 std::vector<InventoryRecord> InventoryRelay::split_into_pages(const PeerSyncResponse& response,
                                                               std::uint64_t for_term) const {
     std::vector<InventoryRecord> pages;
-    std::size_t room = 0;
-    auto most = static_cast<std::size_t>(kFill * settings_.store_value_limit_kb * 1024);
+    std::size_t bytes_left = 0;
+    auto page_bytes =
+        static_cast<std::size_t>(kPageFill * settings_.store_value_limit_kb * kBytesPerKib);
     auto page_for = [&](std::size_t bytes) -> InventoryRecord& {
-        if (pages.empty() || room < bytes) {
+        if (pages.empty() || bytes_left < bytes) {
             pages.push_back({for_term, response.term, response.version, 0, {}, {}, {}});
-            room = most;
+            bytes_left = page_bytes;
         }
-        room -= std::min(room, bytes);
+        bytes_left -= std::min(bytes_left, bytes);
         return pages.back();
     };
     for (const auto& shard : *response.shards) {
-        page_for(kShareBytes).shards.push_back(shard);
+        page_for(kShardBytes).shards.push_back(shard);
     }
     for (const auto& remote_task : response.tasks) {
-        page_for(size_of(remote_task)).tasks.push_back(remote_task);
+        page_for(estimated_bytes(remote_task)).tasks.push_back(remote_task);
     }
     for (const auto& id : response.pending_launches) {
-        page_for(kStartBytes).pending_launches.push_back(id);
+        page_for(kPendingLaunchBytes).pending_launches.push_back(id);
     }
-    if (pages.empty()) { // it holds no shares; said all the same
+    if (pages.empty()) { // it owns no shards; posted all the same
         page_for(0);
     }
     for (auto& page : pages) {
@@ -103,48 +128,51 @@
     return pages;
 }
 
-// The next pages that are not written yet. They count only all together, so what becomes of some
-// does not matter.
-bool InventoryRelay::write(Time now, int partition, PostedInventory& p) {
-    StoreTransaction transaction = leadership_.guarded_transaction();
-    transaction.conditions.push_back({partition_key(partition), p.term});
-    auto most =
+std::size_t InventoryRelay::max_pages_per_write() const {
+    auto max_writes =
         static_cast<std::size_t>(std::clamp(requests_.max_writes(StoreRateLimiter::Use::user), 1,
                                             std::max(1, settings_.store_transaction_limit)));
-    most = std::min(most, std::max<std::size_t>(1, static_cast<std::size_t>(
-                                                       static_cast<double>(kTxnBytes) /
-                                                       (settings_.store_value_limit_kb * 1024))));
-    std::size_t to = std::min(p.pages.size(), p.written + most);
-    for (std::size_t i = p.written; i < to; ++i) {
+    auto max_pages = static_cast<std::size_t>(static_cast<double>(kMaxTransactionBytes) /
+                                              (settings_.store_value_limit_kb * kBytesPerKib));
+    return std::min(max_writes, std::max<std::size_t>(1, max_pages));
+}
+
+// Writes the next pages that are not written yet. A reader uses them only when all are there, so
+// the loss of some does no harm. Returns false if the rate limiter holds the write back.
+bool InventoryRelay::write(Time now, int partition, PostedInventory& posted) {
+    StoreTransaction transaction = leadership_.guarded_transaction();
+    transaction.conditions.push_back({partition_key(partition), posted.term});
+    std::size_t end = std::min(posted.pages.size(), posted.pages_written + max_pages_per_write());
+    for (std::size_t page = posted.pages_written; page < end; ++page) {
         transaction.writes.push_back(
-            {inventory_key(partition, leadership_.partition(), i), p.pages[i], {}});
+            {inventory_key(partition, leadership_.partition(), page), posted.pages[page], {}});
     }
     return requests_.send_to_store(
         now, StoreRateLimiter::Use::user, std::move(transaction),
-        [this, partition, term = p.term, to](Time, OutboundResponse& response) {
+        [this, partition, term = posted.term, end](Time, OutboundResponse& response) {
             writing_ = false;
-            PostedInventory& posting = posted_[partition];
-            if (!leadership_.committed(requests_, response, "account") || posting.term != term) {
-                return; // sent again at the next tick, or of no use any more
+            PostedInventory& written = posted_[partition];
+            if (!leadership_.committed(requests_, response, "account") || written.term != term) {
+                return; // sent again at the next tick, or obsolete
             }
-            posting.written = to;
-            if (to == posting.pages.size()) {
+            written.pages_written = end;
+            if (end == written.pages.size()) {
                 requests_.log(LogLevel::info,
                               "event=inventory_posted partition=" + std::to_string(partition) +
-                                  " pages=" + std::to_string(to));
-                posting.done = true;
-                posting.pages.clear();
+                                  " pages=" + std::to_string(end));
+                written.done = true;
+                written.pages.clear();
             }
         });
 }
 
-// ---- As a new owner of jobs ----
+// ---- Reading, as the new leader of a partition ----
 
 void InventoryRelay::read(Time now) {
     if (reading_ || now < next_read_) {
         return;
     }
-    next_read_ = now + kReadReports * settings_.heartbeat_interval_s;
+    next_read_ = now + kReadIntervalHeartbeats * settings_.heartbeat_interval_s;
     std::string prefix = kPrefix + std::to_string(leadership_.partition()) + "/";
     reading_ = requests_.send_to_store(now, StoreRateLimiter::Use::user, StoreRange{prefix, ""},
                                        [this](Time at, OutboundResponse& response) {
@@ -155,40 +183,35 @@
                                        });
 }
 
-void InventoryRelay::apply(Time now, const std::vector<KeyedRecord>& items) {
-    std::map<int, std::map<std::uint64_t, std::vector<const InventoryRecord*>>> found;
+// The pages that were posted for this leader's term by the present leaders of other partitions.
+// Remembers all keys for the clean-up, also those of obsolete pages.
+InventoryRelay::PagesByHolder
+InventoryRelay::current_pages(const std::vector<KeyedRecord>& entries) {
+    PagesByHolder pages;
     read_keys_.clear();
-    for (const auto& item : items) {
-        read_keys_.push_back(item.key);
-        const auto* page = std::get_if<InventoryRecord>(&item.record);
-        std::string rest = item.key.substr(sizeof(kPrefix) - 1);
+    for (const auto& entry : entries) {
+        read_keys_.push_back(entry.key);
+        const auto* page = std::get_if<InventoryRecord>(&entry.record);
+        std::string rest = entry.key.substr(sizeof(kPrefix) - 1);
         int holder = std::atoi(rest.substr(rest.find('/') + 1).c_str());
         if (!page || holder >= partition_map_.count()) {
-            requests_.log(LogLevel::error, "event=record_unreadable key=" + item.key);
+            requests_.log(LogLevel::error, "event=record_unreadable key=" + entry.key);
         } else if (page->for_term == leadership_.term() &&
                    page->term == partition_map_.at(holder).version) {
-            found[holder][page->version].push_back(page);
+            pages[holder][page->version].push_back(page);
         }
     }
-    for (const auto& [holder, versions] : found) {
+    return pages;
+}
+
+void InventoryRelay::apply(Time now, const std::vector<KeyedRecord>& entries) {
+    for (const auto& [holder, versions] : current_pages(entries)) {
         const auto& [version, pages] = *versions.rbegin();
         if (pages.size() != pages.front()->pages || applied_versions_[holder] == version) {
-            continue; // not whole yet, or taken in before
+            continue; // incomplete, or applied before
         }
         applied_versions_[holder] = version;
-        PeerSyncResponse response;
-        response.term = pages.front()->term;
-        response.version = version;
-        response.reconciled = response.no_stale_grants = response.complete = true;
-        response.shards.emplace();
-        for (const auto* page : pages) {
-            response.shards->insert(response.shards->end(), page->shards.begin(),
-                                    page->shards.end());
-            response.tasks.insert(response.tasks.end(), page->tasks.begin(), page->tasks.end());
-            response.pending_launches.insert(response.pending_launches.end(),
-                                             page->pending_launches.begin(),
-                                             page->pending_launches.end());
-        }
+        PeerSyncResponse response = join_pages(pages);
         requests_.log(LogLevel::info,
                       "event=inventory_read partition=" + std::to_string(leadership_.partition()) +
                           " holder=" + std::to_string(holder) +
@@ -203,17 +226,18 @@
         return;
     }
     StoreTransaction transaction = leadership_.guarded_transaction();
-    auto most =
+    auto max_writes =
         static_cast<std::size_t>(std::clamp(requests_.max_writes(StoreRateLimiter::Use::progress),
                                             1, std::max(1, settings_.store_transaction_limit)));
-    std::size_t n = std::min(most, read_keys_.size());
-    for (std::size_t i = 0; i < n; ++i) {
+    std::size_t count = std::min(max_writes, read_keys_.size());
+    for (std::size_t i = 0; i < count; ++i) {
         transaction.writes.push_back({read_keys_[i], {}, {}});
     }
-    // Lost, a key stays until the next listing for the part.
+    // If this is lost, a key stays until the next inventory is posted for the partition.
     if (requests_.send_to_store(now, StoreRateLimiter::Use::progress, std::move(transaction),
                                 [](Time, OutboundResponse&) {})) {
-        read_keys_.erase(read_keys_.begin(), read_keys_.begin() + static_cast<std::ptrdiff_t>(n));
+        read_keys_.erase(read_keys_.begin(),
+                         read_keys_.begin() + static_cast<std::ptrdiff_t>(count));
     }
 }
 
--- a/src/core/recovery/inventory_relay.h
+++ b/src/core/recovery/inventory_relay.h
@@ -1,7 +1,10 @@
-// Another road for the listings that a new owner of a part waits for: while the controllers refuse
-// each other's calls, each holder of shares writes what it would list into the state service, and
-// the new owner reads it there. Without it an older task would wait beside idle slots until calls
-// go through again. See "While peers refuse calls" in docs/shares.md.
+// Relay of inventories through the key-value store.
+//
+// A new partition leader waits for the inventories of its peers: the tasks of its jobs that run on
+// machines of their shards. While the controllers cannot call each other, each leader that owns
+// shards posts its inventory to the store, and the new leader reads it there. Without the relay an
+// older task would wait beside idle slots until calls succeed again. See "While peers refuse calls"
+// in docs/shares.md.
 #pragma once
 
 #include "core/stealing/slot_borrower.h"
@@ -9,36 +12,48 @@
 
 namespace scheduler {
 
+// Posts this partition's inventory for new leaders of other partitions, and reads the inventories
+// posted for this one. Called only from the controller's event loop. A store request that fails is
+// retried at a later tick.
 class InventoryRelay {
   public:
-    struct Delegate { // what it needs of the part it works for
+    // What the relay needs of its partition's leader.
+    struct Delegate {
         virtual ~Delegate() = default;
-        // Older tasks wait for listings of others.
+        // Do older tasks wait for inventories of other partitions?
         virtual bool awaits_inventories() const = 0;
-        // A listing has been taken in: what waited for it may be placed.
+        // An inventory has been applied: tasks that waited for it may be scheduled.
         virtual void resume_scheduling(Time now) = 0;
     };
     InventoryRelay(Leadership& leadership, const ClusterSettings& settings,
                    const PartitionMap& partition_map, SlotLender& lender, SlotBorrower& borrower,
                    OutboundRequests& requests, Delegate& delegate);
 
+    // Posts, reads or cleans up, as is due. Called by the partition leader's timer.
     void tick(Time now);
 
   private:
-    struct PostedInventory { // for the owner of one part
-        std::uint64_t term = 0;
-        Time since = 0; // when its claim was seen first
+    // This partition's inventory as posted for the leader of one other partition.
+    struct PostedInventory {
+        std::uint64_t term = 0; // of that leader
+        Time since = 0;         // when that term was first seen
         std::vector<InventoryRecord> pages;
-        std::size_t written = 0;
+        std::size_t pages_written = 0;
         bool done = false;
     };
+    using PageList = std::vector<const InventoryRecord*>;
+    // Pages by the partition that posted them, then by the version of its inventory.
+    using PagesByHolder = std::map<int, std::map<std::uint64_t, PageList>>;
+
     static std::string inventory_key(int partition, int holder, std::size_t page);
     void post(Time now);
-    bool write(Time now, int partition, PostedInventory& posting);
+    bool write(Time now, int partition, PostedInventory& posted);
+    std::size_t max_pages_per_write() const;
     std::vector<InventoryRecord> split_into_pages(const PeerSyncResponse& response,
                                                   std::uint64_t for_term) const;
     void read(Time now);
-    void apply(Time now, const std::vector<KeyedRecord>& items);
+    void apply(Time now, const std::vector<KeyedRecord>& entries);
+    PagesByHolder current_pages(const std::vector<KeyedRecord>& entries);
     void clear(Time now);
 
     Leadership& leadership_;
@@ -52,8 +67,8 @@
     bool writing_ = false;
     bool reading_ = false;
     Time next_read_ = 0;
-    std::map<int, std::uint64_t> applied_versions_; // by holder: the version
-    std::vector<std::string> read_keys_;            // keys that are of no use once we have settled
+    std::map<int, std::uint64_t> applied_versions_; // by the partition that posted it
+    std::vector<std::string> read_keys_;            // deleted once no inventory is awaited
 };
 
 } // namespace scheduler
--- a/src/core/recovery/reconciliation.cpp
+++ b/src/core/recovery/reconciliation.cpp
@@ -1,3 +1,4 @@
+// Implementation of the reconciliation of machines; see the header.
 #include "core/recovery/reconciliation.h"
 
 #include <algorithm>
@@ -5,11 +6,13 @@
 namespace scheduler {
 
 namespace {
-// A machine that lives answers a question, or comes by itself, within this many report times.
-constexpr double kTakeoverReports = 1.5;
-// Direct questions to a machine after a takeover: one for the session, one for the answer, one
-// more.
-constexpr int kProbes = 3;
+// A live machine responds to a probe, or sends a heartbeat, within this many heartbeat intervals.
+constexpr double kResponseHeartbeats = 1.5;
+// Probes sent to a machine after a failover: one to learn the agent epoch, one for the inventory,
+// and one spare.
+constexpr int kProbeAttempts = 3;
+// Releases of missing machines are this part of a heartbeat interval apart.
+constexpr double kReleasesPerHeartbeat = 6;
 } // namespace
 
 Reconciliation::Reconciliation(const Leadership& leadership, const ClusterSettings& settings,
@@ -24,30 +27,31 @@
     }
 }
 
-void Reconciliation::on_registry_read(const ShardId& shard) {
-    Shard& s = shards_.at(shard);
-    s.registry_read = true;
-    for (const auto& name : s.unreconciled) {
-        pending_probes_.push_back({name, kProbes});
+void Reconciliation::on_registry_read(const ShardId& shard_id) {
+    Shard& shard = shards_.at(shard_id);
+    shard.registry_read = true;
+    for (const auto& name : shard.unreconciled) {
+        pending_probes_.push_back({name, kProbeAttempts});
     }
     probe_due();
 }
 
 std::vector<ShardId> Reconciliation::newly_reconciled(Time now) {
-    std::vector<ShardId> news;
-    for (auto& [id, s] : shards_) {
-        if (s.reconciled || !s.registry_read) {
+    std::vector<ShardId> reconciled;
+    for (auto& [id, shard] : shards_) {
+        if (shard.reconciled || !shard.registry_read) {
             continue;
         }
-        if (now > s.since + machines_.max_lease_s()) {
-            s.unreconciled.clear();
+        // Every lease that an earlier leader may have granted has expired by now.
+        if (now > shard.since + machines_.max_lease_s()) {
+            shard.unreconciled.clear();
         }
-        s.reconciled = s.unreconciled.empty();
-        if (s.reconciled) {
-            news.push_back(id);
+        shard.reconciled = shard.unreconciled.empty();
+        if (shard.reconciled) {
+            reconciled.push_back(id);
         }
     }
-    return news;
+    return reconciled;
 }
 
 bool Reconciliation::is_reconciled(const ShardId& shard) const {
@@ -57,50 +61,74 @@
 
 bool Reconciliation::all_reconciled() const {
     return std::all_of(shards_.begin(), shards_.end(),
-                       [](const auto& s) { return s.second.reconciled; });
+                       [](const auto& entry) { return entry.second.reconciled; });
 }
 
 void Reconciliation::release_missing(Time now) {
-    struct Group { // of shares that came at the same time
-        std::size_t open = 0;
-        std::size_t all = 0;
-    };
-    std::map<Time, Group> groups;
-    std::size_t open = 0;
-    for (const auto& [id, s] : shards_) {
-        groups[s.since].open += s.unreconciled.size();
-        open += s.unreconciled.size();
-    }
-    if (open == 0 || now < next_release_) {
+    std::size_t unreconciled = unreconciled_count();
+    if (unreconciled == 0 || now < next_release_) {
         return;
     }
-    std::size_t heard = 0;
-    for (const auto& [name, m] : machines_.all()) {
-        heard += m.reporting &&
-                 now - m.last_heartbeat < kTakeoverReports * settings_.heartbeat_interval_s;
-        if (auto shard = shards_.find(m.shard); shard != shards_.end()) {
-            ++groups[shard->second.since].all;
-        }
+    if (unreconciled > responsive_count(now)) {
+        return; // more likely this controller is the one that is unreachable
+    }
+    std::vector<std::string> missing = missing_machines(now);
+    if (!missing.empty()) {
+        next_release_ = now + settings_.heartbeat_interval_s / kReleasesPerHeartbeat;
+        delegate_.release_machines(now, std::move(missing));
     }
-    if (open > heard) {
-        return; // it is we who hear nothing
+}
+
+std::size_t Reconciliation::unreconciled_count() const {
+    std::size_t count = 0;
+    for (const auto& [id, shard] : shards_) {
+        count += shard.unreconciled.size();
     }
+    return count;
+}
+
+// Machines that this leader has heard from lately.
+std::size_t Reconciliation::responsive_count(Time now) const {
+    double max_silence_s = kResponseHeartbeats * settings_.heartbeat_interval_s;
+    std::size_t count = 0;
+    for (const auto& [name, machine] : machines_.all()) {
+        count += machine.reporting && now - machine.last_heartbeat < max_silence_s;
+    }
+    return count;
+}
+
+std::map<Time, Reconciliation::GainedGroup> Reconciliation::gained_groups() const {
+    std::map<Time, GainedGroup> groups;
+    for (const auto& [id, shard] : shards_) {
+        groups[shard.since].unreconciled += shard.unreconciled.size();
+    }
+    for (const auto& [name, machine] : machines_.all()) {
+        if (auto shard = shards_.find(machine.shard); shard != shards_.end()) {
+            ++groups[shard->second.since].total;
+        }
+    }
+    return groups;
+}
+
+std::vector<std::string> Reconciliation::missing_machines(Time now) const {
+    std::map<Time, GainedGroup> groups = gained_groups();
+    double response_time_s = kResponseHeartbeats * settings_.heartbeat_interval_s;
     std::vector<std::string> missing;
-    for (const auto& [id, s] : shards_) {
-        const Group& group = groups[s.since];
-        bool all = now - s.since > kTakeoverReports * settings_.heartbeat_interval_s;
-        for (const auto& name : s.unreconciled) {
+    for (const auto& [id, shard] : shards_) {
+        const GainedGroup& group = groups[shard.since];
+        if (2 * group.unreconciled > group.total) {
+            continue;
+        }
+        bool time_is_up = now - shard.since > response_time_s;
+        for (const auto& name : shard.unreconciled) {
             const Machine* machine = machines_.find(name);
-            if (2 * group.open <= group.all && machine && !machine->reporting &&
-                !machine->releasing && (all || machine->unanswered_commands >= kProbes - 1)) {
+            if (machine && !machine->reporting && !machine->releasing &&
+                (time_is_up || machine->unanswered_commands >= kProbeAttempts - 1)) {
                 missing.push_back(name);
             }
         }
     }
-    if (!missing.empty()) {
-        next_release_ = now + settings_.heartbeat_interval_s / 6;
-        delegate_.release_machines(now, missing);
-    }
+    return missing;
 }
 
 void Reconciliation::probe_due(const std::string& machine) {
@@ -108,20 +136,21 @@
     probe_due();
 }
 
-// No more than may be under way at once: a question that has to wait in this process would look as
-// if the machine did not answer.
+// Never sends more probes than may be in flight at once: a probe that has to wait in this process
+// would look as if the machine did not respond.
 void Reconciliation::probe_due() {
     while (probes_in_flight_ < settings_.max_concurrent_commands && !pending_probes_.empty()) {
-        Probe question = std::move(pending_probes_.front());
+        Probe probe = std::move(pending_probes_.front());
         pending_probes_.pop_front();
-        probe(question);
+        send_probe(probe);
     }
 }
 
-// An empty direct command under our token: its answer is a listing, and nothing that carries an
-// older token can come after it. The first answer may only tell the session.
-void Reconciliation::probe(const Probe& question) {
-    Machine* target = machines_.find(question.machine);
+// A probe is an empty direct command under this leader's fencing token: its response is an
+// inventory, and no command with an older token can take effect after it. The first response may
+// only tell the agent epoch.
+void Reconciliation::send_probe(const Probe& probe) {
+    Machine* target = machines_.find(probe.machine);
     if (!target || target->fenced || target->releasing || target->endpoint.empty()) {
         return;
     }
@@ -129,30 +158,33 @@
     requests_.send(
         WorkerCommands{
             target->name, target->endpoint, target->fencing_token(), target->agent_epoch, {}},
-        [this, question](Time at, OutboundResponse& response) {
+        [this, probe](Time at, OutboundResponse& response) {
             --probes_in_flight_;
-            Machine* machine = machines_.find(question.machine);
-            if (!machine || !leadership_.is_active(at)) {
-                return;
-            }
-            if (response.never_sent) { // says nothing of the machine: asked again at the next tick
-                pending_probes_.push_back(question);
-                return;
-            }
-            machine->unanswered_commands =
-                response.status == 0 ? machine->unanswered_commands + 1 : 0;
-            if (response.heartbeat && response.heartbeat->machine == question.machine) {
-                if (response.heartbeat->agent_epoch > machine->expired_epoch) {
-                    machine->last_heartbeat = at;
-                }
-                delegate_.apply_heartbeat(at, *machine, *response.heartbeat, response.request_id);
-            }
-            delegate_.try_reconcile(at);
-            if (question.attempts_left > 1) {
-                pending_probes_.push_back({question.machine, question.attempts_left - 1});
-            }
-            probe_due();
+            on_probe_response(at, probe, response);
         });
 }
 
+void Reconciliation::on_probe_response(Time now, const Probe& probe, OutboundResponse& response) {
+    Machine* machine = machines_.find(probe.machine);
+    if (!machine || !leadership_.is_active(now)) {
+        return;
+    }
+    if (response.never_sent) { // says nothing about the machine: sent again at the next tick
+        pending_probes_.push_back(probe);
+        return;
+    }
+    machine->unanswered_commands = response.status == 0 ? machine->unanswered_commands + 1 : 0;
+    if (response.heartbeat && response.heartbeat->machine == probe.machine) {
+        if (response.heartbeat->agent_epoch > machine->expired_epoch) {
+            machine->last_heartbeat = now;
+        }
+        delegate_.apply_heartbeat(now, *machine, *response.heartbeat, response.request_id);
+    }
+    delegate_.try_reconcile(now);
+    if (probe.attempts_left > 1) {
+        pending_probes_.push_back({probe.machine, probe.attempts_left - 1});
+    }
+    probe_due();
+}
+
 } // namespace scheduler
--- a/src/core/recovery/reconciliation.h
+++ b/src/core/recovery/reconciliation.h
@@ -1,7 +1,10 @@
-// What a new owner does not know yet: the machines of the roster that may carry tasks which an
-// owner before it started. Each is asked at once, and accounted for when it is fenced and has
-// listed what it carries, when it is gone by a release, or when its lease is over by the clock. See
-// "Takeover" in docs/design.md.
+// Reconciliation of a shard's machines after a failover or a shard migration.
+//
+// A new partition leader does not know which tasks earlier leaders started. Every machine in the
+// registry may run some of them, so each is probed at once. A machine is reconciled when it is
+// fenced and has sent its inventory of running tasks, when it has been released, or when its worker
+// lease has expired by the clock. Until then, older tasks that it may be running are not launched
+// anywhere else. See "Takeover" in docs/design.md.
 #pragma once
 
 #include <deque>
@@ -11,66 +14,85 @@
 
 namespace scheduler {
 
+// Tracks, for each owned shard, the machines that are not reconciled yet. Called only from the
+// controller's event loop; all times are seconds on the controller's clock.
 class Reconciliation {
   public:
-    struct Delegate { // what it needs of the part it works for
+    // What the reconciliation needs of its partition's leader.
+    struct Delegate {
         virtual ~Delegate() = default;
-        // The machine's own answer to a direct command.
+        // A machine's heartbeat, received as the response to the direct command `request`.
         virtual void apply_heartbeat(Time now, Machine& machine, const Heartbeat& heartbeat,
-                                     OutboundRequestId orders) = 0;
+                                     OutboundRequestId request) = 0;
+        // A response has been processed, so more shards may be reconciled now.
         virtual void try_reconcile(Time now) = 0;
+        // Releases the named machines at the cloud provider.
         virtual void release_machines(Time now, std::vector<std::string> machines) = 0;
     };
     Reconciliation(const Leadership& leadership, const ClusterSettings& settings,
                    MachineTable& machines, OutboundRequests& requests, Delegate& delegate);
 
+    // Starts the reconciliation of a shard that was gained at `now`.
     void begin(Time now, const ShardId& shard) { shards_[shard] = {now, false, false, {}}; }
+    // Forgets a shard that is no longer owned.
     void end(const ShardId& shard) { shards_.erase(shard); }
-    // The machine may carry tasks that are not known.
+    // The machine may run unknown tasks. Its shard must have begun; otherwise throws
+    // std::out_of_range, as do the functions below that take an owned shard.
     void expect(const Machine& machine) {
         shards_.at(machine.shard).unreconciled.insert(machine.name);
     }
-    // So may one of the share that is not known by more than its name.
+    // As above, for a machine of the shard of which only the name is known.
     void expect(const ShardId& shard, const std::string& name) {
         shards_.at(shard).unreconciled.insert(name);
     }
-    // From here on its listings are all there is; or it is gone.
+    // The machine's inventories are complete from now on, or the machine is gone.
     void on_inventory(const Machine& machine);
-    // The share's roster has been read: its machines are asked.
+    // The shard's machine registry has been read: its unreconciled machines are probed.
     void on_registry_read(const ShardId& shard);
-    // Asks those whose turn it is.
+    // Sends pending probes, as many as may be in flight at once.
     void probe_due();
-    // A listing of this machine is waited for.
+    // Queues one probe of a machine whose inventory is awaited, and sends pending probes.
     void probe_due(const std::string& machine);
     bool is_registry_read(const ShardId& shard) const { return shards_.at(shard).registry_read; }
-    // Shares that are accounted for from now on.
+    // Marks and returns the shards that have become reconciled since the last call.
     std::vector<ShardId> newly_reconciled(Time now);
+    // False as well for a shard that is not owned.
     bool is_reconciled(const ShardId& shard) const;
     bool all_reconciled() const;
-    // The few machines that neither answer nor come to this owner while the rest do are most likely
-    // gone. A release makes that certain long before their leases run out, and until it is certain
-    // no older task can be placed. Few, that is of those that came to us at the same time: if most
-    // of these are silent, it is more likely that something lies between.
+    // Releases the few machines that neither respond nor send heartbeats to this leader while the
+    // others do: most likely they are gone. A release makes that certain long before their leases
+    // expire, and until it is certain no older task can be placed. Few means few of the machines
+    // gained at the same time: if most of these are silent, a network fault is more likely.
     void release_missing(Time now);
 
   private:
     struct Probe {
         std::string machine;
-        int attempts_left = 0; // that are left
+        int attempts_left = 0;
     };
-    void probe(const Probe& question);
+    struct Shard {
+        Time since = 0; // when it was gained
+        bool registry_read = false;
+        bool reconciled = false;
+        std::set<std::string> unreconciled; // machine names
+    };
+    // Machines of the shards that were gained at the same time.
+    struct GainedGroup {
+        std::size_t unreconciled = 0;
+        std::size_t total = 0;
+    };
+    void send_probe(const Probe& probe);
+    void on_probe_response(Time now, const Probe& probe, OutboundResponse& response);
+    std::map<Time, GainedGroup> gained_groups() const;
+    std::size_t unreconciled_count() const;
+    std::size_t responsive_count(Time now) const;
+    std::vector<std::string> missing_machines(Time now) const;
 
     const Leadership& leadership_;
     const ClusterSettings& settings_;
     MachineTable& machines_;
     OutboundRequests& requests_;
     Delegate& delegate_;
-    struct Shard {
-        Time since = 0;
-        bool registry_read = false;
-        bool reconciled = false;
-        std::set<std::string> unreconciled;
-    };
     std::map<ShardId, Shard> shards_;
     std::deque<Probe> pending_probes_;
     int probes_in_flight_ = 0;
