--- a/src/core/sharding/owned_shards.cpp
+++ b/src/core/sharding/owned_shards.cpp
@@ -1,3 +1,4 @@
+// Implementation of the state of the owned shards; see the header.
 #include "core/sharding/owned_shards.h"
 
 #include <algorithm>
@@ -5,30 +6,31 @@
 namespace scheduler {
 
 OwnedShards::Changes OwnedShards::update(Time now) {
-    Changes news;
-    std::uint64_t read = partition_map_.revision();
-    if (read <= map_revision_ || read < leadership_.term() || read < min_map_revision_) {
-        return news;
+    Changes changes;
+    std::uint64_t revision = partition_map_.revision();
+    if (revision <= map_revision_ || revision < leadership_.term() ||
+        revision < min_map_revision_) {
+        return changes;
     }
-    map_revision_ = read;
+    map_revision_ = revision;
     for (const auto& [home, holders] : partition_map_.holders()) {
         if (!partition_map_.is_readable(home)) {
-            continue; // what was read before may be older than the last change: ours stay ours
+            continue; // the last readable map may be older than the last change: ownership stays
         }
         for (int number = 0; number < static_cast<int>(holders.size()); ++number) {
             ShardId id{home, number};
             int holder = holders[static_cast<std::size_t>(number)];
-            auto mine = shards_.find(id);
-            if (holder == leadership_.partition() && mine == shards_.end()) {
-                shards_[id] = {read, now, State::owned};
-                news.gained.push_back(id);
-            } else if (holder != leadership_.partition() && mine != shards_.end()) {
-                shards_.erase(mine);
-                news.lost.emplace_back(id, holder);
+            auto owned = shards_.find(id);
+            if (holder == leadership_.partition() && owned == shards_.end()) {
+                shards_[id] = {revision, now, State::owned};
+                changes.gained.push_back(id);
+            } else if (holder != leadership_.partition() && owned != shards_.end()) {
+                shards_.erase(owned);
+                changes.lost.push_back({id, holder});
             }
         }
     }
-    return news;
+    return changes;
 }
 
 const OwnedShards::Shard* OwnedShards::find(const ShardId& shard) const {
@@ -36,14 +38,14 @@
     return it == shards_.end() ? nullptr : &it->second;
 }
 
-bool OwnedShards::may_serve(const ShardId& shard) const {
-    const Shard* s = find(shard);
-    return s && s->state != State::in_doubt;
+bool OwnedShards::may_serve(const ShardId& shard_id) const {
+    const Shard* shard = find(shard_id);
+    return shard && shard->state != State::in_doubt;
 }
 
-bool OwnedShards::may_lend(const ShardId& shard) const {
-    const Shard* s = find(shard);
-    return s && s->state == State::owned;
+bool OwnedShards::may_lend(const ShardId& shard_id) const {
+    const Shard* shard = find(shard_id);
+    return shard && shard->state == State::owned;
 }
 
 void OwnedShards::migrated_out(const ShardId& shard, std::uint64_t revision) {
--- a/src/core/sharding/shard_balancer.cpp
+++ b/src/core/sharding/shard_balancer.cpp
@@ -1,3 +1,4 @@
+// Implementation of the balancing of shards; see the header.
 #include "core/sharding/shard_balancer.h"
 
 #include <algorithm>
@@ -5,16 +6,27 @@
 namespace scheduler {
 
 namespace {
-constexpr double kLeastCapacity = 0.1;
-constexpr double kLate = 1.0 / 12;  // of a report time, on the average of one: the timer comes late
-constexpr double kFall = 0.75;      // of the capacity that is left then
-constexpr double kRise = 0.1;       // of the whole, for each lease time without
-constexpr double kBegin = 1.5;      // times the load of the other, for what each can do
-constexpr double kEnd = 1.15;       // ... until it is no more than this
-constexpr double kMachines = 8;     // for each part, on the average: below that a machine is a lot
-constexpr double kHourly = 4;       // moves in an hour, in shares that a part has at home
-constexpr double kPauseReports = 1; // between two moves of one giver
-constexpr double kHour = 3600;
+constexpr double kMinHeadroom = 0.1;
+// The timer is late if its average delay in a window exceeds this part of a heartbeat interval.
+constexpr double kLateTickFraction = 1.0 / 12;
+// The headroom is multiplied by this after a window with a late timer ...
+constexpr double kHeadroomDecrease = 0.75;
+// ... and grows by this in each lease time without one.
+constexpr double kHeadroomIncrease = 0.1;
+// Rebalancing begins when the own load per headroom is this many times that of the least loaded
+// partition, and ends when it is no more than the second factor.
+constexpr double kBeginLoadRatio = 1.5;
+constexpr double kEndLoadRatio = 1.15;
+// Machines per partition on average, below which one machine more or less is too large a difference
+// to balance.
+constexpr double kMinMachinesPerPartition = 8;
+// Migrations per hour, as a multiple of the shards whose home is one partition.
+constexpr double kMaxHourlyMovesPerShard = 4;
+// Heartbeat intervals between two migrations out of one partition.
+constexpr double kPauseHeartbeats = 1;
+constexpr double kSecondsPerHour = 3600;
+
+double load_of(const PartitionLoad& partition) { return partition.slots / partition.cpu_headroom; }
 } // namespace
 
 CpuHeadroom::CpuHeadroom(const ClusterSettings& settings, double tick_s)
@@ -22,23 +34,26 @@
       tick_s_(tick_s) {}
 
 void CpuHeadroom::tick(Time now) {
-    if (last_ < 0) {
-        last_ = now;
+    if (last_tick_ < 0) {
+        last_tick_ = now;
         window_since_ = now;
         raise_at_ = now + lease_s_;
         return;
     }
-    late_s_ += std::max(0.0, now - last_ - tick_s_);
+    late_s_ += std::max(0.0, now - last_tick_ - tick_s_);
     ++ticks_;
-    last_ = now;
-    if (now - window_since_ < heartbeat_interval_s_) {
-        return;
+    last_tick_ = now;
+    if (now - window_since_ >= heartbeat_interval_s_) {
+        end_window(now);
     }
-    if (late_s_ / ticks_ > kLate * heartbeat_interval_s_) {
-        value_ = std::max(kLeastCapacity, value_ * kFall);
+}
+
+void CpuHeadroom::end_window(Time now) {
+    if (late_s_ / ticks_ > kLateTickFraction * heartbeat_interval_s_) {
+        value_ = std::max(kMinHeadroom, value_ * kHeadroomDecrease);
         raise_at_ = now + lease_s_;
     } else if (now >= raise_at_) {
-        value_ = std::min(1.0, value_ + kRise);
+        value_ = std::min(1.0, value_ + kHeadroomIncrease);
         raise_at_ = now + lease_s_;
     }
     window_since_ = now;
@@ -48,59 +63,80 @@
 
 ShardBalancer::ShardBalancer(const ClusterSettings& settings)
     : heartbeat_interval_s_(settings.heartbeat_interval_s),
-      max_moves_per_hour_(kHourly * shards_per_home(settings, settings.home_partition)),
+      max_moves_per_hour_(kMaxHourlyMovesPerShard *
+                          shards_per_home(settings, settings.home_partition)),
       moves_left_(shards_per_home(settings, settings.home_partition)) {}
 
 void ShardBalancer::on_migration_started(Time now) {
     moves_left_ -= 1;
-    next_ = now + kPauseReports * heartbeat_interval_s_;
+    next_ = now + kPauseHeartbeats * heartbeat_interval_s_;
+}
+
+// Adds the moves that the bound per hour has earned since the last call.
+void ShardBalancer::refill_moves(Time now) {
+    double earned = (now - moves_left_at_) * max_moves_per_hour_ / kSecondsPerHour;
+    moves_left_ = std::min(max_moves_per_hour_ / kMaxHourlyMovesPerShard, moves_left_ + earned);
+    moves_left_at_ = now;
+}
+
+ShardBalancer::Pair
+ShardBalancer::own_and_least_loaded(int self, const std::vector<PartitionLoad>& partitions) {
+    Pair pair;
+    for (const auto& partition : partitions) {
+        if (partition.partition == self) {
+            pair.own = &partition;
+        } else if (partition.accepts_shards &&
+                   (!pair.least_loaded || load_of(partition) < load_of(*pair.least_loaded))) {
+            pair.least_loaded = &partition;
+        }
+    }
+    return pair;
+}
+
+// The largest movable shard after whose migration `from` is not loaded less than `to`; of equal
+// ones, one that returns to its home. Null if there is none.
+const ShardLoad* ShardBalancer::best_shard(const PartitionLoad& from, const PartitionLoad& to,
+                                           const std::vector<ShardLoad>& shards) {
+    auto rank = [&](const ShardLoad& shard) {
+        return std::pair(shard.slots, shard.shard.home_partition == to.partition);
+    };
+    const ShardLoad* best = nullptr;
+    for (const auto& shard : shards) {
+        double from_load = (from.slots - shard.slots) / from.cpu_headroom;
+        double to_load = (to.slots + shard.slots) / to.cpu_headroom;
+        bool fits = shard.movable && from_load >= to_load;
+        if (fits && (!best || rank(shard) > rank(*best))) {
+            best = &shard;
+        }
+    }
+    return best;
 }
 
 std::optional<ShardMove> ShardBalancer::choose(Time now, int self,
                                                const std::vector<PartitionLoad>& partitions,
                                                const std::vector<ShardLoad>& shards,
                                                double machine_slots) {
-    moves_left_ = std::min(max_moves_per_hour_ / kHourly,
-                           moves_left_ + (now - moves_left_at_) * max_moves_per_hour_ / kHour);
-    moves_left_at_ = now;
-    double total = 0;
-    const PartitionLoad* mine = nullptr;
-    const PartitionLoad* least = nullptr;
-    auto load = [](const PartitionLoad& p) { return p.slots / p.cpu_headroom; };
-    for (const auto& p : partitions) {
-        total += p.slots;
-        if (p.partition == self) {
-            mine = &p;
-        } else if (p.accepts_shards && (!least || load(p) < load(*least))) {
-            least = &p;
-        }
+    refill_moves(now);
+    double total_slots = 0;
+    for (const auto& partition : partitions) {
+        total_slots += partition.slots;
     }
-    if (!mine || !least ||
-        total < kMachines * machine_slots * static_cast<double>(partitions.size())) {
+    auto [own, least_loaded] = own_and_least_loaded(self, partitions);
+    double min_slots =
+        kMinMachinesPerPartition * machine_slots * static_cast<double>(partitions.size());
+    if (!own || !least_loaded || total_slots < min_slots) {
         return std::nullopt;
     }
-    double bound = rebalancing_ ? kEnd : kBegin;
-    rebalancing_ = load(*mine) > bound * load(*least);
+    double max_ratio = rebalancing_ ? kEndLoadRatio : kBeginLoadRatio;
+    rebalancing_ = load_of(*own) > max_ratio * load_of(*least_loaded);
     if (!rebalancing_ || now < next_ || moves_left_ < 1) {
         return std::nullopt;
     }
-    // The largest share after which the giver is not below the taker; of equals the one that goes
-    // home.
-    const ShardLoad* best = nullptr;
-    auto rank = [&](const ShardLoad& s) {
-        return std::pair(s.slots, s.shard.home_partition == least->partition);
-    };
-    for (const auto& s : shards) {
-        bool fits = s.movable && (mine->slots - s.slots) / mine->cpu_headroom >=
-                                     (least->slots + s.slots) / least->cpu_headroom;
-        if (fits && (!best || rank(s) > rank(*best))) {
-            best = &s;
-        }
-    }
+    const ShardLoad* best = best_shard(*own, *least_loaded, shards);
     if (!best || best->slots <= 0) {
         return std::nullopt;
     }
-    return ShardMove{best->shard, least->partition};
+    return ShardMove{best->shard, least_loaded->partition};
 }
 
 } // namespace scheduler
--- a/src/core/sharding/shard_balancer.h
+++ b/src/core/sharding/shard_balancer.h
@@ -1,67 +1,84 @@
-// When a share of machines is to move, and to whom: pure functions of what owners tell each other.
-// See "When to move" in docs/shares.md.
+// Decides when a shard of machines is to migrate, and to which partition: a pure function of what
+// partition leaders tell each other. See "When to move" in docs/shares.md.
 #pragma once
 
 #include "core/model/shards.h"
 
 namespace scheduler {
 
-// How much of its work a node's processor keeps up with, reckoned by the node itself: from a tenth
-// to one. It falls by a part in each report time in which the timer came late, and rises by a step
-// in each lease time in which it did not.
+// How much of its work a controller's processor keeps up with, as estimated by the controller
+// itself: from 0.1 to 1. The estimate falls by a factor in each heartbeat interval in which the
+// timer fired late, and rises by a step in each lease time in which it did not.
 class CpuHeadroom {
   public:
+    // `tick_s`: the period of the timer in seconds.
     CpuHeadroom(const ClusterSettings& settings, double tick_s);
-    // The timer has come.
+    // The timer has fired.
     void tick(Time now);
     double value() const { return value_; }
 
   private:
+    void end_window(Time now);
+
     double heartbeat_interval_s_;
     double lease_s_;
     double tick_s_;
     double value_ = 1;
-    Time last_ = -1;
+    Time last_tick_ = -1; // below 0: none yet
     Time window_since_ = 0;
-    double late_s_ = 0; // in this window
-    int ticks_ = 0;
+    double late_s_ = 0; // total delay of the ticks in this window
+    int ticks_ = 0;     // in this window
     Time raise_at_ = 0;
 };
 
-// What an owner knows of the machines of a part, its own included.
+// What a leader knows of the machines of a partition, its own included.
 struct PartitionLoad {
     int partition = 0;
     double slots = 0; // of usable machines
     double cpu_headroom = 1;
-    bool accepts_shards = false; // heard of lately, by its home node: it can be given shares
+    bool accepts_shards = false; // heard from lately, and led by its home controller
 };
-// A share that its holder could give.
+
+// A shard of this partition that could migrate.
 struct ShardLoad {
     ShardId shard;
     double slots = 0;
-    bool movable = false; // nothing is in the way of a move
+    bool movable = false; // nothing prevents a migration
 };
+
 struct ShardMove {
     ShardId shard;
     int to_partition = 0;
 };
 
+// Chooses migrations, with hysteresis and a bound on their number per hour. Called only from the
+// controller's event loop.
 class ShardBalancer {
   public:
     explicit ShardBalancer(const ClusterSettings& settings);
-    // What `self` should give now, if anything. `machine_slots`: of the largest type.
+    // The migration that partition `self` should begin now, if any. `machine_slots`: the slots of
+    // the largest instance type.
     std::optional<ShardMove> choose(Time now, int self,
                                     const std::vector<PartitionLoad>& partitions,
                                     const std::vector<ShardLoad>& shards, double machine_slots);
-    // A move has begun.
+    // The chosen migration has begun.
     void on_migration_started(Time now);
 
   private:
+    struct Pair {
+        const PartitionLoad* own = nullptr;
+        const PartitionLoad* least_loaded = nullptr; // of those that accept shards
+    };
+    void refill_moves(Time now);
+    static Pair own_and_least_loaded(int self, const std::vector<PartitionLoad>& partitions);
+    static const ShardLoad* best_shard(const PartitionLoad& from, const PartitionLoad& to,
+                                       const std::vector<ShardLoad>& shards);
+
     double heartbeat_interval_s_;
     double max_moves_per_hour_;
-    double moves_left_; // moves that the hour's bound leaves
+    double moves_left_; // that the bound per hour leaves
     Time moves_left_at_ = 0;
-    Time next_ = 0;
+    Time next_ = 0;            // no migration before this
     bool rebalancing_ = false; // the difference has been large, and is not small yet
 };
 
--- a/src/core/sharding/shard_manager.cpp
+++ b/src/core/sharding/shard_manager.cpp
@@ -1,3 +1,4 @@
+// Implementation of the shard manager; see the header.
 #include "core/sharding/shard_manager.h"
 
 #include <algorithm>
@@ -5,35 +6,37 @@
 namespace scheduler {
 
 namespace {
-constexpr double kHeardReports = 1.5; // a machine heard within so many report times is heard
-constexpr double kHears = 0.75;       // of its machines, at least: then an owner hears them
+// A machine is responsive if its last heartbeat is at most this many intervals old.
+constexpr double kResponsiveHeartbeats = 1.5;
+// The part of its machines that must be responsive for a partition to accept shards.
+constexpr double kMinResponsiveFraction = 0.75;
 } // namespace
 
 ShardManager::ShardManager(const Leadership& leadership, const ClusterSettings& settings,
                            PartitionMap& partition_map, OwnedShards& owned_shards,
                            const InstanceTypeCatalog& types, const CapacityPlanner& planner,
-                           MachineState books, OutboundRequests& requests, Delegate& delegate)
+                           MachineState state, OutboundRequests& requests, Delegate& delegate)
     : leadership_(leadership), settings_(settings), partition_map_(partition_map),
-      owned_shards_(owned_shards), types_(types), planner_(planner), state_(books),
+      owned_shards_(owned_shards), types_(types), planner_(planner), state_(state),
       requests_(requests), delegate_(delegate),
       migration_(leadership, settings, partition_map, owned_shards, requests, *this),
       balancer_(settings) {}
 
 void ShardManager::on_map_updated(Time now) {
-    OwnedShards::Changes news = owned_shards_.update(now);
-    for (const auto& [shard, to] : news.lost) {
+    OwnedShards::Changes changes = owned_shards_.update(now);
+    for (const auto& [shard, to_partition] : changes.lost) {
         migration_.on_shard_lost(shard);
-        on_migrated(now, shard, to);
+        on_migrated(now, shard, to_partition);
     }
-    for (const auto& shard : news.gained) {
+    for (const auto& shard : changes.gained) {
         on_shard_gained(now, shard);
     }
     delegate_.load_registries(now);
     migration_.tick(now);
 }
 
-// What runs there is not known yet: our own tasks among it stand as borrowed until its machines
-// have listed them.
+// What runs on the shard's machines is not known yet: this partition's own tasks among it stay
+// recorded as borrowed until the machines have listed them.
 void ShardManager::on_shard_gained(Time now, const ShardId& shard) {
     state_.reconciliation.begin(now, shard);
     state_.borrower.migrated_in(shard, owned_shards_.term(shard));
@@ -52,64 +55,74 @@
     }
 }
 
-void ShardManager::announce_transfer(int to, const ShardTransfer& transfer) {
-    partition_map_.on_shard_moved(transfer.shard, to, transfer.revision);
-    state_.borrower.announce_transfer(to, transfer);
+void ShardManager::announce_transfer(int to_partition, const ShardTransfer& transfer) {
+    partition_map_.on_shard_moved(transfer.shard, to_partition, transfer.revision);
+    state_.borrower.announce_transfer(to_partition, transfer);
 }
 
-void ShardManager::on_migrated(Time now, const ShardId& shard, int to) {
-    state_.reconciliation.end(shard);
-    state_.lender.unpublish_shard(shard);
+std::vector<std::string> ShardManager::machine_names(const ShardId& shard) const {
     std::vector<std::string> names;
-    for (const auto& [name, m] : state_.machines.all()) {
-        if (m.shard == shard) {
+    for (const auto& [name, machine] : state_.machines.all()) {
+        if (machine.shard == shard) {
             names.push_back(name);
         }
     }
-    for (const auto& name : names) {
-        Machine& machine = *state_.machines.find(name);
-        for (const auto& g :
-             state_.machines.cancel_queued_starts(machine)) { // they have not gone out
-            delegate_.on_task_removed(now, name, g);
-        }
-        if (machine.agent_epoch == 0 && !machine.registered && !machine.registration_pending) {
-            // Not up yet: named to the taker, or it would be rented once more.
-            state_.demand.add_provisioned(machine.known_since, name,
-                                          {"", machine.type.name, machine.zone, machine.spot, 1});
-        }
-        for (const auto& [task, p] : machine.tasks) {
-            if (leadership_.is_own_attempt(p.attempt)) {
-                state_.borrower.migrated_out(
-                    task, {p.attempt, to, name, machine.zone, shard, machine.term});
-            }
-        }
-        state_.registry.forget(name);
-        state_.lender.forget(machine);
-        state_.slots.forget(name);
-        state_.machines.remove(name);
+    return names;
+}
+
+void ShardManager::on_migrated(Time now, const ShardId& shard, int to_partition) {
+    state_.reconciliation.end(shard);
+    state_.lender.unpublish_shard(shard);
+    for (const auto& name : machine_names(shard)) {
+        remove_machine(now, name, to_partition);
     }
     state_.demand.invalidate();
 }
 
-bool ShardManager::is_quiescent(const ShardId& shard) const {
-    for (const auto& [name, m] : state_.machines.all()) {
-        bool moves =
-            m.shard == shard &&
-            (m.command_in_flight != 0 || m.releasing || !m.lent_slots.empty() ||
-             !m.outbox.empty() || std::any_of(m.tasks.begin(), m.tasks.end(), [](const auto& t) {
-                 return t.second.via != Placement::Via::reported;
-             }));
-        if (moves) {
-            return false;
+// Removes a machine that is the other partition's from every table of this one.
+void ShardManager::remove_machine(Time now, const std::string& name, int to_partition) {
+    Machine& machine = *state_.machines.find(name);
+    // These have not been sent out.
+    for (const auto& removed : state_.machines.cancel_queued_starts(machine)) {
+        delegate_.on_task_removed(now, name, removed);
+    }
+    if (machine.agent_epoch == 0 && !machine.registered && !machine.registration_pending) {
+        // Not up yet: named to the new owner, which would otherwise provision another one.
+        state_.demand.add_provisioned(machine.known_since, name,
+                                      {"", machine.type.name, machine.zone, machine.spot, 1});
+    }
+    for (const auto& [task, placement] : machine.tasks) {
+        if (leadership_.is_own_attempt(placement.attempt)) {
+            state_.borrower.migrated_out(task, {placement.attempt, to_partition, name, machine.zone,
+                                                machine.shard, machine.term});
         }
     }
-    return true;
+    state_.registry.forget(name);
+    state_.lender.forget(machine);
+    state_.slots.forget(name);
+    state_.machines.remove(name);
+}
+
+// Is a launch, a lent slot or a command on its way to the machine?
+bool ShardManager::has_command_in_flight(const Machine& machine) {
+    return machine.command_in_flight != 0 || machine.releasing || !machine.lent_slots.empty() ||
+           !machine.outbox.empty() ||
+           std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const auto& entry) {
+               return entry.second.via != Placement::Via::reported;
+           });
+}
+
+bool ShardManager::is_quiescent(const ShardId& shard) const {
+    const auto& machines = state_.machines.all();
+    return std::none_of(machines.begin(), machines.end(), [&](const auto& entry) {
+        return entry.second.shard == shard && has_command_in_flight(entry.second);
+    });
 }
 
 void ShardManager::update_slot_lists(const ShardId& shard) {
-    for (auto& [name, m] : state_.machines.all()) {
-        if (m.shard == shard) {
-            delegate_.update_slot_lists(m);
+    for (auto& [name, machine] : state_.machines.all()) {
+        if (machine.shard == shard) {
+            delegate_.update_slot_lists(machine);
         }
     }
 }
@@ -124,52 +137,68 @@
     if (!delegate_.reconciled() || !state_.reconciliation.all_reconciled()) {
         return false;
     }
-    std::size_t heard = 0;
-    for (const auto& [name, m] : state_.machines.all()) {
-        heard +=
-            m.reporting && now - m.last_heartbeat < kHeardReports * settings_.heartbeat_interval_s;
+    double max_silence_s = kResponsiveHeartbeats * settings_.heartbeat_interval_s;
+    std::size_t responsive = 0;
+    for (const auto& [name, machine] : state_.machines.all()) {
+        responsive += machine.reporting && now - machine.last_heartbeat < max_silence_s;
     }
-    return static_cast<double>(heard) >=
-           kHears * static_cast<double>(state_.machines.reporting_count());
+    return static_cast<double>(responsive) >=
+           kMinResponsiveFraction * static_cast<double>(state_.machines.reporting_count());
 }
 
-void ShardManager::balance(Time now) {
-    // Before the part has settled, and its peers have been heard, nothing is known well enough.
-    if (migration_.busy() || !delegate_.reconciled() ||
-        now - leadership_.since() < settings_.worker_lease_s || types_.empty()) {
-        return;
-    }
+std::vector<PartitionLoad> ShardManager::partition_loads(Time now) {
     const PartitionCapacity& own = state_.demand.current(now).capacity;
-    std::vector<PartitionLoad> partitions{
+    std::vector<PartitionLoad> loads{
         {leadership_.partition(), own.total_slots(), own.cpu_headroom, false}};
     for (const auto& [partition, peer] : state_.demand.peers()) {
-        const PartitionMap::Partition& p = partition_map_.at(partition);
-        bool home = p.leader == settings_.partitions[static_cast<std::size_t>(partition)].node;
-        partitions.push_back({partition, peer.capacity.total_slots(), peer.capacity.cpu_headroom,
-                              home && peer.capacity.accepts_shards &&
-                                  now - peer.received_at < settings_.heartbeat_interval_s});
-    }
-    std::map<ShardId, ShardLoad> loads;
+        const std::string& home_node =
+            settings_.partitions[static_cast<std::size_t>(partition)].node;
+        bool led_from_home = partition_map_.at(partition).leader == home_node;
+        bool accepts = led_from_home && peer.capacity.accepts_shards &&
+                       now - peer.received_at < settings_.heartbeat_interval_s;
+        loads.push_back(
+            {partition, peer.capacity.total_slots(), peer.capacity.cpu_headroom, accepts});
+    }
+    return loads;
+}
+
+std::vector<ShardLoad> ShardManager::shard_loads(Time now) const {
+    std::map<ShardId, ShardLoad> by_shard;
     for (const auto& [id, shard] : owned_shards_.all()) {
-        loads[id] = {id, 0,
-                     state_.reconciliation.is_reconciled(id) &&
-                         partition_map_.is_readable(id.home_partition)};
+        bool movable = state_.reconciliation.is_reconciled(id) &&
+                       partition_map_.is_readable(id.home_partition);
+        by_shard[id] = {id, 0, movable};
     }
-    for (const auto& [name, m] : state_.machines.all()) {
-        if (planner_.is_usable(now, m)) {
-            loads[m.shard].slots += m.type.slots();
+    for (const auto& [name, machine] : state_.machines.all()) {
+        if (planner_.is_usable(now, machine)) {
+            by_shard[machine.shard].slots += machine.type.slots();
         }
     }
-    std::vector<ShardLoad> shards;
-    for (const auto& [id, load] : loads) {
-        shards.push_back(load);
+    std::vector<ShardLoad> loads;
+    for (const auto& [id, load] : by_shard) {
+        loads.push_back(load);
     }
-    double largest = 0;
+    return loads;
+}
+
+double ShardManager::max_slots_per_machine() const {
+    double max_slots = 0;
     for (const auto& type : types_.all()) {
-        largest = std::max(largest, type.slots());
+        max_slots = std::max(max_slots, type.slots());
+    }
+    return max_slots;
+}
+
+void ShardManager::balance(Time now) {
+    // Before this partition is reconciled, and its peers have been heard from, the loads are not
+    // known well enough.
+    if (migration_.busy() || !delegate_.reconciled() ||
+        now - leadership_.since() < settings_.worker_lease_s || types_.empty()) {
+        return;
     }
-    auto choice = balancer_.choose(now, leadership_.partition(), partitions, shards, largest);
-    if (choice && migration_.begin(now, choice->shard, choice->to_partition)) {
+    auto move = balancer_.choose(now, leadership_.partition(), partition_loads(now),
+                                 shard_loads(now), max_slots_per_machine());
+    if (move && migration_.begin(now, move->shard, move->to_partition)) {
         balancer_.on_migration_started(now);
     }
 }
--- a/src/core/sharding/shard_manager.h
+++ b/src/core/sharding/shard_manager.h
@@ -1,5 +1,5 @@
-// The shares of machines of a part as they come and go: what follows for its tables when one is
-// gained or handed on, and when to give one away. See docs/shares.md.
+// The shards of machines of a partition as they migrate in and out: what follows for the
+// partition's tables, and when one is to migrate out. See docs/shares.md.
 #pragma once
 
 #include "core/machines/machine_registry.h"
@@ -12,7 +12,7 @@
 
 namespace scheduler {
 
-// The tables of a part that know machines by their names.
+// The tables of a partition that know machines by name.
 struct MachineState {
     MachineTable& machines;
     SlotLists& slots;
@@ -23,36 +23,43 @@
     DemandTracker& demand;
 };
 
+// Applies changes of shard ownership to the partition's tables, and migrates shards. Called only
+// from the controller's event loop.
 class ShardManager : ShardMigration::Delegate {
   public:
-    struct Delegate { // what it needs of the part it works for
+    // What the shard manager needs of its partition's leader.
+    struct Delegate {
         virtual ~Delegate() = default;
+        // The machine's idle slots have changed, or whether they may be given.
         virtual void update_slot_lists(Machine& machine) = 0;
-        // A start that never went out.
+        // A launch that was never sent out was cancelled.
         virtual void on_task_removed(Time now, const std::string& machine,
                                      const HeartbeatResult::RemovedTask& removed) = 0;
-        // Shares have come: the rosters that they stand on are to be read.
+        // Shards were gained: the machine registries that list their machines are to be read.
         virtual void load_registries(Time now) = 0;
+        // Are all tasks of older jobs known?
         virtual bool reconciled() const = 0;
     };
     ShardManager(const Leadership& leadership, const ClusterSettings& settings,
                  PartitionMap& partition_map, OwnedShards& owned_shards,
                  const InstanceTypeCatalog& types, const CapacityPlanner& planner,
-                 MachineState books, OutboundRequests& requests, Delegate& delegate);
+                 MachineState state, OutboundRequests& requests, Delegate& delegate);
 
-    // The node has read the map of shares.
+    // The controller has read the partition map.
     void on_map_updated(Time now);
-    // Another owner says that it gave us a share.
+    // Another leader announces that it transferred a shard to this partition.
     void accept_transfer(Time now, const ShardTransfer& transfer);
-    // Gives the share to another part, if it is ours to give now.
-    bool migrate(Time now, const ShardId& shard, int to) {
-        return migration_.begin(now, shard, to);
+    // Begins to migrate the shard to another partition. Returns false if that is not possible now.
+    bool migrate(Time now, const ShardId& shard, int to_partition) {
+        return migration_.begin(now, shard, to_partition);
     }
+    // Advances the migration in progress. Called by the partition leader's timer.
     void tick(Time now) { migration_.tick(now); }
-    // Gives what `Balance` says.
+    // Begins the migration that the balancer chooses, if any.
     void balance(Time now);
-    // Can the part be given a share? Not while it has one to account for, nor when it does not hear
-    // the machines that it has: such an owner looks as if it had little to do.
+    // May a shard migrate to this partition? Not while a shard is unreconciled, nor when the
+    // leader does not receive the heartbeats of its own machines: such a leader looks as if it had
+    // little to do.
     bool accepts_shards(Time now) const;
 
   private:
@@ -60,12 +67,18 @@
     bool is_quiescent(const ShardId& shard) const override;
     void update_slot_lists(const ShardId& shard) override;
     void republish_inventory(const ShardId& shard) override;
-    void on_migrated(Time now, const ShardId& shard, int to) override;
-    void announce_transfer(int to, const ShardTransfer& transfer) override;
+    void on_migrated(Time now, const ShardId& shard, int to_partition) override;
+    void remove_machine(Time now, const std::string& name, int to_partition);
+    std::vector<std::string> machine_names(const ShardId& shard) const;
+    static bool has_command_in_flight(const Machine& machine);
+    std::vector<PartitionLoad> partition_loads(Time now);
+    std::vector<ShardLoad> shard_loads(Time now) const;
+    double max_slots_per_machine() const;
+    void announce_transfer(int to_partition, const ShardTransfer& transfer) override;
 
     const Leadership& leadership_;
     const ClusterSettings& settings_;
-    PartitionMap& partition_map_; // the node's, told of moves before they are read
+    PartitionMap& partition_map_; // the controller's, told of migrations before they are read
     OwnedShards& owned_shards_;
     const InstanceTypeCatalog& types_;
     const CapacityPlanner& planner_;
--- a/tests/share_test.cpp
+++ b/tests/share_test.cpp
@@ -269,7 +269,7 @@
     given[0] = 3;
     auto news = h.read_map(30, given, 29);
     ASSERT_EQ(news.lost.size(), 1u);
-    EXPECT_EQ(news.lost[0], (std::pair(ShardId{2, 0}, 3)));
+    EXPECT_EQ(news.lost[0], (OwnedShards::LostShard{ShardId{2, 0}, 3}));
     EXPECT_FALSE(h.holdings->may_serve({2, 0}));
     EXPECT_TRUE(h.read_map(28, h.at_home(2), 7).gained.empty()); // a read that was overtaken
     EXPECT_EQ(h.read_map(35, h.at_home(2), 33).gained.size(), 1u);
