--- a/src/core/jobs/cancellation_broadcast.cpp
+++ b/src/core/jobs/cancellation_broadcast.cpp
@@ -1,3 +1,4 @@
+// Implementation of the broadcast of cancellations; see the header.
 #include "core/jobs/cancellation_broadcast.h"
 
 #include <algorithm>
@@ -6,15 +7,18 @@
 namespace scheduler {
 
 namespace {
-constexpr double kLongestWait = 1.0 / 12; // of a report time
-constexpr double kUnheard = 1.0;          // report times
-constexpr std::size_t kMostJobs = 500;    // in a call: well under 64 KiB
+// Heartbeat intervals that a peer is waited for.
+constexpr double kMaxWaitHeartbeats = 1.0 / 12;
+// Heartbeat intervals for which a peer that did not respond is not waited for again.
+constexpr double kUnresponsiveHeartbeats = 1.0;
+// Jobs in a call, which keep it well under 64 KiB.
+constexpr std::size_t kMaxJobsPerCall = 500;
 } // namespace
 
 CancellationBroadcast::CancellationBroadcast(const ClusterSettings& settings,
                                              OutboundRequests& requests)
-    : requests_(requests), longest_wait_s_(kLongestWait * settings.heartbeat_interval_s),
-      unresponsive_s_(kUnheard * settings.heartbeat_interval_s) {
+    : requests_(requests), max_wait_s_(kMaxWaitHeartbeats * settings.heartbeat_interval_s),
+      unresponsive_s_(kUnresponsiveHeartbeats * settings.heartbeat_interval_s) {
     for (const auto& partition : settings.partitions) {
         if (partition.node != settings.node) {
             peers_[partition.node];
@@ -22,68 +26,73 @@
     }
 }
 
-void CancellationBroadcast::broadcast(Time now, const std::string& job, OnDelivered then) {
-    Waiter wait{job, {}, now + longest_wait_s_, std::move(then)};
-    for (auto& [node, sibling] : peers_) {
-        if (now >= sibling.unresponsive_until) {
-            wait.nodes.insert(node);
+void CancellationBroadcast::broadcast(Time now, const std::string& job, OnDelivered on_delivered) {
+    Waiter waiter{job, {}, now + max_wait_s_, std::move(on_delivered)};
+    for (auto& [node, peer] : peers_) {
+        if (now >= peer.unresponsive_until) {
+            waiter.nodes.insert(node);
         }
-        sibling.pending.push_back(job);
-        if (sibling.pending.size() > kMostJobs) { // by now its watch has told it of the first ones
-            sibling.pending.pop_front();
+        peer.pending.push_back(job);
+        if (peer.pending.size() > kMaxJobsPerCall) {
+            peer.pending.pop_front(); // by now its watch has told it of the first ones
         }
     }
-    waiters_.push_back(std::move(wait));
-    for (const auto& [node, sibling] : peers_) {
-        if (!sibling.in_flight) {
+    waiters_.push_back(std::move(waiter));
+    send_to_idle_peers();
+    flush(now);
+}
+
+void CancellationBroadcast::send_to_idle_peers() {
+    for (const auto& [node, peer] : peers_) {
+        if (!peer.in_flight) {
             send(node);
         }
     }
-    flush(now);
 }
 
 void CancellationBroadcast::send(const std::string& node) {
-    Peer& sibling = peers_.at(node);
-    std::vector<std::string> jobs(sibling.pending.begin(), sibling.pending.end());
-    sibling.pending.clear();
-    sibling.in_flight = true;
+    Peer& peer = peers_.at(node);
+    std::vector<std::string> jobs(peer.pending.begin(), peer.pending.end());
+    peer.pending.clear();
+    peer.in_flight = true;
     requests_.send(CancellationCall{node, jobs},
                    [this, node, jobs](Time at, OutboundResponse& response) {
-                       Peer& s = peers_.at(node);
-                       s.in_flight = false;
-                       s.unresponsive_until = response.status == 200 ? -1 : at + unresponsive_s_;
+                       Peer& called = peers_.at(node);
+                       bool responded = response.status == 200;
+                       called.in_flight = false;
+                       called.unresponsive_until = responded ? -1 : at + unresponsive_s_;
                        on_response(at, node, jobs);
-                       if (!s.pending.empty()) {
+                       if (!called.pending.empty()) {
                            send(node);
                        }
                    });
 }
 
-// With or without an answer there is nothing more to wait for.
+// Whether the call succeeded or not, there is nothing more to wait for.
 void CancellationBroadcast::on_response(Time now, const std::string& node,
                                         const std::vector<std::string>& jobs) {
-    for (auto& wait : waiters_) {
-        if (std::find(jobs.begin(), jobs.end(), wait.job) != jobs.end()) {
-            wait.nodes.erase(node);
+    for (auto& waiter : waiters_) {
+        if (std::find(jobs.begin(), jobs.end(), waiter.job) != jobs.end()) {
+            waiter.nodes.erase(node);
         }
     }
     flush(now);
 }
 
 void CancellationBroadcast::flush(Time now) {
-    std::vector<Waiter> over;
-    std::erase_if(waiters_, [&](Waiter& wait) {
-        if (!wait.nodes.empty() && now < wait.until) {
+    std::vector<Waiter> finished;
+    std::erase_if(waiters_, [&](Waiter& waiter) {
+        if (!waiter.nodes.empty() && now < waiter.until) {
             return false;
         }
-        over.push_back(std::move(wait));
+        finished.push_back(std::move(waiter));
         return true;
     });
-    for (auto& wait : over) {
-        for (const auto& node : wait.nodes) {
+    for (auto& waiter : finished) {
+        for (const auto& node : waiter.nodes) {
             peers_.at(node).unresponsive_until = now + unresponsive_s_;
         }
-        wait.on_delivered(now);
+        waiter.on_delivered(now);
     }
 }
 
--- a/src/core/jobs/job_record_cache.cpp
+++ b/src/core/jobs/job_record_cache.cpp
@@ -1,15 +1,17 @@
+// Implementation of the cache of job records; see the header.
 #include "core/jobs/job_record_cache.h"
 
 namespace scheduler {
 
 namespace {
-constexpr std::size_t kCancelled = 1000; // well under 64 KiB when told
-}
+// Cancelled jobs remembered, which keep a message that names them all well under 64 KiB.
+constexpr std::size_t kMaxCancelledJobs = 1000;
+} // namespace
 
 void JobRecordCache::observe(Time now, const std::string& id, std::uint64_t version,
                              const StoredRecord& record) {
     const auto* job = std::get_if<JobRecord>(&record);
-    if (!job) { // cannot be read: whoever polls it is to find out for himself
+    if (!job) { // unreadable: every poll of it is to read it anew
         open_.erase(id);
     } else if (job->outcome != Outcome::none) {
         observe_outcome(now, id, job->outcome);
@@ -26,10 +28,10 @@
     if (!final_.find(id)) {
         final_.put(id, outcome);
         if (outcome == Outcome::cancelled) {
-            cancelled_.emplace_back(now, id);
+            cancelled_.push_back({now, id});
         }
-        if (cancelled_.size() > kCancelled) {
-            cancelled_floor_ = cancelled_.front().first;
+        if (cancelled_.size() > kMaxCancelledJobs) {
+            cancelled_floor_ = cancelled_.front().seen_at;
             cancelled_.pop_front();
         }
     }
@@ -39,11 +41,11 @@
     if (when <= cancelled_floor_) {
         return std::nullopt;
     }
-    std::vector<std::string> out;
-    for (auto it = cancelled_.rbegin(); it != cancelled_.rend() && it->first >= when; ++it) {
-        out.push_back(it->second);
+    std::vector<std::string> jobs;
+    for (auto it = cancelled_.rbegin(); it != cancelled_.rend() && it->seen_at >= when; ++it) {
+        jobs.push_back(it->id);
     }
-    return out;
+    return jobs;
 }
 
 std::optional<std::uint64_t> JobRecordCache::version(const std::string& id) const {
--- a/src/core/jobs/job_responses.h
+++ b/src/core/jobs/job_responses.h
@@ -1,4 +1,4 @@
-// Answers that the desks for users share.
+// Responses to users that the job service and the job status reader share.
 #pragma once
 
 #include <functional>
@@ -8,7 +8,8 @@
 
 namespace scheduler {
 
-// If the job is over: its outcome, which never changes. False: it is not known to be over.
+// Responds with the outcome of the job if it is known to be over; outcomes never change. Returns
+// false, without a response, otherwise.
 inline bool respond_if_final(OutboundRequests& requests, const JobRecordCache& job_cache,
                              RequestId request_id, const std::string& job) {
     auto outcome = job_cache.outcome(job);
@@ -19,10 +20,12 @@
     return outcome.has_value();
 }
 
-// Tasks done and running as the owner knows them; false: this node is not the owner.
-using TaskCounts = std::function<bool(const std::string&, std::uint32_t&, std::uint32_t&)>;
+// Sets the numbers of tasks done and running of the job, in this order, as its partition's leader
+// knows them. Returns false if this controller is not that leader.
+using TaskCounts =
+    std::function<bool(const std::string& job, std::uint32_t& done, std::uint32_t& running)>;
 
-// The current state of a job that is open, which the caller has made sure of.
+// Responds with the current state of a job. The caller has made sure that the job is open.
 inline void respond_open(OutboundRequests& requests, const TaskCounts& counts, RequestId request_id,
                          const std::string& job) {
     std::uint32_t done = 0;
@@ -32,7 +35,7 @@
                      JobStatusBody{job, running > 0 ? "running" : "pending", done, running});
 }
 
-// The state service cannot be asked now: the user is to come back.
+// The key-value store cannot be used now: the user is to retry after a second.
 inline void respond_unavailable(OutboundRequests& requests, RequestId request_id) {
     requests.respond(request_id, 503, TextBody{"state service"}, 1);
 }
--- a/src/core/jobs/job_service.cpp
+++ b/src/core/jobs/job_service.cpp
@@ -1,3 +1,4 @@
+// Implementation of the job service; see the header.
 #include "core/jobs/job_service.h"
 
 #include <algorithm>
@@ -8,14 +9,15 @@
 namespace scheduler {
 
 namespace {
-constexpr char kNoType[] = "fits no allowed machine type";
+constexpr char kNoFittingType[] = "fits no allowed machine type";
+
 std::string key_of(const std::string& job) { return kJobPrefix + job; }
 
 bool fits(const JobSpec& spec, const std::vector<InstanceType>& types) {
     return std::any_of(types.begin(), types.end(), [&](const InstanceType& type) {
-        bool here = !spec.zone ||
-                    std::find(type.zones.begin(), type.zones.end(), *spec.zone) != type.zones.end();
-        return spec.allows_type(type.name) && here && spec.cpus <= type.cpus &&
+        bool in_zone = !spec.zone || std::find(type.zones.begin(), type.zones.end(), *spec.zone) !=
+                                         type.zones.end();
+        return spec.allows_type(type.name) && in_zone && spec.cpus <= type.cpus &&
                spec.gpus <= type.gpus && spec.ram_gb <= type.ram_gb;
     });
 }
@@ -25,15 +27,31 @@
     if (!quota) {
         return "unknown team";
     }
-    double times = spec.kind == JobKind::array ? 1 : spec.tasks;
-    return quota->allows(spec.cpus * times, spec.gpus * times) ? "" : "over the team's limit";
+    // The tasks of an array need not run at the same time, those of other jobs do.
+    double tasks_at_once = spec.kind == JobKind::array ? 1 : spec.tasks;
+    return quota->allows(spec.cpus * tasks_at_once, spec.gpus * tasks_at_once)
+               ? ""
+               : "over the team's limit";
+}
+
+JobService::Rejection JobService::check(const JobSpec& spec, const std::vector<InstanceType>& types,
+                                        bool types_current) const {
+    Rejection rejection;
+    rejection.reason = rejection_reason(spec, quotas_.team(spec.team));
+    rejection.by_quota = !rejection.reason.empty();
+    // The cloud provider may offer a fitting type by now.
+    rejection.uncertain = !rejection.by_quota && !types_current;
+    if (!rejection.by_quota && !fits(spec, types)) {
+        rejection.reason = kNoFittingType;
+    }
+    return rejection;
 }
 
 void JobService::submit(Time now, const SubmitJob& submit, const std::vector<InstanceType>& types,
-                        bool current) {
+                        bool types_current) {
     const JobSpec& spec = submit.spec;
-    // An accepted job's retry is answered with its state, whatever the settings say today; so
-    // the job is looked for before it is refused.
+    // A retry of an accepted job is answered with the job's state, whatever the settings say now;
+    // so the job is looked up before it is rejected.
     if (respond_if_final(requests_, job_cache_, submit.request_id, spec.id)) {
         return;
     }
@@ -41,49 +59,43 @@
         requests_.respond(submit.request_id, 503, TextBody{"machine types not known yet"}, 1);
         return;
     }
-    std::string why = rejection_reason(spec, quotas_.team(spec.team));
-    bool by_team = !why.empty();
-    // The cloud may have a type by now that it fits.
-    bool unsure = !by_team && !current;
-    if (!by_team && !fits(spec, types)) {
-        why = kNoType;
-    }
-    if (why.empty()) {
+    Rejection rejection = check(spec, types, types_current);
+    if (rejection.reason.empty()) {
         create(now, submit.request_id, spec);
         return;
     }
-    // What would be refused today may have been accepted under earlier settings, and may be over.
+    // A job that would be rejected now may have been accepted under earlier settings, and may be
+    // over.
     read(
         now, submit.request_id, spec.id,
         [this, request_id = submit.request_id, id = spec.id](Time, const KeyedRecord&) {
             respond_open(requests_, task_counts_, request_id, id);
         },
-        [this, request_id = submit.request_id, why, unsure, by_team, spec, &types,
-         current](Time at) {
-            if (by_team) {
-                reject_after_refresh(at, request_id, spec, types, current);
+        [this, request_id = submit.request_id, rejection, spec, &types, types_current](Time at) {
+            if (rejection.by_quota) {
+                reject_after_refresh(at, request_id, spec, types, types_current);
             } else {
-                reject(request_id, why, unsure);
+                reject(request_id, rejection.reason, rejection.uncertain);
             }
         });
 }
 
-void JobService::reject(RequestId request_id, const std::string& why, bool unsure) {
-    if (unsure) {
+void JobService::reject(RequestId request_id, const std::string& reason, bool uncertain) {
+    if (uncertain) {
         requests_.respond(request_id, 503, TextBody{"machine types may have changed"}, 1);
     } else {
-        requests_.respond(request_id, 422, TextBody{why});
+        requests_.respond(request_id, 422, TextBody{reason});
     }
 }
 
-// By what is in force here the team's limit refuses the job. It may have been raised: only the
-// newest one refuses for good.
+// The team's quota as known here rejects the job. The quota may have been raised: only the newest
+// one, read from the store, rejects for good.
 void JobService::reject_after_refresh(Time now, RequestId request_id, const JobSpec& spec,
-                                      const std::vector<InstanceType>& types, bool current) {
+                                      const std::vector<InstanceType>& types, bool types_current) {
     bool sent = requests_.send_to_store(
         now, StoreRateLimiter::Use::user, StoreGet{kQuotaConfigPrefix + spec.team},
-        [this, request_id, spec, &types, current](Time at, OutboundResponse& response) {
-            const TeamQuota* newest = quotas_.settings(spec.team); // without a key
+        [this, request_id, spec, &types, types_current](Time at, OutboundResponse& response) {
+            const TeamQuota* newest = quotas_.settings(spec.team); // holds if there is no key
             if (response.status == 200 && !response.entries.empty()) {
                 newest = quotas_.team(spec.team);
                 quotas_.apply(at, response.entries[0]);
@@ -91,10 +103,10 @@
                 respond_unavailable(requests_, request_id);
                 return;
             }
-            if (std::string why = rejection_reason(spec, newest); !why.empty()) {
-                reject(request_id, why, false);
+            if (std::string reason = rejection_reason(spec, newest); !reason.empty()) {
+                reject(request_id, reason, false);
             } else if (!fits(spec, types)) {
-                reject(request_id, kNoType, !current);
+                reject(request_id, kNoFittingType, !types_current);
             } else {
                 create(at, request_id, spec);
             }
@@ -111,48 +123,41 @@
     bool sent = requests_.send_to_store(
         now, StoreRateLimiter::Use::user, std::move(transaction),
         [this, request_id, id = spec.id](Time at, OutboundResponse& response) {
-            if (response.status == 200) {
-                job_cache_.observe(at, id, response.revision, JobRecord{});
-                requests_.respond(request_id, 201, JobStatusBody{id, "pending", {}, {}});
-            } else if (response.status == 409) {
-                read(
-                    at, request_id, id,
-                    [this, request_id, id](Time, const KeyedRecord&) {
-                        respond_open(requests_, task_counts_, request_id, id);
-                    },
-                    [this, request_id](Time) { respond_unavailable(requests_, request_id); });
-            } else {
-                respond_unavailable(requests_, request_id);
-            }
+            on_created(at, request_id, id, response);
         });
     if (!sent) {
         respond_unavailable(requests_, request_id);
     }
 }
 
-void JobService::read(Time now, RequestId request_id, const std::string& id, OnOpen open,
-                      OnMissing missing) {
+void JobService::on_created(Time now, RequestId request_id, const std::string& id,
+                            const OutboundResponse& response) {
+    if (response.status == 200) {
+        job_cache_.observe(now, id, response.revision, JobRecord{});
+        requests_.respond(request_id, 201, JobStatusBody{id, "pending", {}, {}});
+    } else if (response.status == 409) { // the job exists: this is a retry
+        read(
+            now, request_id, id,
+            [this, request_id, id](Time, const KeyedRecord&) {
+                respond_open(requests_, task_counts_, request_id, id);
+            },
+            [this, request_id](Time) { respond_unavailable(requests_, request_id); });
+    } else {
+        respond_unavailable(requests_, request_id);
+    }
+}
+
+void JobService::read(Time now, RequestId request_id, const std::string& id, OnOpen on_open,
+                      OnMissing on_missing) {
     bool sent = requests_.send_to_store(
         now, StoreRateLimiter::Use::user, StoreGet{key_of(id)},
-        [this, request_id, id, open, missing](Time at, OutboundResponse& response) {
+        [this, request_id, id, on_open, on_missing](Time at, OutboundResponse& response) {
             if (response.status == 404) {
-                missing(at);
-                return;
-            }
-            if (response.status != 200 || response.entries.empty()) {
+                on_missing(at);
+            } else if (response.status != 200 || response.entries.empty()) {
                 respond_unavailable(requests_, request_id);
-                return;
-            }
-            const KeyedRecord& item = response.entries[0];
-            job_cache_.observe(at, id, item.version, item.record);
-            const auto* record = std::get_if<JobRecord>(&item.record);
-            if (!record) {
-                requests_.log(LogLevel::error, "event=record_unreadable key=" + key_of(id));
-                respond_unavailable(requests_, request_id);
-            } else if (record->outcome != Outcome::none) {
-                respond_if_final(requests_, job_cache_, request_id, id);
             } else {
-                open(at, item);
+                on_read(at, request_id, id, response, on_open);
             }
         });
     if (!sent) {
@@ -160,7 +165,22 @@
     }
 }
 
-// The job is cancelled for good: whoever may start its tasks hears it before its user does.
+void JobService::on_read(Time now, RequestId request_id, const std::string& id,
+                         const OutboundResponse& response, const OnOpen& on_open) {
+    const KeyedRecord& entry = response.entries[0];
+    job_cache_.observe(now, id, entry.version, entry.record);
+    const auto* record = std::get_if<JobRecord>(&entry.record);
+    if (!record) {
+        requests_.log(LogLevel::error, "event=record_unreadable key=" + key_of(id));
+        respond_unavailable(requests_, request_id);
+    } else if (record->outcome != Outcome::none) {
+        respond_if_final(requests_, job_cache_, request_id, id);
+    } else {
+        on_open(now, entry);
+    }
+}
+
+// The job is cancelled for good: whoever may launch its tasks is told before its user is.
 void JobService::confirm(Time now, const CancelJob& cancel) {
     job_cache_.observe_outcome(now, cancel.job, Outcome::cancelled);
     on_cancelled_(now, cancel.job);
@@ -171,7 +191,7 @@
 
 void JobService::cancel(Time now, const CancelJob& cancel, int tries_left) {
     auto outcome = job_cache_.outcome(cancel.job);
-    if (outcome == Outcome::cancelled) { // maybe by a node that ended before it told anybody
+    if (outcome == Outcome::cancelled) { // maybe by a controller that ended before it told anybody
         confirm(now, cancel);
         return;
     }
@@ -180,30 +200,36 @@
     }
     read(
         now, cancel.request_id, cancel.job,
-        [this, cancel, tries_left](Time at, const KeyedRecord& item) {
-            JobRecord record = std::get<JobRecord>(item.record);
-            record.outcome = Outcome::cancelled;
-            StoreTransaction transaction;
-            transaction.conditions.push_back({item.key, item.version});
-            transaction.writes.push_back({item.key, std::move(record), {}});
-            bool sent = requests_.send_to_store(
-                at, StoreRateLimiter::Use::user, std::move(transaction),
-                [this, cancel, tries_left](Time later, OutboundResponse& response) {
-                    if (response.status == 200) {
-                        confirm(later, cancel);
-                    } else if (response.status == 409 && tries_left > 0) {
-                        this->cancel(later, cancel, tries_left - 1);
-                    } else {
-                        respond_unavailable(requests_, cancel.request_id);
-                    }
-                });
-            if (!sent) {
-                respond_unavailable(requests_, cancel.request_id);
-            }
+        [this, cancel, tries_left](Time at, const KeyedRecord& entry) {
+            write_cancellation(at, cancel, entry, tries_left);
         },
         [this, request_id = cancel.request_id](Time) {
             requests_.respond(request_id, 404, TextBody{"no such job"});
         });
 }
 
+// `entry`: the open job as it was just read.
+void JobService::write_cancellation(Time now, const CancelJob& cancel, const KeyedRecord& entry,
+                                    int tries_left) {
+    JobRecord record = std::get<JobRecord>(entry.record);
+    record.outcome = Outcome::cancelled;
+    StoreTransaction transaction;
+    transaction.conditions.push_back({entry.key, entry.version});
+    transaction.writes.push_back({entry.key, std::move(record), {}});
+    bool sent =
+        requests_.send_to_store(now, StoreRateLimiter::Use::user, std::move(transaction),
+                                [this, cancel, tries_left](Time at, OutboundResponse& response) {
+                                    if (response.status == 200) {
+                                        confirm(at, cancel);
+                                    } else if (response.status == 409 && tries_left > 0) {
+                                        this->cancel(at, cancel, tries_left - 1);
+                                    } else {
+                                        respond_unavailable(requests_, cancel.request_id);
+                                    }
+                                });
+    if (!sent) {
+        respond_unavailable(requests_, cancel.request_id);
+    }
+}
+
 } // namespace scheduler
--- a/src/core/jobs/job_status_reader.cpp
+++ b/src/core/jobs/job_status_reader.cpp
@@ -1,3 +1,4 @@
+// Implementation of the polls of job states; see the header.
 #include "core/jobs/job_status_reader.h"
 
 #include <algorithm>
@@ -9,20 +10,26 @@
 namespace scheduler {
 
 namespace {
-constexpr int kConditionTimes = 4; // conditions that a transaction may have for each change
-constexpr double kShare = 0.25;    // of a node's even share of requests, when polls come one by one
-constexpr double kLongestWait = 1.0 / 6; // of a report time: users wait for about two thirds of one
+// Conditions that the store allows in a transaction for each write that it allows.
+constexpr int kConditionsPerWrite = 4;
+// The part of a controller's even share of store requests that polls may use when they are few.
+constexpr double kMaxRequestFraction = 0.25;
+// Heartbeat intervals that a poll waits for the rate limiter: users wait for about two thirds of
+// one.
+constexpr double kMaxWaitHeartbeats = 1.0 / 6;
+// A transaction that the rate limiter held back is tried again after this part of the gather time.
+constexpr double kRetriesPerGatherTime = 4;
 } // namespace
 
 JobStatusReader::JobStatusReader(const ClusterSettings& settings, OutboundRequests& requests,
-                                 JobRecordCache& job_cache, TaskCounts counts)
-    : requests_(requests), job_cache_(job_cache), task_counts_(std::move(counts)),
+                                 JobRecordCache& job_cache, TaskCounts task_counts)
+    : requests_(requests), job_cache_(job_cache), task_counts_(std::move(task_counts)),
       max_keys_(static_cast<std::size_t>(
-          std::max(1, kConditionTimes * settings.store_transaction_limit))),
+          std::max(1, kConditionsPerWrite * settings.store_transaction_limit))),
       gather_s_(static_cast<double>(settings.partitions.size()) /
-                (kShare * std::max(1.0, settings.store_requests_per_s))),
-      longest_wait_s_(kLongestWait * settings.heartbeat_interval_s) {
-    gather_s_ = std::min(gather_s_, longest_wait_s_ / 2);
+                (kMaxRequestFraction * std::max(1.0, settings.store_requests_per_s))),
+      max_wait_s_(kMaxWaitHeartbeats * settings.heartbeat_interval_s) {
+    gather_s_ = std::min(gather_s_, max_wait_s_ / 2);
 }
 
 void JobStatusReader::poll(Time now, RequestId request_id, const std::string& job) {
@@ -31,15 +38,15 @@
     }
     if (job_cache_.version(job)) {
         waiting_.push_back({request_id, job, now});
-    } else if (auto under_way = reads_.find(job); under_way != reads_.end()) {
-        under_way->second.later.push_back(request_id);
+    } else if (auto read_in_flight = reads_.find(job); read_in_flight != reads_.end()) {
+        read_in_flight->second.later.push_back(request_id);
     } else {
         read(now, job, {request_id});
     }
 }
 
 void JobStatusReader::flush(Time now) {
-    while (!waiting_.empty() && now - waiting_.front().since > longest_wait_s_) {
+    while (!waiting_.empty() && now - waiting_.front().since > max_wait_s_) {
         respond_unavailable(requests_, waiting_.front().request);
         waiting_.pop_front();
     }
@@ -48,69 +55,77 @@
         std::size_t before = waiting_.size();
         confirm(now);
         if (waiting_.size() == before) {
-            blocked_until_ = now + gather_s_ / 4;
+            blocked_until_ = now + gather_s_ / kRetriesPerGatherTime;
         }
     }
 }
 
 // One transaction for the jobs that have waited longest, and all polls of each of them.
-void JobStatusReader::confirm(Time now) {
-    StoreTransaction transaction;
+JobStatusReader::Batch JobStatusReader::next_batch() const {
+    Batch batch;
     std::set<std::string> jobs;
-    std::vector<Waiting> asked;
-    std::deque<Waiting> left;
-    std::vector<Waiting> unknown; // forgotten or over since they came
-    for (auto& w : waiting_) {
-        auto version = job_cache_.version(w.job);
+    for (const auto& waiting : waiting_) {
+        auto version = job_cache_.version(waiting.job);
         if (!version) {
-            unknown.push_back(w);
-        } else if (jobs.contains(w.job)) {
-            asked.push_back(w);
-        } else if (transaction.conditions.size() < max_keys_) {
-            transaction.conditions.push_back({kJobPrefix + w.job, *version});
-            jobs.insert(w.job);
-            asked.push_back(w);
+            batch.unknown.push_back(waiting);
+        } else if (jobs.contains(waiting.job)) {
+            batch.included.push_back(waiting);
+        } else if (batch.transaction.conditions.size() < max_keys_) {
+            batch.transaction.conditions.push_back({kJobPrefix + waiting.job, *version});
+            jobs.insert(waiting.job);
+            batch.included.push_back(waiting);
         } else {
-            left.push_back(w);
+            batch.left.push_back(waiting);
         }
     }
-    if (!asked.empty() &&
-        !requests_.send_to_store(now, StoreRateLimiter::Use::poll, std::move(transaction),
-                                 [this, asked](Time at, OutboundResponse& response) {
-                                     on_confirmed(at, asked, response);
-                                 })) {
+    return batch;
+}
+
+void JobStatusReader::confirm(Time now) {
+    Batch batch = next_batch();
+    if (!batch.included.empty() &&
+        !requests_.send_to_store(
+            now, StoreRateLimiter::Use::poll, std::move(batch.transaction),
+            [this, polls = batch.included](Time at, OutboundResponse& response) {
+                on_confirmed(at, polls, response);
+            })) {
         return;
     }
-    waiting_ = std::move(left);
+    waiting_ = std::move(batch.left);
     next_ = now + gather_s_;
-    for (const auto& w : unknown) {
-        poll(now, w.request, w.job);
+    for (const auto& waiting : batch.unknown) {
+        poll(now, waiting.request, waiting.job);
     }
 }
 
-void JobStatusReader::on_confirmed(Time now, const std::vector<Waiting>& asked,
+void JobStatusReader::on_confirmed(Time now, const std::vector<Waiting>& polls,
                                    const OutboundResponse& response) {
-    // Those that are named have changed. The others are asked about again rather than believed: the
-    // protocol does not say that all of the changed ones are named.
+    // The keys that are named have changed. The others are compared again rather than taken as
+    // unchanged: the protocol does not say that all changed keys are named.
     for (const auto& key : response.failed_keys) {
         if (key.starts_with(kJobPrefix)) {
             job_cache_.invalidate(key.substr(sizeof(kJobPrefix) - 1));
         }
     }
-    bool named = !response.failed_keys.empty();
-    for (const auto& w : asked) {
-        if (respond_if_final(requests_, job_cache_, w.request, w.job)) {
-            continue;
-        }
-        if (response.status == 200) {
-            respond_open(requests_, task_counts_, w.request, w.job);
-        } else if (response.status == 409 && named && job_cache_.version(w.job)) {
-            waiting_.push_front(w);
-        } else if (response.status == 409 && named) {
-            poll(now, w.request, w.job);
-        } else {
-            respond_unavailable(requests_, w.request);
-        }
+    for (const auto& waiting : polls) {
+        on_confirmed(now, waiting, response);
+    }
+}
+
+void JobStatusReader::on_confirmed(Time now, const Waiting& waiting,
+                                   const OutboundResponse& response) {
+    if (respond_if_final(requests_, job_cache_, waiting.request, waiting.job)) {
+        return;
+    }
+    bool conflict = response.status == 409 && !response.failed_keys.empty();
+    if (response.status == 200) {
+        respond_open(requests_, task_counts_, waiting.request, waiting.job);
+    } else if (conflict && job_cache_.version(waiting.job)) {
+        waiting_.push_front(waiting);
+    } else if (conflict) {
+        poll(now, waiting.request, waiting.job);
+    } else {
+        respond_unavailable(requests_, waiting.request);
     }
 }
 
@@ -127,19 +142,26 @@
     }
 }
 
+// Updates the cache with the job that was read. Returns false if the response has no readable job.
+bool JobStatusReader::observe_job(Time now, const std::string& job,
+                                  const OutboundResponse& response) {
+    if (response.status != 200 || response.entries.empty()) {
+        return false;
+    }
+    const KeyedRecord& entry = response.entries[0];
+    job_cache_.observe(now, job, entry.version, entry.record);
+    if (!std::holds_alternative<JobRecord>(entry.record)) {
+        requests_.log(LogLevel::error, "event=record_unreadable key=" + entry.key);
+        return false;
+    }
+    return true;
+}
+
 void JobStatusReader::on_read(Time now, const std::string& job, const OutboundResponse& response) {
-    Read done = std::move(reads_.at(job));
+    Read completed = std::move(reads_.at(job));
     reads_.erase(job);
-    bool found = response.status == 200 && !response.entries.empty();
-    if (found) {
-        const KeyedRecord& item = response.entries[0];
-        job_cache_.observe(now, job, item.version, item.record);
-        if (!std::holds_alternative<JobRecord>(item.record)) {
-            requests_.log(LogLevel::error, "event=record_unreadable key=" + item.key);
-            found = false;
-        }
-    }
-    for (RequestId request_id : done.requests) {
+    bool found = observe_job(now, job, response);
+    for (RequestId request_id : completed.requests) {
         if (respond_if_final(requests_, job_cache_, request_id, job)) {
             continue;
         }
@@ -151,16 +173,22 @@
             respond_unavailable(requests_, request_id);
         }
     }
-    std::vector<RequestId> again;
-    for (RequestId request_id : done.later) {
+    poll_again(now, job, completed.later);
+}
+
+// Polls that a read came too early for: they share the next one.
+void JobStatusReader::poll_again(Time now, const std::string& job,
+                                 const std::vector<RequestId>& requests) {
+    std::vector<RequestId> unanswered;
+    for (RequestId request_id : requests) {
         if (job_cache_.outcome(job) || job_cache_.version(job)) {
             poll(now, request_id, job);
         } else {
-            again.push_back(request_id);
+            unanswered.push_back(request_id);
         }
     }
-    if (!again.empty()) {
-        read(now, job, std::move(again));
+    if (!unanswered.empty()) {
+        read(now, job, std::move(unanswered));
     }
 }
 
--- a/src/core/jobs/job_store.cpp
+++ b/src/core/jobs/job_store.cpp
@@ -1,3 +1,4 @@
+// Implementation of the job store; see the header.
 #include "core/jobs/job_store.h"
 
 #include <algorithm>
@@ -5,11 +6,11 @@
 namespace scheduler {
 
 namespace {
-// Final outcomes remembered so that a late read or event does not bring a job back to life.
-constexpr std::size_t kFinals = 20000;
+// Outcomes remembered, so that a late read or event does not add a job that is over.
+constexpr std::size_t kMaxOutcomes = 20000;
 } // namespace
 
-bool Job::allows_zone(const std::string& zone, std::uint32_t more) const {
+bool Job::allows_zone(const std::string& zone, std::uint32_t more_tasks) const {
     if (spec.zone && *spec.zone != zone) {
         return false;
     }
@@ -17,8 +18,8 @@
         return false;
     }
     auto it = placed_by_zone.find(zone);
-    std::uint32_t there = it == placed_by_zone.end() ? 0 : it->second;
-    return spec.may_spread(there + more);
+    std::uint32_t placed_in_zone = it == placed_by_zone.end() ? 0 : it->second;
+    return spec.may_spread(placed_in_zone + more_tasks);
 }
 
 Job* JobStore::find(const std::string& id) {
@@ -36,10 +37,10 @@
     job->first_seen = now;
     job->tasks.assign(spec.tasks, TaskState::waiting);
     job->waiting = TaskSet(spec.tasks);
-    std::size_t n = (spec.tasks + chunk_tasks_ - 1) / chunk_tasks_;
-    job->chunk_changed.assign(n, 0);
-    job->chunk_saved.assign(n, 0);
-    job->chunk_version.assign(n, 0);
+    std::size_t chunk_count = (spec.tasks + chunk_tasks_ - 1) / chunk_tasks_;
+    job->chunk_changed.assign(chunk_count, 0);
+    job->chunk_saved.assign(chunk_count, 0);
+    job->chunk_version.assign(chunk_count, 0);
     return jobs_.emplace(spec.id, std::move(job)).first->second.get();
 }
 
@@ -66,8 +67,8 @@
         return false;
     }
     job->outcome = Outcome::cancelled;
-    for (std::uint32_t c = 0; c < chunks(*job); ++c) {
-        dirty_.erase({id, c});
+    for (std::uint32_t chunk = 0; chunk < chunks(*job); ++chunk) {
+        dirty_.erase({id, chunk});
     }
     return true;
 }
@@ -75,7 +76,7 @@
 void JobStore::record_outcome(const std::string& id, Outcome outcome) {
     if (outcomes_.emplace(id, outcome).second) {
         outcomes_order_.push_back(id);
-        if (outcomes_order_.size() > kFinals) {
+        if (outcomes_order_.size() > kMaxOutcomes) {
             outcomes_.erase(outcomes_order_.front());
             outcomes_order_.pop_front();
         }
@@ -109,7 +110,7 @@
 
 void JobStore::mark_done(Job& job, std::uint32_t task) {
     if (job.tasks[task] != TaskState::waiting || job.spec.kind == JobKind::service) {
-        return; // a replica that ended waits to be started again
+        return; // a replica that ended waits to be launched again
     }
     job.tasks[task] = TaskState::done;
     job.waiting.erase(task);
@@ -126,8 +127,8 @@
     if (!job) {
         return;
     }
-    for (std::uint32_t c = 0; c < chunks(*job); ++c) {
-        dirty_.erase({id, c});
+    for (std::uint32_t chunk = 0; chunk < chunks(*job); ++chunk) {
+        dirty_.erase({id, chunk});
     }
     jobs_.erase(id);
 }
@@ -137,20 +138,21 @@
     return job.chunk_saved[chunk] == job.chunk_changed[chunk];
 }
 
-std::vector<DirtyChunk> JobStore::next_dirty_chunks(std::size_t most) {
-    std::vector<DirtyChunk> out;
+std::vector<DirtyChunk> JobStore::next_dirty_chunks(std::size_t max_chunks) {
+    std::vector<DirtyChunk> chunks;
     auto it = dirty_.upper_bound(last_dirty_);
-    for (std::size_t looked = 0; looked < dirty_.size() && out.size() < most; ++looked, ++it) {
+    for (std::size_t visited = 0; visited < dirty_.size() && chunks.size() < max_chunks;
+         ++visited, ++it) {
         if (it == dirty_.end()) {
             it = dirty_.begin();
         }
-        const Job& job = *jobs_.at(it->first);
-        if (!job.complete()) { // a complete job's bits go with its final write
-            out.push_back({it->first, it->second, job.chunk_changed[it->second]});
+        const Job& job = *jobs_.at(it->job);
+        if (!job.complete()) { // a complete job's bits go with the write of its outcome
+            chunks.push_back({it->job, it->chunk, job.chunk_changed[it->chunk]});
             last_dirty_ = *it;
         }
     }
-    return out;
+    return chunks;
 }
 
 std::vector<bool> JobStore::chunk_bits(const Job& job, std::uint32_t chunk) const {
