--- a/src/core/autoscaling/autoscaler.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -1,5 +1,6 @@
-// The calls to the cloud of a part's owner: it rents, lists and releases machines as Fleet decides.
-// The owner of one part rents for all, so that one lack is not made up for several times.
+// A partition leader's calls to the cloud provider: it provisions, lists and releases machines as
+// the capacity planner decides. The leader of one partition provisions for all, so that a lack of
+// machines is not made up for several times.
 #pragma once
 
 #include "core/autoscaling/demand_tracker.h"
@@ -7,17 +8,21 @@
 
 namespace scheduler {
 
+// Called only from the controller's event loop. Calls to the cloud provider that fail are retried.
 class Autoscaler {
   public:
-    struct Delegate { // what it needs of the part it works for
+    // What the autoscaler needs of its partition's leader.
+    struct Delegate {
         virtual ~Delegate() = default;
+        // The machine's idle slots have changed, or whether they may be given.
         virtual void update_slot_lists(Machine& machine) = 0;
-        // The machine is gone and everything on it; it is in no table any more when this returns.
+        // The machine and everything on it are gone; it is to be in no table when this returns.
         virtual void on_machine_released(Time now, const std::string& machine) = 0;
+        // Tasks may be scheduled again.
         virtual void resume_scheduling(Time now) = 0;
-        // Its tasks' ends have not been told to the owners of their jobs yet.
+        // Has a task completed on the machine without its job's leader knowing of it yet?
         virtual bool has_unacked_exits(Time now, const Machine& machine) const = 0;
-        // Have the owners of all other parts said what they have?
+        // Have the leaders of all other partitions reported their capacity?
         virtual bool heard_from_all_peers() const = 0;
     };
     Autoscaler(const Leadership& leadership, const ClusterSettings& settings,
@@ -25,20 +30,30 @@
                MachineTable& machines, CapacityPlanner& planner, DemandTracker& demand,
                OutboundRequests& requests, Delegate& delegate);
 
+    // Does this leader provision machines for all partitions?
     bool is_provisioner() const { return leadership_.partition() == kProvisionerPartition; }
-    // Listings and, a few times in a report time, what to rent and what to give back.
-    // `may_suspect`: silent machines may be taken for dead.
+    // Lists the provider's machines, if it is time.
     void list_instances(Time now);
+    // Is the next run due? There are a few in a heartbeat interval.
     bool due(Time now) const { return now >= next_; }
+    // Scales out and in. `may_suspect`: machines without heartbeats may be taken for dead.
     void run(Time now, bool may_suspect);
+    // Releases the named machines, which must be known; at most as many as the provider takes at
+    // once.
     void scale_in(Time now, std::vector<std::string> names);
-    // The owner that rents says that a machine of this part is on its way.
+    // The provisioning leader announces a machine of this partition.
     void expect_machine(Time now, const ProvisionedMachine& machine);
 
   private:
-    static constexpr int kProvisionerPartition = 0; // the part whose owner rents for all
+    static constexpr int kProvisionerPartition = 0; // whose leader provisions for all
     void scale_out(Time now, const ClusterDemand& cluster_demand);
-    void list_instances_after(Time now, std::string after);
+    std::map<std::string, double> slots_by_zone() const;
+    void on_scale_out_response(Time now, const ScaleOut& order, const OutboundResponse& response);
+    void on_scale_in_response(Time now, const std::vector<std::string>& names, int status);
+    void update_cordons(Time now, const ClusterDemand& cluster_demand);
+    void list_instances_after(std::string after);
+    Machine* add_listed(Time now, const Instance& instance, const ShardId& shard,
+                        const OwnedShards::Shard& own);
     void on_instance_listed(Time now, const Instance& instance);
 
     const Leadership& leadership_;
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -1,3 +1,4 @@
+// Implementation of the capacity planner; see the header.
 #include "core/autoscaling/capacity_planner.h"
 
 #include <algorithm>
@@ -6,265 +7,343 @@
 namespace scheduler {
 
 namespace {
-constexpr int kMostPerOrder = 50;     // the cloud's own limit
-constexpr double kMissedReports = 2;  // silent for so many report times: suspect
-constexpr double kHeardReports = 1.5; // a worker that is heard has reported within so many
+constexpr int kMaxMachinesPerOrder = 50; // the cloud provider's limit
+// A machine without a heartbeat for this many intervals is silent.
+constexpr double kSilentHeartbeats = 2;
+// A machine whose last heartbeat is at most this many intervals old is responsive.
+constexpr double kResponsiveHeartbeats = 1.5;
+// A released machine is remembered for this many times the lag of the provider's list.
+constexpr double kReleasedListLags = 10;
+constexpr double kOrderRetryS = 1;
 } // namespace
 
-// One that has missed its reports is most likely gone.
+// A machine that has missed its heartbeats is most likely gone.
 bool CapacityPlanner::is_silent(Time now, const Machine& machine) const {
     return machine.reporting &&
-           now - machine.last_heartbeat > kMissedReports * settings_.heartbeat_interval_s;
+           now - machine.last_heartbeat > kSilentHeartbeats * settings_.heartbeat_interval_s;
 }
 
 bool CapacityPlanner::is_usable(Time now, const Machine& machine) const {
     bool down = !machine.reporting && (machine.agent_epoch > 0 || machine.registered);
-    // Another in place of a silent one takes a boot to come.
+    // A silent one is not counted: a replacement takes a boot time to come up.
     return !machine.draining && !machine.releasing && !machine.preemption_notice_s &&
            !machine.cordoned && !down && !is_silent(now, machine);
 }
 
+// Orders whose response is missing are sent again.
+void CapacityPlanner::append_retries(Time now, std::vector<ScaleOut>& orders) {
+    for (auto& pending : pending_) {
+        if (!pending.in_flight && now >= pending.next) {
+            pending.in_flight = true;
+            orders.push_back(pending.order);
+        }
+    }
+}
+
+// Adds the slots of pending orders to the existing ones.
+void CapacityPlanner::add_pending(const std::vector<InstanceType>& types, SlotsByKind& slots,
+                                  ZoneSlots& zones) const {
+    for (const auto& pending : pending_) {
+        const ScaleOut& order = pending.order;
+        auto type = std::find_if(types.begin(), types.end(), [&](const InstanceType& candidate) {
+            return candidate.name == order.type;
+        });
+        if (type != types.end()) {
+            (order.spot ? slots.spot : slots.on_demand) += order.count * type->slots();
+            zones.existing[order.zone] += order.count * type->slots();
+        }
+    }
+}
+
 std::vector<ScaleOut> CapacityPlanner::plan_scale_out(Time now, const ClusterDemand& cluster_demand,
                                                       const std::vector<InstanceType>& types,
                                                       std::map<std::string, double> in_zone) {
-    std::vector<ScaleOut> out;
-    for (auto& p : pending_) {
-        if (!p.in_flight && now >= p.next) {
-            p.in_flight = true;
-            out.push_back(p.order);
-        }
-    }
+    std::vector<ScaleOut> orders;
+    append_retries(now, orders);
     if (types.empty()) {
-        return out;
+        return orders;
     }
     const Demand& demand = cluster_demand.demand;
-    double ordinary = cluster_demand.on_demand_slots;
-    double spot = cluster_demand.spot_slots;
-    for (const auto& p : pending_) {
-        auto t = std::find_if(types.begin(), types.end(),
-                              [&](const InstanceType& m) { return m.name == p.order.type; });
-        if (t != types.end()) {
-            (p.order.spot ? spot : ordinary) += p.order.count * t->slots();
-            in_zone[p.order.zone] += p.order.count * t->slots();
-        }
-    }
-    std::map<std::string, double> bound = demand.zone_bound_slots;
-    order_lacking(now, types, false, demand.on_demand_slots - ordinary, out, in_zone, bound);
-    double spare = std::max(0.0, ordinary - demand.on_demand_slots);
-    order_lacking(now, types, true, demand.any_kind_slots - spot - spare, out, in_zone, bound);
-    return out;
+    ZoneSlots zones{std::move(in_zone), demand.zone_bound_slots};
+    SlotsByKind slots{cluster_demand.on_demand_slots, cluster_demand.spot_slots};
+    add_pending(types, slots, zones);
+    order_lacking(now, types, false, demand.on_demand_slots - slots.on_demand, zones, orders);
+    double spare = std::max(0.0, slots.on_demand - demand.on_demand_slots);
+    order_lacking(now, types, true, demand.any_kind_slots - slots.spot - spare, zones, orders);
+    return orders;
 }
 
-// Rents what is lacking, machine by machine: where work is bound to, then in the zone with the
-// fewest slots so far, of the type with the lowest price for a slot there. What is refused is left
-// alone for a while, so that the next zone or type has its turn.
-void CapacityPlanner::order_lacking(Time now, const std::vector<InstanceType>& types, bool spot,
-                                    double lack, std::vector<ScaleOut>& out,
-                                    std::map<std::string, double>& in_zone,
-                                    std::map<std::string, double>& bound) {
-    std::vector<const InstanceType*> cheapest;
+// For each zone the type with the lowest price per slot, of the offers that are not avoided now.
+CapacityPlanner::TypesByZone
+CapacityPlanner::cheapest_by_zone(Time now, const std::vector<InstanceType>& types,
+                                  bool spot) const {
+    std::vector<const InstanceType*> by_price;
     for (const auto& type : types) {
-        cheapest.push_back(&type);
+        by_price.push_back(&type);
     }
-    std::stable_sort(cheapest.begin(), cheapest.end(), [&](const auto* a, const auto* b) {
+    std::stable_sort(by_price.begin(), by_price.end(), [&](const auto* a, const auto* b) {
         return a->price_of(spot) / a->slots() < b->price_of(spot) / b->slots();
     });
-    std::map<std::string, const InstanceType*> open; // by zone
-    for (const auto* type : cheapest) {
+    TypesByZone cheapest;
+    for (const auto* type : by_price) {
         for (const auto& zone : type->zones) {
-            auto until = backoff_until_.find({SlotKind{type->name, spot}, zone});
-            if (until == backoff_until_.end() || now >= until->second) {
-                open.emplace(zone, type);
+            auto backoff = backoff_until_.find({SlotKind{type->name, spot}, zone});
+            if (backoff == backoff_until_.end() || now >= backoff->second) {
+                cheapest.emplace(zone, type);
             }
         }
     }
-    // Several requests at once where one may not ask for enough, each zone and kind within a
-    // quarter of what the cloud takes until the next time.
-    int most =
-        kMostPerOrder * static_cast<int>(std::max(1.0, settings_.cloud_requests_per_s *
-                                                           kPlanningIntervalHeartbeats *
-                                                           settings_.heartbeat_interval_s / 4));
-    std::map<std::string, int> count;
-    while (lack > 0 && !open.empty()) {
-        auto least = std::min_element(open.begin(), open.end(), [&](const auto& a, const auto& b) {
-            return std::pair(bound[a.first] <= 0, in_zone[a.first]) <
-                   std::pair(bound[b.first] <= 0, in_zone[b.first]);
+    return cheapest;
+}
+
+// Several orders at once where one may not ask for enough, each zone and kind within a quarter of
+// what the provider accepts until the next round.
+int CapacityPlanner::max_machines_per_zone() const {
+    return kMaxMachinesPerOrder *
+           static_cast<int>(
+               std::max(1.0, settings_.cloud_requests_per_s * kPlanningIntervalHeartbeats *
+                                 settings_.heartbeat_interval_s / 4));
+}
+
+// Orders what is lacking, machine by machine: where bound work needs it, then in the zone with the
+// fewest slots so far, of the type with the lowest price per slot there. An offer that was refused
+// is avoided for a while, so that the next zone or type has its turn.
+void CapacityPlanner::order_lacking(Time now, const std::vector<InstanceType>& types, bool spot,
+                                    double lacking_slots, ZoneSlots& zones,
+                                    std::vector<ScaleOut>& orders) {
+    TypesByZone open = cheapest_by_zone(now, types, spot);
+    int max_machines = max_machines_per_zone();
+    std::map<std::string, int> machines_by_zone;
+    auto rank = [&](const std::string& zone) {
+        return std::pair(zones.needed[zone] <= 0, zones.existing[zone]);
+    };
+    while (lacking_slots > 0 && !open.empty()) {
+        auto next = std::min_element(open.begin(), open.end(), [&](const auto& a, const auto& b) {
+            return rank(a.first) < rank(b.first);
         });
-        const auto& [zone, t] = *least;
-        lack -= t->slots();
-        in_zone[zone] += t->slots();
-        bound[zone] -= t->slots();
-        if (++count[zone] == most) {
-            add_orders(now, *t, zone, spot, count[zone], out);
-            count.erase(zone);
-            open.erase(least);
+        const auto& [zone, type] = *next;
+        lacking_slots -= type->slots();
+        zones.existing[zone] += type->slots();
+        zones.needed[zone] -= type->slots();
+        if (++machines_by_zone[zone] == max_machines) {
+            add_orders(now, *type, zone, spot, max_machines, orders);
+            machines_by_zone.erase(zone);
+            open.erase(next);
         }
     }
-    for (const auto& [zone, machines] : count) {
-        add_orders(now, *open.at(zone), zone, spot, machines, out);
+    for (const auto& [zone, machines] : machines_by_zone) {
+        add_orders(now, *open.at(zone), zone, spot, machines, orders);
     }
 }
 
 void CapacityPlanner::add_orders(Time now, const InstanceType& type, const std::string& zone,
-                                 bool spot, int count, std::vector<ScaleOut>& out) {
+                                 bool spot, int count, std::vector<ScaleOut>& orders) {
     while (count > 0) {
         ScaleOut order{"r-" + std::to_string(term_) + "-" + std::to_string(next_order_++),
-                       type.name, zone, spot, std::min(count, kMostPerOrder)};
+                       type.name, zone, spot, std::min(count, kMaxMachinesPerOrder)};
         count -= order.count;
         pending_.push_back({order, now, true});
-        out.push_back(order);
+        orders.push_back(order);
     }
 }
 
 void CapacityPlanner::on_scale_out_response(Time now, const ScaleOut& order, int status,
-                                            std::size_t got) {
-    auto it = std::find_if(pending_.begin(), pending_.end(),
-                           [&](const Pending& p) { return p.order.order_id == order.order_id; });
+                                            std::size_t accepted) {
+    auto it = std::find_if(pending_.begin(), pending_.end(), [&](const Pending& pending) {
+        return pending.order.order_id == order.order_id;
+    });
     if (it == pending_.end()) {
         return;
     }
     SlotKind kind{order.type, order.spot};
     if (status == 200 || status == 400 || status == 503) {
-        // A 503 rented nothing; whether for lack of machines or of the cloud itself, this zone
-        // is left alone for a while.
-        if (status != 200 || got < static_cast<std::size_t>(order.count)) {
+        // A 503 provisioned nothing; whether for lack of machines or because the provider itself is
+        // down, the offer is avoided for a while.
+        if (status != 200 || accepted < static_cast<std::size_t>(order.count)) {
             backoff_until_[{kind, order.zone}] = now + policy_.capacity_backoff_s;
         }
         pending_.erase(it);
         return;
     }
     it->in_flight = false;
-    it->next = now + 1;
+    it->next = now + kOrderRetryS;
 }
 
 bool CapacityPlanner::was_released(Time now, const std::string& name) {
-    std::erase_if(released_,
-                  [&](const auto& r) { return now - r.second > 10 * settings_.list_lag_s; });
+    std::erase_if(released_, [&](const auto& entry) {
+        return now - entry.second > kReleasedListLags * settings_.list_lag_s;
+    });
     return released_.contains(name);
 }
 
+// Follows a growing demand at once, and a falling one by an exponential decay.
+void CapacityPlanner::update_recent_demand(Time now, const Demand& demand, double boot_s) {
+    double decay = std::min(1.0, (now - recent_demand_at_) / (policy_.demand_decay_boots * boot_s));
+    recent_demand_at_ = now;
+    auto follow = [&](double& recent, double current) {
+        recent = std::max(current, recent + (current - recent) * decay);
+    };
+    follow(recent_demand_.on_demand_slots, demand.on_demand_slots);
+    follow(recent_demand_.any_kind_slots, demand.any_kind_slots);
+}
+
+// The slots of the kind that the recent demand needs, with some spare capacity.
+double CapacityPlanner::wanted_slots(const ClusterDemand& demand, bool spot) const {
+    double beyond_spot = std::max(0.0, recent_demand_.any_kind_slots - demand.spot_slots);
+    double wanted =
+        spot ? recent_demand_.any_kind_slots : recent_demand_.on_demand_slots + beyond_spot;
+    if (wanted < 1) {
+        return 0; // a decaying peak never reaches 0 quite
+    }
+    return wanted * (1 + policy_.spare_capacity_ratio);
+}
+
 std::vector<std::string> CapacityPlanner::plan_cordons(Time now, const MachineTable& machines,
                                                        const ClusterDemand& demand) {
     double boot_s = 0;
-    for (const auto& [name, m] : machines.all()) {
-        boot_s = std::max(boot_s, m.type.boot_s);
+    for (const auto& [name, machine] : machines.all()) {
+        boot_s = std::max(boot_s, machine.type.boot_s);
     }
     if (boot_s == 0) {
         return {};
     }
-    double fade = std::min(1.0, (now - recent_demand_at_) / (policy_.demand_decay_boots * boot_s));
-    recent_demand_at_ = now;
-    auto follow = [&](double& recent, double current) {
-        recent = std::max(current, recent + (current - recent) * fade);
-    };
-    follow(recent_demand_.on_demand_slots, demand.demand.on_demand_slots);
-    follow(recent_demand_.any_kind_slots, demand.demand.any_kind_slots);
+    update_recent_demand(now, demand.demand, boot_s);
     std::vector<std::string> changes;
-    // While another part is not heard, what it wants may be more than it wanted then.
-    bool step = now >= next_trim_ && demand.complete;
+    // While another partition has not reported, its demand may have grown since.
+    bool may_cordon = now >= next_cordon_ && demand.complete;
     for (bool spot : {false, true}) {
-        double have = spot ? demand.spot_slots : demand.on_demand_slots;
-        double want = spot ? recent_demand_.any_kind_slots
-                           : recent_demand_.on_demand_slots +
-                                 std::max(0.0, recent_demand_.any_kind_slots - demand.spot_slots);
-        want = want < 1
-                   ? 0
-                   : want * (1 + policy_.spare_capacity_ratio); // a fading peak is never quite 0
-        std::vector<std::pair<double, const Machine*>> usables; // by the share that is free on them
-        double own = 0;
-        for (const auto& [name, m] : machines.all()) {
-            if (m.spot != spot || !m.reporting) {
-                continue;
-            }
-            if (m.cordoned && have < want) {
-                have += m.type.slots();
-                changes.push_back(name);
-            } else if (is_usable(now, m) && !m.has_service()) {
-                own += m.type.slots();
-                usables.emplace_back(-m.free_slots() / m.type.slots(), &m);
-            }
-        }
-        if (!step || usables.empty()) {
+        plan_cordons_of_kind(now, machines, demand, spot, may_cordon, changes);
+    }
+    return changes;
+}
+
+void CapacityPlanner::plan_cordons_of_kind(Time now, const MachineTable& machines,
+                                           const ClusterDemand& demand, bool spot, bool may_cordon,
+                                           std::vector<std::string>& changes) {
+    double existing = spot ? demand.spot_slots : demand.on_demand_slots;
+    double wanted = wanted_slots(demand, spot);
+    std::vector<CordonCandidate> candidates;
+    double own_slots = 0;
+    for (const auto& [name, machine] : machines.all()) {
+        if (machine.spot != spot || !machine.reporting) {
             continue;
         }
-        // This part's share of what all parts have too much, half of it a step: a fleet many
-        // times as large shrinks in the same time. The emptiest machines go first.
-        // Equals in the order of their names: by address, no run would repeat another.
-        std::stable_sort(usables.begin(), usables.end(),
-                         [](const auto& a, const auto& b) { return a.first < b.first; });
-        double room = 0.5 * (have - want) * own / std::max(own, have);
-        bool first = true;
-        for (const auto& [free, m] : usables) {
-            if (have - m->type.slots() < want || (!first && room < m->type.slots())) {
-                break;
-            }
-            first = false;
-            have -= m->type.slots();
-            room -= m->type.slots();
-            changes.push_back(m->name);
-            next_trim_ = now + settings_.heartbeat_interval_s / 2;
+        double slots = machine.type.slots();
+        if (machine.cordoned && existing < wanted) {
+            existing += slots;
+            changes.push_back(name);
+        } else if (is_usable(now, machine) && !machine.has_service()) {
+            own_slots += slots;
+            candidates.push_back({-machine.free_slots() / slots, &machine});
         }
     }
-    return changes;
+    if (may_cordon && !candidates.empty()) {
+        cordon_surplus(now, std::move(candidates), {own_slots, existing, wanted}, changes);
+    }
+}
+
+// Cordons the emptiest machines first; equal ones in the order of their names: in the order of
+// their addresses, no run would repeat another.
+void CapacityPlanner::cordon_surplus(Time now, std::vector<CordonCandidate> candidates,
+                                     const Surplus& surplus, std::vector<std::string>& changes) {
+    std::stable_sort(candidates.begin(), candidates.end(),
+                     [](const auto& a, const auto& b) { return a.busy_rank < b.busy_rank; });
+    // A step is half of this partition's part of the surplus of all partitions: a cluster many
+    // times as large shrinks in the same time.
+    double existing = surplus.existing_slots;
+    double own_slots = surplus.own_slots;
+    double step_slots =
+        0.5 * (existing - surplus.wanted_slots) * own_slots / std::max(own_slots, existing);
+    bool is_first = true;
+    for (const auto& candidate : candidates) {
+        double slots = candidate.machine->type.slots();
+        if (existing - slots < surplus.wanted_slots || (!is_first && step_slots < slots)) {
+            break;
+        }
+        is_first = false;
+        existing -= slots;
+        step_slots -= slots;
+        changes.push_back(candidate.machine->name);
+        next_cordon_ = now + settings_.heartbeat_interval_s / 2;
+    }
+}
+
+// A machine that is not up: did it have enough time to come up, or to come back?
+bool CapacityPlanner::is_lost(Time now, const Machine& machine) const {
+    bool never_up = machine.agent_epoch == 0 && !machine.registered;
+    if (never_up) {
+        double age_s = machine.age_at_known_s + (now - machine.known_since);
+        return age_s > boot_timeout_s(machine.type);
+    }
+    return now - machine.last_heartbeat > 2 * settings_.worker_lease_s; // its lease has expired
+}
+
+// May silent machines be taken for dead? If few machines are silent while the rest send heartbeats,
+// these are dead, preempted or cut off. Many silent at once more likely mean a fault of this
+// controller. While no machine is responsive, the first that becomes silent is not the only one.
+bool CapacityPlanner::may_suspect_silent(Time now, const MachineTable& machines) const {
+    double max_silence_s = kResponsiveHeartbeats * settings_.heartbeat_interval_s;
+    std::size_t reporting = 0;
+    std::size_t silent = 0;
+    bool any_responsive = false;
+    for (const auto& [name, machine] : machines.all()) {
+        reporting += machine.reporting;
+        silent += is_silent(now, machine);
+        bool responsive = machine.reporting && now - machine.last_heartbeat < max_silence_s;
+        any_responsive = any_responsive || responsive;
+    }
+    return (any_responsive || reporting == 1) && silent * 4 <= reporting + 3;
+}
+
+// Has the idle machine been idle for long, and are its slots not wanted? `slots`: those that exist,
+// from which the machine's are taken if so.
+bool CapacityPlanner::is_surplus(Time now, const Machine& machine, SlotsByKind& slots) const {
+    double max_idle_s = policy_.idle_scale_in_boots * machine.type.boot_s;
+    if (now - machine.idle_since <= max_idle_s) {
+        return false;
+    }
+    double& existing = machine.spot ? slots.spot : slots.on_demand;
+    double wanted = machine.spot ? recent_demand_.any_kind_slots : recent_demand_.on_demand_slots;
+    if (existing - machine.type.slots() < wanted - 1) {
+        return false;
+    }
+    existing -= machine.type.slots();
+    return true;
+}
+
+bool CapacityPlanner::should_release(Time now, const Machine& machine, const ClusterDemand& demand,
+                                     bool may_suspect, SlotsByKind& slots) const {
+    if (machine.releasing) {
+        return false;
+    }
+    if (!machine.reporting) {
+        return is_lost(now, machine);
+    }
+    if (may_suspect && is_silent(now, machine)) {
+        return true; // the release makes sure that nothing runs there, well before the lease does
+    }
+    if (!machine.empty() || machine.has_unexpected() || machine.command_in_flight != 0) {
+        return false;
+    }
+    if (machine.draining || machine.cordoned ||
+        machine.consecutive_errors >= policy_.quarantine_errors) {
+        return true;
+    }
+    return demand.complete && is_surplus(now, machine, slots);
 }
 
 std::vector<std::string> CapacityPlanner::plan_scale_in(Time now, const MachineTable& machines,
                                                         const ClusterDemand& demand,
                                                         bool may_suspect) const {
-    std::vector<std::string> out;
-    double ordinary = demand.on_demand_slots;
-    double spot = demand.spot_slots;
-    std::size_t reporting = 0;
-    std::size_t missing = 0;
-    bool heard = false;
-    for (const auto& [name, m] : machines.all()) {
-        reporting += m.reporting;
-        missing += is_silent(now, m);
-        heard = heard || (m.reporting &&
-                          now - m.last_heartbeat < kHeardReports * settings_.heartbeat_interval_s);
-    }
-    // While none is heard, the first that falls due is not the only one that is silent.
-    may_suspect = may_suspect && (heard || reporting == 1);
-    for (const auto& [name, m] : machines.all()) {
-        if (m.releasing) {
-            continue;
-        }
-        if (!m.reporting && m.agent_epoch == 0 && !m.registered) { // has never been up
-            if (m.age_at_known_s + (now - m.known_since) > boot_timeout_s(m.type)) {
-                out.push_back(name);
-            }
-            continue;
-        }
-        if (!m.reporting) { // its lease has run out; it may come back, but has had its time
-            if (now - m.last_heartbeat > 2 * settings_.worker_lease_s) {
-                out.push_back(name);
-            }
-            continue;
-        }
-        // Few machines silent while the rest report: these are dead, taken or cut off. A
-        // release makes sure that nothing runs there, well before the lease does. Many silent
-        // at once are more likely our own trouble.
-        if (may_suspect && is_silent(now, m) && missing * 4 <= reporting + 3) {
-            out.push_back(name);
-            continue;
-        }
-        if (!m.empty() || m.has_unexpected() || m.command_in_flight != 0) {
-            continue;
-        }
-        if (m.draining || m.cordoned || m.consecutive_errors >= policy_.quarantine_errors) {
-            out.push_back(name);
-            continue;
-        }
-        if (demand.complete && now - m.idle_since > policy_.idle_scale_in_boots * m.type.boot_s) {
-            double& have = m.spot ? spot : ordinary;
-            double want = m.spot ? recent_demand_.any_kind_slots : recent_demand_.on_demand_slots;
-            if (have - m.type.slots() >= want - 1) {
-                have -= m.type.slots();
-                out.push_back(name);
-            }
+    may_suspect = may_suspect && may_suspect_silent(now, machines);
+    SlotsByKind slots{demand.on_demand_slots, demand.spot_slots};
+    std::vector<std::string> names;
+    for (const auto& [name, machine] : machines.all()) {
+        if (should_release(now, machine, demand, may_suspect, slots)) {
+            names.push_back(name);
         }
     }
-    return out;
+    return names;
 }
 
 } // namespace scheduler
--- a/src/core/autoscaling/capacity_planner.h
+++ b/src/core/autoscaling/capacity_planner.h
@@ -1,4 +1,5 @@
-// How many machines there should be, and of what kind: rent, return, and what to avoid.
+// Plans how many machines there should be, and of what kind: which to provision, to cordon and to
+// release, and which offers of the cloud provider to avoid for a while.
 #pragma once
 
 #include <set>
@@ -9,69 +10,115 @@
 
 namespace scheduler {
 
-// Of a report time: between two rounds of renting and giving back.
+// Heartbeat intervals between two rounds of planning.
 inline constexpr double kPlanningIntervalHeartbeats = 1.0 / 3;
 
-// What all parts have and want together, as far as this owner has heard.
+// Demand and capacity of all partitions together, as far as this leader knows.
 struct ClusterDemand {
     Demand demand;
     double on_demand_slots = 0;
     double spot_slots = 0;
-    bool complete = false; // every other part has said lately what it has and wants
+    bool complete = false; // every other partition has reported lately
 };
 
+// Makes plans only; the autoscaler carries them out. Called only from the controller's event loop.
 class CapacityPlanner {
   public:
+    // `term`: of the leadership; it makes order ids unique.
     CapacityPlanner(const ClusterSettings& settings, const SchedulingPolicy& policy,
                     std::uint64_t term)
         : settings_(settings), policy_(policy), term_(term) {}
 
-    // Rental requests to send now. Those without an answer are sent again under their name.
+    // The orders to send now. An order without a response is sent again under its id. `in_zone`:
+    // slots by zone.
     std::vector<ScaleOut> plan_scale_out(Time now, const ClusterDemand& demand,
                                          const std::vector<InstanceType>& types,
                                          std::map<std::string, double> in_zone);
-    void on_scale_out_response(Time now, const ScaleOut& order, int status, std::size_t got);
+    void on_scale_out_response(Time now, const ScaleOut& order, int status, std::size_t accepted);
 
-    // Machines to give back: idle for long, never up, lost, or at fault.
+    // Machines to release: idle for long, never up, lost, or faulty. `may_suspect`: machines
+    // without heartbeats may be taken for dead.
     std::vector<std::string> plan_scale_in(Time now, const MachineTable& machines,
                                            const ClusterDemand& demand, bool may_suspect) const;
-    // Chooses machines that take no more tasks because there are more than are wanted, some at a
-    // time, and takes the choice back when there are too few.
+    // Machines to cordon because there are more than the demand needs, some at a time, and cordoned
+    // machines to use again because there are too few: `cordoned` of each is to be toggled.
     std::vector<std::string> plan_cordons(Time now, const MachineTable& machines,
                                           const ClusterDemand& demand);
-    // A machine that can be counted on.
+    // May the machine run new tasks, now or when it is up?
     bool is_usable(Time now, const Machine& machine) const;
-    // A name that was released; the list may show it for a while yet.
+    // The machine was released; the provider's list may still show it for a while.
     void on_released(Time now, const std::string& name) { released_[name] = now; }
     bool was_released(Time now, const std::string& name);
 
+    // Seconds after which a machine that is not up is given up.
     double boot_timeout_s(const InstanceType& type) const {
         return policy_.boot_timeout_boots * type.boot_s;
     }
 
   private:
-    bool is_silent(Time now, const Machine& machine) const;
     struct Pending {
         ScaleOut order;
-        Time next = 0;
+        Time next = 0; // no retry before this
         bool in_flight = false;
     };
-    void order_lacking(Time now, const std::vector<InstanceType>& types, bool spot, double lack,
-                       std::vector<ScaleOut>& out, std::map<std::string, double>& in_zone,
-                       std::map<std::string, double>& bound);
+    // Machines of one kind in one zone, as the provider may have them or not.
+    struct Offer {
+        SlotKind kind;
+        std::string zone;
+        auto operator<=>(const Offer&) const = default;
+    };
+    // Slots by zone: those that exist or are ordered, and those that bound work still needs.
+    struct ZoneSlots {
+        std::map<std::string, double> existing;
+        std::map<std::string, double> needed;
+    };
+    struct CordonCandidate {
+        double busy_rank = 0; // the lowest is the emptiest machine
+        const Machine* machine = nullptr;
+    };
+    // Slots of one kind: of this partition's candidates, of all partitions, and wanted of all.
+    struct Surplus {
+        double own_slots = 0;
+        double existing_slots = 0;
+        double wanted_slots = 0;
+    };
+    struct SlotsByKind {
+        double on_demand = 0;
+        double spot = 0;
+    };
+    using TypesByZone = std::map<std::string, const InstanceType*>;
+    bool is_silent(Time now, const Machine& machine) const;
+    void append_retries(Time now, std::vector<ScaleOut>& orders);
+    void add_pending(const std::vector<InstanceType>& types, SlotsByKind& slots,
+                     ZoneSlots& zones) const;
+    TypesByZone cheapest_by_zone(Time now, const std::vector<InstanceType>& types, bool spot) const;
+    int max_machines_per_zone() const;
+    void order_lacking(Time now, const std::vector<InstanceType>& types, bool spot,
+                       double lacking_slots, ZoneSlots& zones, std::vector<ScaleOut>& orders);
+    void update_recent_demand(Time now, const Demand& demand, double boot_s);
+    double wanted_slots(const ClusterDemand& demand, bool spot) const;
+    void plan_cordons_of_kind(Time now, const MachineTable& machines, const ClusterDemand& demand,
+                              bool spot, bool may_cordon, std::vector<std::string>& changes);
+    void cordon_surplus(Time now, std::vector<CordonCandidate> candidates, const Surplus& surplus,
+                        std::vector<std::string>& changes);
+    bool is_lost(Time now, const Machine& machine) const;
+    bool may_suspect_silent(Time now, const MachineTable& machines) const;
+    bool is_surplus(Time now, const Machine& machine, SlotsByKind& slots) const;
+    bool should_release(Time now, const Machine& machine, const ClusterDemand& demand,
+                        bool may_suspect, SlotsByKind& slots) const;
     void add_orders(Time now, const InstanceType& type, const std::string& zone, bool spot,
-                    int count, std::vector<ScaleOut>& out);
+                    int count, std::vector<ScaleOut>& orders);
 
     ClusterSettings settings_;
     SchedulingPolicy policy_;
     std::uint64_t term_;
     std::uint64_t next_order_ = 1;
     std::vector<Pending> pending_;
-    std::map<std::pair<SlotKind, std::string>, Time> backoff_until_;
-    std::map<std::string, Time> released_;
-    Demand recent_demand_; // the demand of late: its peaks fade over the time that a boot takes
+    std::map<Offer, Time> backoff_until_;
+    std::map<std::string, Time> released_; // by machine, with the time of the release
+    Demand recent_demand_;                 // its peaks decay over some boot times
     Time recent_demand_at_ = 0;
-    Time next_trim_ = 0;
+    Time next_cordon_ = 0;
 };
 
 } // namespace scheduler
--- a/src/core/autoscaling/demand_tracker.cpp
+++ b/src/core/autoscaling/demand_tracker.cpp
@@ -1,3 +1,4 @@
+// Implementation of the demand tracker; see the header.
 #include "core/autoscaling/demand_tracker.h"
 
 #include <algorithm>
@@ -8,10 +9,14 @@
 namespace scheduler {
 
 namespace {
-// Bound work that waits longer than this many boots is rented for once more.
+// Zone-bound work that waits longer than this many boot times adds to the demand once more.
 constexpr double kStuckBoots = 1.5;
-constexpr double kArrivalLeases = 3; // how long arrivals are remembered
-constexpr double kAhead = 1.5;       // of what came in a boot time: rented before it comes
+// Worker lease times for which arrivals are remembered.
+constexpr double kArrivalLeases = 3;
+// The arrivals of a boot time are multiplied by this to project those of the next.
+constexpr double kProjectionFactor = 1.5;
+// The capacity is updated this many times in a heartbeat interval at most.
+constexpr double kCapacityUpdatesPerHeartbeat = 6;
 } // namespace
 
 DemandTracker::DemandTracker(const Leadership& leadership, const ClusterSettings& settings,
@@ -20,19 +25,20 @@
                              const MachineTable& machines, const CapacityPlanner& planner)
     : leadership_(leadership), settings_(settings), policy_(policy), types_(types), jobs_(jobs),
       quotas_(quotas), machines_(machines), planner_(planner) {
-    for (int p = 0; p < static_cast<int>(settings_.partitions.size()); ++p) {
-        if (p != leadership_.partition()) {
-            peers_[p];
+    int partitions = static_cast<int>(settings_.partitions.size());
+    for (int partition = 0; partition < partitions; ++partition) {
+        if (partition != leadership_.partition()) {
+            peers_[partition];
         }
     }
 }
 
-// Work that only ordinary machines may run and that is to start sooner than one boots needs
-// machines that are there before it: as many as came of late in a boot time, and half as many
-// again.
+// Work that only on-demand machines may run and that is to start sooner than one boots needs
+// machines that are up before it arrives: for as much work as arrived lately in a boot time, and
+// half as much again.
 void DemandTracker::on_job_arrived(Time now, const JobSpec& spec) {
     if (types_.empty() || spec.spot || now - leadership_.since() < settings_.worker_lease_s) {
-        return; // what was there when we came says nothing about what comes
+        return; // jobs from before this leadership say nothing about the rate of arrivals
     }
     const InstanceType& type = types_.cheapest_fitting(spec);
     for (const auto& objective : settings_.objectives) {
@@ -47,93 +53,126 @@
 }
 
 double DemandTracker::projected_slots(Time now) const {
-    double sum = 0;
-    for (const auto& a : arrivals_) {
-        sum += a.slots;
+    double slot_s = 0;
+    for (const auto& arrival : arrivals_) {
+        slot_s += arrival.slot_s;
     }
-    double seen = std::min(kArrivalLeases * settings_.worker_lease_s,
-                           now - leadership_.since() - settings_.worker_lease_s);
-    return sum > 0 ? kAhead * sum / std::max(settings_.worker_lease_s, seen) : 0;
+    double observed_s = std::min(kArrivalLeases * settings_.worker_lease_s,
+                                 now - leadership_.since() - settings_.worker_lease_s);
+    return slot_s > 0 ? kProjectionFactor * slot_s / std::max(settings_.worker_lease_s, observed_s)
+                      : 0;
 }
 
-Demand DemandTracker::demand(Time now) {
-    // Per team: what runs, and what must run to have the waiting work done within the horizon,
-    // up to the team's limit.
-    struct Need {
-        double ordinary = 0; // slots
-        double any = 0;
-        double cpus = 0;
-        double gpus = 0;
-    };
-    Demand d;
-    std::map<std::string, Need> needs;
-    double left = 0;
-    for (const auto& [id, job] : jobs_.all()) {
-        const JobSpec& spec = job->spec;
-        if (!job->open() || types_.empty()) {
-            continue;
+DemandTracker::PendingTasks DemandTracker::pending_tasks(const Job& job) const {
+    const JobSpec& spec = job.spec;
+    PendingTasks pending{types_.cheapest_fitting(spec)};
+    pending.slots_per_task = slots_needed(pending.type, spec.cpus, spec.gpus, spec.ram_gb);
+    pending.count = static_cast<double>(job.waiting.size());
+    for (const auto& zone : settings_.zones) {
+        if (job.allows_zone(zone)) {
+            pending.open_zones.push_back(zone);
         }
-        const InstanceType& type = types_.cheapest_fitting(spec);
-        double slots = slots_needed(type, spec.cpus, spec.gpus, spec.ram_gb);
-        double horizon = policy_.scale_out_horizon_boots * type.boot_s;
-        double waiting = static_cast<double>(job->waiting.size());
-        double pace = spec.kind == JobKind::service
-                          ? 1
-                          : std::min(1.0, std::max(spec.estimate_s, 1.0) / horizon);
-        // A task longer than the horizon needs a place of its own.
-        std::vector<std::string> open; // zones that its next task may be placed in
-        for (const auto& zone : settings_.zones) {
-            if (job->allows_zone(zone)) {
-                open.push_back(zone);
-            }
-        }
-        if (open.size() == 1 && waiting > 0) {
-            d.zone_bound_slots[open.front()] += waiting * slots;
-        }
-        bool bound = spec.kind == JobKind::gang || spec.one_zone || spec.spread || spec.zone;
-        double waits_s = job->waiting_since > 0 ? now - job->waiting_since : 0;
-        if (auto stuck = static_cast<std::size_t>(waits_s / (kStuckBoots * type.boot_s));
-            bound && stuck > 0) {
-            // New machines would be there by now: there is room, but not where it is needed. So
-            // as much again is wanted, whatever the team's limit makes of the rest.
-            double again = 1;
-            // All of it in one zone, one after the other: spread over the zones it may not be
-            // enough in any. Nor are as many slots in the zone always enough: tasks that do not
-            // fill their machines leave up to half of each. So it grows until there would be
-            // twice as much in every zone. A gang of 19 tasks of 3 CPUs waited for ever beside 15
-            // empty machines of 8, six in one zone and nine in the other.
-            if (spec.one_zone && open.size() > 1) {
-                again = static_cast<double>(std::min(stuck, 2 * open.size()));
-                d.zone_bound_slots[open[stuck % open.size()]] += 2 * waiting * slots;
-            }
-            (spec.spot ? d.any_kind_slots : d.on_demand_slots) += again * waiting * slots;
-        }
-        double tasks = job->placed + std::ceil(waiting * pace);
-        Need& need = needs[spec.team];
-        (spec.spot ? need.any : need.ordinary) += tasks * slots;
-        need.cpus += tasks * spec.cpus;
-        need.gpus += tasks * spec.gpus;
-        left += PendingQueue::remaining_s(*job) * slots;
-    }
-    d.remaining_slot_s = left;
+    }
+    return pending;
+}
+
+// Adds what tasks that are bound to zones need beyond the need of their team.
+void DemandTracker::add_zone_bound(Time now, const Job& job, const PendingTasks& pending,
+                                   Demand& demand) {
+    const JobSpec& spec = job.spec;
+    const std::vector<std::string>& zones = pending.open_zones;
+    double slots = pending.slots_per_task;
+    if (zones.size() == 1 && pending.count > 0) {
+        demand.zone_bound_slots[zones.front()] += pending.count * slots;
+    }
+    bool is_bound = spec.kind == JobKind::gang || spec.one_zone || spec.spread || spec.zone;
+    double waits_s = job.waiting_since > 0 ? now - job.waiting_since : 0;
+    auto stuck_periods = static_cast<std::size_t>(waits_s / (kStuckBoots * pending.type.boot_s));
+    if (!is_bound || stuck_periods == 0) {
+        return;
+    }
+    // New machines would be up by now: there are slots, but not where they are needed. So as much
+    // again is requested, whatever the team's quota makes of the rest.
+    double factor = 1;
+    // All of it in one zone, one zone after the other: spread over the zones it may not be enough
+    // in any. Nor are as many slots in the zone always enough: tasks that do not fill their
+    // machines leave up to half of each unused. So the demand grows until there would be twice as
+    // much in every zone. A gang of 19 tasks of 3 CPUs waited for ever beside 15 empty machines of
+    // 8, six in one zone and nine in the other.
+    if (spec.one_zone && zones.size() > 1) {
+        factor = static_cast<double>(std::min(stuck_periods, 2 * zones.size()));
+        demand.zone_bound_slots[zones[stuck_periods % zones.size()]] += 2 * pending.count * slots;
+    }
+    (spec.spot ? demand.any_kind_slots : demand.on_demand_slots) += factor * pending.count * slots;
+}
+
+// Adds what runs, and what must run for the pending tasks to be done within the horizon. A task
+// that is longer than the horizon needs slots of its own.
+void DemandTracker::add_need(const Job& job, const PendingTasks& pending, TeamNeed& need) const {
+    const JobSpec& spec = job.spec;
+    double horizon_s = policy_.scale_out_horizon_boots * pending.type.boot_s;
+    double slots_per_pending = spec.kind == JobKind::service
+                                   ? 1
+                                   : std::min(1.0, std::max(spec.estimate_s, 1.0) / horizon_s);
+    double tasks = job.placed + std::ceil(pending.count * slots_per_pending);
+    (spec.spot ? need.any_kind_slots : need.on_demand_slots) += tasks * pending.slots_per_task;
+    need.cpus += tasks * spec.cpus;
+    need.gpus += tasks * spec.gpus;
+}
+
+// The fraction of the need that the team's quota admits.
+double DemandTracker::quota_fraction(const std::string& team, const TeamNeed& need) const {
+    const TeamQuota* quota = quotas_.quota(team);
+    double fraction = 1;
+    if (quota && quota->max_cpus > 0 && need.cpus > quota->max_cpus) {
+        fraction = quota->max_cpus / need.cpus;
+    }
+    if (quota && quota->max_gpus > 0 && need.gpus > quota->max_gpus) {
+        fraction = std::min(fraction, quota->max_gpus / need.gpus);
+    }
+    return fraction;
+}
+
+void DemandTracker::forget_old_arrivals(Time now) {
     while (!arrivals_.empty() &&
            now - arrivals_.front().at > kArrivalLeases * settings_.worker_lease_s) {
         arrivals_.pop_front();
     }
-    d.on_demand_slots += projected_slots(now);
-    for (auto& [team, need] : needs) {
-        const TeamQuota* f = quotas_.quota(team);
-        double cut = 1;
-        if (f && f->max_cpus > 0 && need.cpus > f->max_cpus) {
-            cut = f->max_cpus / need.cpus;
+}
+
+Demand DemandTracker::demand(Time now) {
+    Demand demand;
+    std::map<std::string, TeamNeed> needs;
+    double remaining_slot_s = 0;
+    for (const auto& [id, job] : jobs_.all()) {
+        if (!job->open() || types_.empty()) {
+            continue;
         }
-        if (f && f->max_gpus > 0 && need.gpus > f->max_gpus) {
-            cut = std::min(cut, f->max_gpus / need.gpus);
+        PendingTasks pending = pending_tasks(*job);
+        add_zone_bound(now, *job, pending, demand);
+        add_need(*job, pending, needs[job->spec.team]);
+        remaining_slot_s += PendingQueue::remaining_s(*job) * pending.slots_per_task;
+    }
+    demand.remaining_slot_s = remaining_slot_s;
+    forget_old_arrivals(now);
+    demand.on_demand_slots += projected_slots(now);
+    for (const auto& [team, need] : needs) {
+        double fraction = quota_fraction(team, need);
+        demand.on_demand_slots += need.on_demand_slots * fraction;
+        demand.any_kind_slots += need.any_kind_slots * fraction;
+    }
+    return demand;
+}
+
+void DemandTracker::update_capacity(Time now) {
+    PartitionCapacity& capacity = current_.capacity;
+    capacity = {0, 0, cpu_headroom_, accepts_shards_};
+    for (const auto& [name, machine] : machines_.all()) {
+        ++effort_;
+        if (planner_.is_usable(now, machine)) {
+            (machine.spot ? capacity.spot_slots : capacity.on_demand_slots) += machine.type.slots();
         }
-        d.on_demand_slots += need.ordinary * cut;
-        d.any_kind_slots += need.any * cut;
     }
-    return d;
 }
 
 const DemandTracker::PartitionDemand& DemandTracker::current(Time now) {
@@ -145,15 +184,8 @@
     current_.capacity.cpu_headroom = cpu_headroom_;
     current_.capacity.accepts_shards = accepts_shards_;
     if (now >= capacity_valid_until_) {
-        capacity_valid_until_ = now + settings_.heartbeat_interval_s / 6;
-        current_.capacity = {0, 0, cpu_headroom_, accepts_shards_};
-        for (const auto& [name, m] : machines_.all()) {
-            ++effort_;
-            if (planner_.is_usable(now, m)) {
-                (m.spot ? current_.capacity.spot_slots : current_.capacity.on_demand_slots) +=
-                    m.type.slots();
-            }
-        }
+        capacity_valid_until_ = now + settings_.heartbeat_interval_s / kCapacityUpdatesPerHeartbeat;
+        update_capacity(now);
     }
     return current_;
 }
@@ -177,9 +209,9 @@
         cluster_demand.on_demand_slots += peer.capacity.on_demand_slots;
         cluster_demand.spot_slots += peer.capacity.spot_slots;
     }
-    for (const auto& [name, bought] : provisioned_) {
-        if (const InstanceType* type = types_.find(bought.first.type)) {
-            (bought.first.spot ? cluster_demand.spot_slots : cluster_demand.on_demand_slots) +=
+    for (const auto& [name, provisioned] : provisioned_) {
+        if (const InstanceType* type = types_.find(provisioned.order.type)) {
+            (provisioned.order.spot ? cluster_demand.spot_slots : cluster_demand.on_demand_slots) +=
                 type->slots();
         }
     }
@@ -187,8 +219,8 @@
 }
 
 void DemandTracker::on_peer_demand(Time now, int partition, const Demand& demand,
-                                   const PartitionCapacity& fleet) {
-    peers_.at(partition) = {now, demand, fleet};
+                                   const PartitionCapacity& capacity) {
+    peers_.at(partition) = {now, demand, capacity};
 }
 
 void DemandTracker::add_provisioned(Time now, const std::string& machine, const ScaleOut& order) {
@@ -196,9 +228,10 @@
 }
 
 void DemandTracker::expire_provisioned(Time now) {
-    std::erase_if(provisioned_, [&](const auto& b) {
-        const InstanceType* type = types_.find(b.second.first.type);
-        return !type || now - b.second.second > planner_.boot_timeout_s(*type);
+    std::erase_if(provisioned_, [&](const auto& entry) {
+        const Provisioned& provisioned = entry.second;
+        const InstanceType* type = types_.find(provisioned.order.type);
+        return !type || now - provisioned.since > planner_.boot_timeout_s(*type);
     });
 }
 
--- a/src/core/autoscaling/demand_tracker.h
+++ b/src/core/autoscaling/demand_tracker.h
@@ -1,5 +1,6 @@
-// What the part has and wants, and what the owners of other parts said of theirs: by this one of
-// them rents for all. See docs/design.md, "Machines and money".
+// The demand and the capacity of this partition, and those that the leaders of other partitions
+// reported of theirs: from them one leader provisions machines for all. See docs/design.md,
+// "Machines and money".
 #pragma once
 
 #include <deque>
@@ -12,6 +13,7 @@
 
 namespace scheduler {
 
+// Called only from the controller's event loop.
 class DemandTracker {
   public:
     struct PartitionDemand {
@@ -23,21 +25,24 @@
                   const JobStore& jobs, const QuotaLedger& quotas, const MachineTable& machines,
                   const CapacityPlanner& planner);
 
-    // Work that has come: such as is to start sooner than a machine boots is remembered.
+    // A job has arrived. Jobs that are to start sooner than a machine boots are remembered.
     void on_job_arrived(Time now, const JobSpec& spec);
-    // Counted anew once a moment, as every call to a peer says it; the machines less often.
+    // This partition's demand and capacity. The demand is cached for a moment, as every peer sync
+    // includes it; the capacity for longer.
     const PartitionDemand& current(Time now);
+    // Drops the cached values.
     void invalidate() { valid_until_ = capacity_valid_until_ = 0; }
-    // The owner of another part has said how it stands.
+    // Another partition's leader has reported its demand and capacity.
     void on_peer_demand(Time now, int partition, const Demand& demand,
-                        const PartitionCapacity& fleet);
-    // Of all parts together.
+                        const PartitionCapacity& capacity);
+    // Of all partitions together.
     ClusterDemand cluster_demand(Time now);
-    // What the part's owner says of itself from now on: see FleetView.
-    void set_local_state(double capacity, bool takes) {
-        cpu_headroom_ = capacity;
-        accepts_shards_ = takes;
+    // What this leader reports of itself from now on: see PartitionCapacity.
+    void set_local_state(double cpu_headroom, bool accepts_shards) {
+        cpu_headroom_ = cpu_headroom;
+        accepts_shards_ = accepts_shards;
     }
+    // The latest report of another partition's leader.
     struct Peer {
         Time received_at = 0;
         Demand demand;
@@ -45,19 +50,45 @@
     };
     const std::map<int, Peer>& peers() const { return peers_; }
 
-    // Machines rented by this owner that belong to other parts: counted here until their owners
-    // know of them.
-    using ProvisionedMachines = std::map<std::string, std::pair<ScaleOut, Time>>;
+    // Machines of other partitions that this leader has provisioned: counted here until their own
+    // leaders know of them.
+    struct Provisioned {
+        ScaleOut order;
+        Time since = 0;
+    };
+    using ProvisionedMachines = std::map<std::string, Provisioned>; // by machine
     const ProvisionedMachines& provisioned() const { return provisioned_; }
     void add_provisioned(Time now, const std::string& machine, const ScaleOut& order);
     void remove_provisioned(const std::string& machine) { provisioned_.erase(machine); }
-    // Those that should be up by now are counted no more.
+    // Machines that should be up by now are no longer counted.
     void expire_provisioned(Time now);
 
+    // Machines visited so far, as a measure of work for tests.
     std::uint64_t effort() const { return effort_; }
 
   private:
+    // What a team's tasks need, before it is capped by the team's quota.
+    struct TeamNeed {
+        double on_demand_slots = 0;
+        double any_kind_slots = 0;
+        double cpus = 0;
+        double gpus = 0;
+    };
+    // A job's pending tasks, in slots of the cheapest instance type that fits.
+    struct PendingTasks {
+        const InstanceType& type;
+        double slots_per_task = 0;
+        double count = 0;
+        std::vector<std::string> open_zones; // in which the next task may be placed
+    };
     Demand demand(Time now);
+    PendingTasks pending_tasks(const Job& job) const;
+    static void add_zone_bound(Time now, const Job& job, const PendingTasks& pending,
+                               Demand& demand);
+    void add_need(const Job& job, const PendingTasks& pending, TeamNeed& need) const;
+    double quota_fraction(const std::string& team, const TeamNeed& need) const;
+    void forget_old_arrivals(Time now);
+    void update_capacity(Time now);
     double projected_slots(Time now) const;
 
     const Leadership& leadership_;
@@ -72,12 +103,12 @@
     ProvisionedMachines provisioned_;
     PartitionDemand current_;
     Time valid_until_ = 0;
-    Time capacity_valid_until_ = 0; // the machines
+    Time capacity_valid_until_ = 0;
     double cpu_headroom_ = 1;
     bool accepts_shards_ = false;
     struct Arrival {
         Time at = 0;
-        double slots = 0;
+        double slot_s = 0; // its slots, times the boot time of their machines
     };
     std::deque<Arrival> arrivals_;
     std::uint64_t effort_ = 0;
--- a/src/core/jobs/cancellation_broadcast.h
+++ b/src/core/jobs/cancellation_broadcast.h
@@ -32,7 +32,7 @@
     struct Peer {
         std::deque<std::string> pending; // cancelled jobs that it is to be told of
         bool in_flight = false;
-        Time unresponsive_until = -1; // told until then, but not waited for; -1: responsive
+        Time unresponsive_until = -1; // until then it is told, but not waited for
     };
     struct Waiter {
         std::string job;
--- a/src/core/machines/machine_table.cpp
+++ b/src/core/machines/machine_table.cpp
@@ -1,3 +1,4 @@
+// Implementation of the machine table; see the header.
 #include "core/machines/machine_table.h"
 
 #include <algorithm>
@@ -6,6 +7,81 @@
 
 namespace scheduler {
 
+namespace {
+// Reported tasks that were placed by this leader, by their status in the heartbeat.
+using ReportedTasks = std::map<TaskId, const TaskStatus*>;
+
+// Assigns each task in a newer heartbeat to its placement; tasks without one are unexpected.
+ReportedTasks match_tasks(Machine& machine, const Heartbeat& heartbeat) {
+    ReportedTasks reported;
+    for (const auto& status : heartbeat.tasks) {
+        auto lent = machine.lent_slots.find(launch_id(status.attempt, status.task.index));
+        if (lent != machine.lent_slots.end() && !machine.tasks.contains(status.task)) {
+            machine.tasks[status.task] = lent->second.placement; // the borrower's launch has shown
+            machine.lent_slots.erase(lent);
+        }
+        auto placed = machine.tasks.find(status.task);
+        if (placed == machine.tasks.end() || placed->second.attempt != status.attempt) {
+            machine.unexpected.push_back(status);
+        } else {
+            reported[status.task] = &status;
+        }
+    }
+    return reported;
+}
+
+// Does the heartbeat, which does not report the task, prove that the task is not on the machine and
+// never will be?
+bool proves_absence(const Placement& placement, const Heartbeat& heartbeat,
+                    OutboundRequestId request, bool is_newer) {
+    switch (placement.via) {
+    case Placement::Via::queued: return false;
+    case Placement::Via::heartbeat_response:
+        // One heartbeat is in flight at a time: a heartbeat newer than the one answered shows that
+        // the response was executed before it, or dropped.
+        return is_newer && request == 0 && heartbeat.sequence > placement.heartbeat_sequence;
+    case Placement::Via::direct_command:
+        return (request != 0 && placement.command_request == request) ||
+               (is_newer && heartbeat.fencing_token > placement.fencing_token);
+    case Placement::Via::reported: return is_newer;
+    }
+    return false;
+}
+
+void update_reported(Time now, Placement& placement, TaskStage stage) {
+    if (stage == TaskStage::running && placement.stage != TaskStage::running) {
+        placement.running_since = now;
+    }
+    placement.via = Placement::Via::reported;
+    placement.stage = stage;
+}
+
+// Updates each placement by its status, and removes those of tasks that exited or are absent.
+void update_placements(Time now, Machine& machine, const Heartbeat& heartbeat,
+                       OutboundRequestId request, const ReportedTasks& reported,
+                       HeartbeatResult& result) {
+    for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
+        Placement& placement = it->second;
+        auto seen = reported.find(it->first);
+        const TaskStatus* status = seen == reported.end() ? nullptr : seen->second;
+        bool exited = status && status->stage == TaskStage::exited;
+        if (exited) {
+            result.removed.push_back({it->first, placement, status->exit_reason});
+            machine.finished.push_back(*status);
+            it = machine.tasks.erase(it);
+        } else if (status) {
+            update_reported(now, placement, status->stage);
+            ++it;
+        } else if (proves_absence(placement, heartbeat, request, result.is_newer)) {
+            result.removed.push_back({it->first, placement, ExitReason::none});
+            it = machine.tasks.erase(it);
+        } else {
+            ++it;
+        }
+    }
+}
+} // namespace
+
 Placement placement_for(const JobSpec& spec) {
     Placement placement;
     placement.team = spec.team;
@@ -21,54 +97,56 @@
 
 double Machine::free_cpus() const {
     double used = 0;
-    for (const auto& [task, p] : tasks) {
-        used += p.cpus;
+    for (const auto& [task, placement] : tasks) {
+        used += placement.cpus;
     }
-    for (const auto& [attempt, lot] : lent_slots) {
-        used += lot.placement.cpus;
+    for (const auto& [id, lent] : lent_slots) {
+        used += lent.placement.cpus;
     }
     return type.cpus - used;
 }
 
 double Machine::free_gpus() const {
     double used = 0;
-    for (const auto& [task, p] : tasks) {
-        used += p.gpus;
+    for (const auto& [task, placement] : tasks) {
+        used += placement.gpus;
     }
-    for (const auto& [attempt, lot] : lent_slots) {
-        used += lot.placement.gpus;
+    for (const auto& [id, lent] : lent_slots) {
+        used += lent.placement.gpus;
     }
     return type.gpus - used;
 }
 
 double Machine::free_ram() const {
     double used = 0;
-    for (const auto& [task, p] : tasks) {
-        used += p.ram_gb;
+    for (const auto& [task, placement] : tasks) {
+        used += placement.ram_gb;
     }
-    for (const auto& [attempt, lot] : lent_slots) {
-        used += lot.placement.ram_gb;
+    for (const auto& [id, lent] : lent_slots) {
+        used += lent.placement.ram_gb;
     }
     return type.ram_gb - used;
 }
 
 bool Machine::has_image(const std::string& image) const {
     return std::any_of(images.begin(), images.end(),
-                       [&](const CachedImage& i) { return i.name == image; });
+                       [&](const CachedImage& cached) { return cached.name == image; });
 }
 
 bool Machine::has_unknown_resources() const {
     return std::any_of(tasks.begin(), tasks.end(),
-                       [](const auto& t) { return t.second.resources_unknown; });
+                       [](const auto& entry) { return entry.second.resources_unknown; });
 }
 
 bool Machine::has_service() const {
     return std::any_of(tasks.begin(), tasks.end(),
-                       [](const auto& t) {
-                           return t.second.kind == JobKind::service || t.second.resources_unknown;
+                       [](const auto& entry) {
+                           return entry.second.kind == JobKind::service ||
+                                  entry.second.resources_unknown;
                        }) ||
-           std::any_of(lent_slots.begin(), lent_slots.end(),
-                       [](const auto& l) { return l.second.placement.kind == JobKind::service; });
+           std::any_of(lent_slots.begin(), lent_slots.end(), [](const auto& entry) {
+               return entry.second.placement.kind == JobKind::service;
+           });
 }
 
 bool Machine::reports_exited(const TaskId& task) const {
@@ -78,16 +156,17 @@
 }
 
 void Machine::touch_image(const std::string& image, double gb) {
-    if (std::erase_if(images, [&](const CachedImage& i) { return i.name == image; }) == 0) {
+    if (std::erase_if(images, [&](const CachedImage& cached) { return cached.name == image; }) ==
+        0) {
         ++images_version;
     }
     images.push_back({image, gb});
-    double held = 0;
-    for (const auto& i : images) {
-        held += i.gb;
+    double cached_gb = 0;
+    for (const auto& cached : images) {
+        cached_gb += cached.gb;
     }
-    while (held > type.cache_gb && images.size() > 1) {
-        held -= images.front().gb;
+    while (cached_gb > type.cache_gb && images.size() > 1) {
+        cached_gb -= images.front().gb;
         images.erase(images.begin());
         ++images_version;
     }
@@ -102,18 +181,18 @@
     if (remote_stops.empty() && remote_clears.empty()) {
         return;
     }
-    std::set<LaunchId> here;
-    for (const auto& t : finished) {
-        here.insert(launch_id(t.attempt, t.task.index));
+    std::set<LaunchId> present;
+    for (const auto& status : finished) {
+        present.insert(launch_id(status.attempt, status.task.index));
     }
-    for (const auto& [task, p] : tasks) {
-        here.insert(launch_id(p.attempt, task.index));
+    for (const auto& [task, placement] : tasks) {
+        present.insert(launch_id(placement.attempt, task.index));
     }
-    for (const auto& [id, lot] : lent_slots) { // the start may be on its way
-        here.insert(id);
+    for (const auto& [id, lent] : lent_slots) { // the launch may be on its way
+        present.insert(id);
     }
-    std::erase_if(remote_stops, [&](const auto& stop) { return !here.contains(stop.first); });
-    std::erase_if(remote_clears, [&](const LaunchId& id) { return !here.contains(id); });
+    std::erase_if(remote_stops, [&](const auto& stop) { return !present.contains(stop.first); });
+    std::erase_if(remote_clears, [&](const LaunchId& id) { return !present.contains(id); });
 }
 
 bool Machine::has_unexpected() const {
@@ -144,119 +223,73 @@
 }
 
 std::vector<HeartbeatResult::RemovedTask> MachineTable::remove(const std::string& name) {
-    std::vector<HeartbeatResult::RemovedTask> gone;
+    std::vector<HeartbeatResult::RemovedTask> removed;
     auto it = machines_.find(name);
     if (it == machines_.end()) {
-        return gone;
+        return removed;
     }
-    for (const auto& [task, p] : it->second.tasks) {
-        gone.push_back({task, p, ExitReason::none});
+    for (const auto& [task, placement] : it->second.tasks) {
+        removed.push_back({task, placement, ExitReason::none});
     }
     set_reported(it->second, false);
     machines_.erase(it);
-    return gone;
+    return removed;
 }
 
 double MachineTable::max_lease_s() const { return lease_s_ * (1 + kMaxClockDrift) + margin_s_; }
 
+// Every task of the epoch before is gone, and no message of this leader to it can be executed any
+// more: responses to it are dropped, direct commands refused.
+void MachineTable::begin_epoch(Time now, Machine& machine, std::uint64_t agent_epoch,
+                               HeartbeatResult& result) {
+    for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
+        if (it->second.via == Placement::Via::queued) {
+            ++it;
+        } else {
+            result.removed.push_back({it->first, it->second, ExitReason::none});
+            it = machine.tasks.erase(it);
+        }
+    }
+    machine.lent_slots.clear(); // their launches name the epoch before, so they are refused
+    machine.agent_epoch = agent_epoch;
+    // The lease runs from the beginning of the epoch, whether the epoch is learned from a heartbeat
+    // or from the response to a direct command, which renews nothing.
+    on_lease_renewed(now, machine);
+    machine.heartbeat_sequence = 0;
+    machine.forget_images();
+}
+
+void MachineTable::apply_newer(Machine& machine, const Heartbeat& heartbeat) {
+    machine.heartbeat_sequence = heartbeat.sequence;
+    set_reported(machine, true);
+    machine.fenced = heartbeat.fencing_token >= machine.fencing_token();
+    machine.preemption_notice_s = heartbeat.preemption_notice_s;
+    machine.unexpected.clear();
+    machine.finished.clear();
+}
+
 HeartbeatResult MachineTable::apply_heartbeat(Time now, Machine& machine,
                                               const Heartbeat& heartbeat,
-                                              OutboundRequestId orders) {
+                                              OutboundRequestId request) {
     HeartbeatResult result;
     if (heartbeat.agent_epoch <= machine.expired_epoch) {
         return result;
     }
     if (heartbeat.agent_epoch > machine.agent_epoch) {
-        // Every task of the session before is gone, and no message of ours to it can be
-        // executed any more: responses to it are dropped, direct commands refused.
-        for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
-            if (it->second.via == Placement::Via::queued) {
-                ++it;
-            } else {
-                result.removed.push_back({it->first, it->second, ExitReason::none});
-                it = machine.tasks.erase(it);
-            }
-        }
-        machine.lent_slots.clear(); // their starts name the session before, so they are refused
-        machine.agent_epoch = heartbeat.agent_epoch;
-        // Its lease runs from when the session began, whether we hear of it by a report or by the
-        // answer to a direct command, which renews nothing.
-        on_lease_renewed(now, machine);
-        machine.heartbeat_sequence = 0;
-        machine.forget_images();
-    }
-    bool newer = heartbeat.agent_epoch == machine.agent_epoch &&
-                 heartbeat.sequence > machine.heartbeat_sequence;
-    if (newer) {
-        result.is_newer = true;
-        machine.heartbeat_sequence = heartbeat.sequence;
-        set_reported(machine, true);
-        machine.fenced = heartbeat.fencing_token >= machine.fencing_token();
-        machine.preemption_notice_s = heartbeat.preemption_notice_s;
-        machine.unexpected.clear();
-        machine.finished.clear();
+        begin_epoch(now, machine, heartbeat.agent_epoch, result);
     }
-    std::map<TaskId, const TaskStatus*> listed;
-    if (newer) {
-        for (const auto& status : heartbeat.tasks) {
-            if (auto lot = machine.lent_slots.find(launch_id(status.attempt, status.task.index));
-                lot != machine.lent_slots.end() && !machine.tasks.contains(status.task)) {
-                machine.tasks[status.task] = lot->second.placement; // the thief's start has shown
-                machine.lent_slots.erase(lot);
-            }
-            auto it = machine.tasks.find(status.task);
-            if (it == machine.tasks.end() || it->second.attempt != status.attempt) {
-                machine.unexpected.push_back(status);
-            } else {
-                listed[status.task] = &status;
-            }
-        }
-    }
-    if (newer) {
-        std::erase_if(machine.lent_slots, [&](const auto& lot) {
-            return heartbeat.fencing_token > lot.second.fencing_token;
+    result.is_newer = heartbeat.agent_epoch == machine.agent_epoch &&
+                      heartbeat.sequence > machine.heartbeat_sequence;
+    ReportedTasks reported;
+    if (result.is_newer) {
+        apply_newer(machine, heartbeat);
+        reported = match_tasks(machine, heartbeat);
+        // No launch under an older token can take effect any more.
+        std::erase_if(machine.lent_slots, [&](const auto& lent) {
+            return heartbeat.fencing_token > lent.second.fencing_token;
         });
     }
-    for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
-        Placement& placement = it->second;
-        auto seen = listed.find(it->first);
-        if (seen != listed.end()) {
-            const TaskStatus& status = *seen->second;
-            if (status.stage == TaskStage::exited) {
-                result.removed.push_back({it->first, placement, status.exit_reason});
-                machine.finished.push_back(status);
-                it = machine.tasks.erase(it);
-                continue;
-            }
-            if (status.stage == TaskStage::running && placement.stage != TaskStage::running) {
-                placement.running_since = now;
-            }
-            placement.via = Placement::Via::reported;
-            placement.stage = status.stage;
-            ++it;
-            continue;
-        }
-        bool gone = false;
-        switch (placement.via) {
-        case Placement::Via::queued: break;
-        case Placement::Via::heartbeat_response:
-            // One report is in flight at a time: a report newer than the one answered shows
-            // that the response was executed before it, or dropped.
-            gone = newer && orders == 0 && heartbeat.sequence > placement.heartbeat_sequence;
-            break;
-        case Placement::Via::direct_command:
-            gone = (orders != 0 && placement.command_request == orders) ||
-                   (newer && heartbeat.fencing_token > placement.fencing_token);
-            break;
-        case Placement::Via::reported: gone = newer; break;
-        }
-        if (gone) {
-            result.removed.push_back({it->first, placement, ExitReason::none});
-            it = machine.tasks.erase(it);
-        } else {
-            ++it;
-        }
-    }
+    update_placements(now, machine, heartbeat, request, reported, result);
     return result;
 }
 
@@ -284,9 +317,9 @@
 }
 
 std::vector<HeartbeatResult::RemovedTask> MachineTable::expire_lease(Machine& machine) {
-    std::vector<HeartbeatResult::RemovedTask> gone;
-    for (const auto& [task, p] : machine.tasks) {
-        gone.push_back({task, p, ExitReason::none});
+    std::vector<HeartbeatResult::RemovedTask> removed;
+    for (const auto& [task, placement] : machine.tasks) {
+        removed.push_back({task, placement, ExitReason::none});
     }
     machine.tasks.clear();
     machine.lent_slots.clear();
@@ -296,16 +329,16 @@
     set_reported(machine, false);
     machine.fenced = false;
     machine.expired_epoch = std::max(machine.expired_epoch, machine.agent_epoch);
-    return gone;
+    return removed;
 }
 
 bool MachineTable::lease_expired(Time now, const Machine& machine) const {
     return now > machine.lease_expires_at;
 }
 
-void MachineTable::schedule_check(Machine& machine, Time when) {
-    machine.check_at = when;
-    checks_.emplace(when, machine.name);
+void MachineTable::schedule_check(Machine& machine, Time at) {
+    machine.check_at = at;
+    checks_.insert({at, machine.name});
 }
 
 void MachineTable::set_reported(Machine& machine, bool reported) {
@@ -315,20 +348,20 @@
 }
 
 std::vector<Machine*> MachineTable::expired_machines(Time now) {
-    std::vector<Machine*> out;
-    while (!checks_.empty() && checks_.begin()->first < now) {
+    std::vector<Machine*> machines;
+    while (!checks_.empty() && checks_.begin()->at < now) {
         auto entry = checks_.extract(checks_.begin());
-        Machine* machine = find(entry.value().second);
-        if (!machine || machine->check_at != entry.value().first) {
-            continue; // gone, or entered anew since
+        Machine* machine = find(entry.value().machine);
+        if (!machine || machine->check_at != entry.value().at) {
+            continue; // the machine is gone, or its check was rescheduled
         }
-        bool over = lease_expired(now, *machine);
-        schedule_check(*machine, over ? now + margin_s_ : machine->lease_expires_at);
-        if (over) {
-            out.push_back(machine);
+        bool expired = lease_expired(now, *machine);
+        schedule_check(*machine, expired ? now + margin_s_ : machine->lease_expires_at);
+        if (expired) {
+            machines.push_back(machine);
         }
     }
-    return out;
+    return machines;
 }
 
 void MachineTable::queue_start(Time now, Machine& machine, const TaskId& task,
@@ -340,27 +373,27 @@
     machine.tasks[task] = std::move(placement);
 }
 
-std::vector<Machine*> MachineTable::machines_with_commands(std::size_t most) {
-    std::vector<Machine*> out;
+std::vector<Machine*> MachineTable::machines_with_commands(std::size_t max_machines) {
+    std::vector<Machine*> ready;
     std::erase_if(queued_, [&](const std::string& name) {
         Machine* machine = find(name);
         if (!machine || machine->outbox.empty()) {
             return true;
         }
-        if (machine->command_in_flight == 0 && machine->fenced && out.size() < most) {
-            out.push_back(machine);
+        if (machine->command_in_flight == 0 && machine->fenced && ready.size() < max_machines) {
+            ready.push_back(machine);
         }
         return false;
     });
-    return out;
+    return ready;
 }
 
 std::vector<WorkerCommand> MachineTable::send_in_response(Machine& machine) {
     std::vector<WorkerCommand> commands = std::move(machine.outbox);
     machine.outbox.clear();
-    for (const auto& c : commands) {
-        if (c.type == CommandType::start) {
-            Placement& placement = machine.tasks.at(c.task);
+    for (const auto& command : commands) {
+        if (command.type == CommandType::start) {
+            Placement& placement = machine.tasks.at(command.task);
             placement.via = Placement::Via::heartbeat_response;
             placement.heartbeat_sequence = machine.heartbeat_sequence;
         }
@@ -371,9 +404,9 @@
 std::vector<WorkerCommand> MachineTable::send_directly(Machine& machine) {
     std::vector<WorkerCommand> commands = std::move(machine.outbox);
     machine.outbox.clear();
-    for (const auto& c : commands) {
-        if (c.type == CommandType::start) {
-            Placement& placement = machine.tasks.at(c.task);
+    for (const auto& command : commands) {
+        if (command.type == CommandType::start) {
+            Placement& placement = machine.tasks.at(command.task);
             placement.via = Placement::Via::direct_command;
             placement.fencing_token = machine.fencing_token();
         }
@@ -382,11 +415,11 @@
 }
 
 void MachineTable::on_sent_directly(Machine& machine, const std::vector<WorkerCommand>& commands,
-                                    OutboundRequestId call) {
-    machine.command_in_flight = call;
+                                    OutboundRequestId request) {
+    machine.command_in_flight = request;
     for (const auto& command : commands) {
         if (command.type == CommandType::start) {
-            machine.tasks.at(command.task).command_request = call;
+            machine.tasks.at(command.task).command_request = request;
         }
     }
 }
@@ -399,19 +432,19 @@
 
 std::vector<HeartbeatResult::RemovedTask>
 MachineTable::cancel_queued_starts(Machine& machine, const std::string* job) {
-    std::vector<HeartbeatResult::RemovedTask> gone;
+    std::vector<HeartbeatResult::RemovedTask> removed;
     std::erase_if(machine.outbox, [&](const WorkerCommand& command) {
         return command.type == CommandType::start && (!job || command.task.job == *job);
     });
     for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
         if (it->second.via == Placement::Via::queued && (!job || it->first.job == *job)) {
-            gone.push_back({it->first, it->second, ExitReason::none});
+            removed.push_back({it->first, it->second, ExitReason::none});
             it = machine.tasks.erase(it);
         } else {
             ++it;
         }
     }
-    return gone;
+    return removed;
 }
 
 } // namespace scheduler
--- a/src/core/machines/slot_lists.cpp
+++ b/src/core/machines/slot_lists.cpp
@@ -1,3 +1,4 @@
+// Implementation of the lists of idle slots; see the header.
 #include "core/machines/slot_lists.h"
 
 #include <algorithm>
@@ -6,13 +7,14 @@
 namespace scheduler {
 
 namespace {
+// Tolerance for rounding errors in sums of resources, in slots.
 constexpr double kRounding = 1e-6;
-}
+} // namespace
 
 int slots_needed(const InstanceType& type, double cpus, double gpus, double ram_gb) {
     double slots = type.slots();
-    double most = std::max({gpus, cpus * slots / type.cpus, ram_gb * slots / type.ram_gb});
-    return std::max(1, static_cast<int>(std::ceil(most - kRounding)));
+    double needed = std::max({gpus, cpus * slots / type.cpus, ram_gb * slots / type.ram_gb});
+    return std::max(1, static_cast<int>(std::ceil(needed - kRounding)));
 }
 
 int min_listed_slots(const InstanceType& type, double cpus, double gpus, double ram_gb) {
@@ -24,13 +26,14 @@
     if (type.gpus > 0) {
         return static_cast<int>(std::floor(free_gpus + kRounding));
     }
-    double shard = type.ram_gb / type.cpus;
-    return static_cast<int>(std::floor(std::min(free_cpus, free_ram_gb / shard) + kRounding));
+    double ram_per_slot = type.ram_gb / type.cpus;
+    return static_cast<int>(
+        std::floor(std::min(free_cpus, free_ram_gb / ram_per_slot) + kRounding));
 }
 
 void SlotLists::set(const SlotKind& kind, const std::string& machine, int slots) {
     auto it = where_.find(machine);
-    if (it != where_.end() && it->second == std::pair(kind, slots)) {
+    if (it != where_.end() && it->second == Position{kind, slots}) {
         return;
     }
     bool was_listed = it != where_.end();
@@ -42,28 +45,28 @@
         where_[machine] = {kind, slots};
     }
     if (was_listed != (slots >= 0)) {
-        warm(machine, slots >= 0);
+        update_warm(machine, slots >= 0);
     }
 }
 
 void SlotLists::remove(const std::string& machine) {
     if (auto it = where_.find(machine); it != where_.end()) {
         unlist(it);
-        warm(machine, false);
+        update_warm(machine, false);
     }
 }
 
-void SlotLists::unlist(Where::iterator it) {
-    auto& lists = lists_[it->second.first];
-    auto list = lists.find(it->second.second);
-    list->second.erase(it->first);
+void SlotLists::unlist(Positions::iterator position) {
+    auto& lists = lists_[position->second.kind];
+    auto list = lists.find(position->second.slots);
+    list->second.erase(position->first);
     if (list->second.empty()) {
         lists.erase(list);
     }
-    where_.erase(it);
+    where_.erase(position);
 }
 
-void SlotLists::warm(const std::string& machine, bool listed) {
+void SlotLists::update_warm(const std::string& machine, bool listed) {
     auto images = images_.find(machine);
     if (images == images_.end()) {
         return;
@@ -84,7 +87,7 @@
     if (known.version == version) {
         return;
     }
-    warm(machine, false);
+    update_warm(machine, false);
     for (const auto& image : known.names) {
         auto it = warm_.find(image);
         if (--it->second.machines == 0) {
@@ -96,7 +99,7 @@
         ++warm_[image].machines;
     }
     if (where_.contains(machine)) {
-        warm(machine, true);
+        update_warm(machine, true);
     }
 }
 
--- a/src/core/machines/slot_lists.h
+++ b/src/core/machines/slot_lists.h
@@ -1,5 +1,6 @@
-// Lists of machines by how many idle slots they have: the paper's list of idle cores with its
-// multicore extension, one set of lists for each kind of machine (type, ordinary or spot).
+// Lists of machines by their number of idle slots: the paper's list of idle cores with its
+// multicore extension, one set of lists for each kind of machine (instance type, on-demand or
+// spot).
 #pragma once
 
 #include <set>
@@ -11,37 +12,42 @@
 
 namespace scheduler {
 
+// The kind of machine that a slot is on.
 struct SlotKind {
     std::string type;
     bool spot = false;
     auto operator<=>(const SlotKind&) const = default;
 };
 
-// How many slots of such a machine a task takes up, by what it needs most of.
+// The number of slots that a task takes up on a machine of the type, by the resource it needs most
+// of; at least 1.
 int slots_needed(const InstanceType& type, double cpus, double gpus, double ram_gb);
-// From which list a task may be served. GPU machines are listed by idle GPUs alone, so that tasks
-// of uneven shape still share one; a task that wants none is served from the list of 0 as well.
+// The fewest idle slots with which a machine is listed that may fit the task. GPU machines are
+// listed by idle GPUs alone, so that tasks of uneven shape still share one; a task without GPUs is
+// served from the list of 0 as well.
 int min_listed_slots(const InstanceType& type, double cpus, double gpus, double ram_gb);
+// The number of idle slots under which a machine with these free resources is listed.
 int idle_slots(double free_cpus, double free_gpus, double free_ram_gb, const InstanceType& type);
 
+// Called only from the controller's event loop. Pointers to names are valid until the next change.
 class SlotLists {
   public:
-    // Lists the machine under `slots` idle slots; below 0 takes it off.
+    // Lists the machine under `slots` idle slots; a number below 0 removes it.
     void set(const SlotKind& kind, const std::string& machine, int slots);
     void remove(const std::string& machine);
-    // The machine is gone, and its images with it.
+    // The machine is gone, and its image cache with it.
     void forget(const std::string& machine);
     bool empty() const { return where_.empty(); }
-    // Images that the machine has. `version`: changes with them, so that telling the same costs
-    // nothing.
+    // Sets the images in the machine's cache. `version` changes with them, so that a call without a
+    // change costs nothing.
     void set_images(const std::string& machine, const std::vector<std::string>& images,
                     std::uint64_t version);
     std::uint64_t images_version(const std::string& machine) const;
-    // As `pop`, but only of the machines with the image: from the paper's list of warm cores, where
-    // that is the shorter way, else by looking through all lists.
-    template <class Ok>
+    // As `pop`, but only among the machines that have the image: from the paper's list of warm
+    // cores, where that is faster, else by searching all lists.
+    template <class Accepts>
     const std::string* pop_warm(const SlotKind& kind, int slots, const std::string& image,
-                                Ok&& ok) const {
+                                Accepts&& accepts) const {
         auto warm = warm_.find(image);
         if (warm == warm_.end()) {
             return nullptr;
@@ -49,31 +55,33 @@
         const auto& idle = warm->second.idle;
         if (idle.size() * idle.size() > where_.size()) {
             return pop(kind, slots, [&](const std::string& machine) {
-                return idle.contains(machine) && ok(machine);
+                return idle.contains(machine) && accepts(machine);
             });
         }
         const std::string* best = nullptr;
         int best_slots = 0;
         for (const auto& machine : idle) {
-            const auto& [its_kind, its_slots] = where_.at(machine);
-            if (its_kind == kind && its_slots >= slots &&
-                (!best || std::tie(its_slots, machine) < std::tie(best_slots, *best)) &&
-                ok(machine)) {
+            const Position& position = where_.at(machine);
+            if (position.kind == kind && position.slots >= slots &&
+                (!best || std::tie(position.slots, machine) < std::tie(best_slots, *best)) &&
+                accepts(machine)) {
                 best = &machine;
-                best_slots = its_slots;
+                best_slots = position.slots;
             }
         }
         return best;
     }
-    // The first machine, fewest idle slots first, that has `slots` and that `ok` accepts.
-    template <class Ok> const std::string* pop(const SlotKind& kind, int slots, Ok&& ok) const {
+    // The first machine, fewest idle slots first, that has at least `slots` idle slots and that the
+    // predicate accepts; null if there is none. The machine stays listed.
+    template <class Accepts>
+    const std::string* pop(const SlotKind& kind, int slots, Accepts&& accepts) const {
         auto it = lists_.find(kind);
         if (it == lists_.end()) {
             return nullptr;
         }
         for (auto list = it->second.lower_bound(slots); list != it->second.end(); ++list) {
             for (const auto& machine : list->second) {
-                if (ok(machine)) {
+                if (accepts(machine)) {
                     return &machine;
                 }
             }
@@ -82,10 +90,17 @@
     }
 
   private:
+    // The list that a machine is on.
+    struct Position {
+        SlotKind kind;
+        int slots = 0;
+        bool operator==(const Position&) const = default;
+    };
+    using Positions = std::unordered_map<std::string, Position>; // by machine
+    void unlist(Positions::iterator position);
+
     std::map<SlotKind, std::map<int, std::set<std::string>>> lists_;
-    using Where = std::unordered_map<std::string, std::pair<SlotKind, int>>;
-    void unlist(Where::iterator it);
-    Where where_;
+    Positions where_;
     struct Warm {
         std::unordered_set<std::string> idle; // listed machines that have the image
         std::size_t machines = 0;             // that have it, listed or not
@@ -94,8 +109,8 @@
         std::vector<std::string> names;
         std::uint64_t version = 0;
     };
-    // Puts the machine on the warm lists of its images, or takes it off.
-    void warm(const std::string& machine, bool listed);
+    // Adds the machine to the warm lists of its images, or removes it from them.
+    void update_warm(const std::string& machine, bool listed);
     std::unordered_map<std::string, Images> images_; // by machine, listed or not
     std::unordered_map<std::string, Warm> warm_;     // by image
 };
--- a/src/core/scheduling/gang_tracker.cpp
+++ b/src/core/scheduling/gang_tracker.cpp
@@ -1,10 +1,12 @@
+// Implementation of the gang tracker; see the header.
 #include "core/scheduling/gang_tracker.h"
 
 namespace scheduler {
 
 namespace {
-// A lost mate is replaced in the first half of the others' patience: it has to fetch its image yet.
-constexpr double kReplaceShare = 0.5;
+// A lost member is replaced only in this first part of the start timeout of the others: it still
+// has to fetch its image.
+constexpr double kReplaceFraction = 0.5;
 } // namespace
 
 const GangTracker::Attempt* GangTracker::find(const std::string& job) const {
@@ -14,13 +16,14 @@
 
 bool GangTracker::may_place(Time now, const Job& job) const {
     if (job.done > 0) {
-        return false; // all of them are: see PartOwner::finish_mates
+        return false; // all members are done together
     }
-    const Attempt* a = find(job.spec.id);
-    if (!a) {
+    const Attempt* attempt = find(job.spec.id);
+    if (!attempt) {
         return job.placed == 0;
     }
-    return !a->ending && !a->ran && now - a->since < kReplaceShare * start_timeout_s_;
+    return !attempt->ending && !attempt->ran &&
+           now - attempt->since < kReplaceFraction * start_timeout_s_;
 }
 
 void GangTracker::begin(Time now, const std::string& job, std::uint64_t number) {
@@ -50,15 +53,15 @@
 }
 
 std::vector<std::string> GangTracker::overdue(Time now, JobStore& jobs) const {
-    std::vector<std::string> out;
-    for (const auto& [id, a] : attempts_) {
+    std::vector<std::string> overdue;
+    for (const auto& [id, attempt] : attempts_) {
         const Job* job = jobs.find(id);
-        if (job && !a.ending && !job->waiting.empty() &&
-            (a.ran || now - a.since > kReplaceShare * start_timeout_s_)) {
-            out.push_back(id);
+        if (job && !attempt.ending && !job->waiting.empty() &&
+            (attempt.ran || now - attempt.since > kReplaceFraction * start_timeout_s_)) {
+            overdue.push_back(id);
         }
     }
-    return out;
+    return overdue;
 }
 
 } // namespace scheduler
--- a/src/core/scheduling/gang_tracker.h
+++ b/src/core/scheduling/gang_tracker.h
@@ -1,7 +1,7 @@
-// The attempts of gangs: which one runs, whether it has run, whether it is being ended.
+// The attempts of gangs: which one is current, whether it has run, whether it is being ended.
 //
-// The rule that this class keeps: a gang has one attempt at a time, and the next begins only when
-// every task of the one before is known gone.
+// Safety rule: a gang has one attempt at a time, and the next begins only when every task of the
+// one before is known to be gone.
 #pragma once
 
 #include "core/jobs/job_store.h"
@@ -9,52 +9,58 @@
 
 namespace scheduler {
 
-// The time to save that a task is given, in times of what it says it needs.
+// The grace time for saving that a task is given, as a multiple of what its job asks for.
 inline constexpr double kSaveGraceFactor = 2;
 
-struct GangPlacement { // slots found for tasks of one shape, in their order
+// Slots found for the tasks of a gang, in the order of the tasks.
+struct GangPlacement {
     std::vector<std::string> machines;
     std::map<std::string, std::uint32_t> tasks_by_machine;
     std::map<std::string, std::uint32_t> tasks_by_zone;
 };
 
-// A gang that no owner has room for alone: slots of several are held for a moment until they
-// are enough. One gang at a time, so that two of ours never hold halves.
+// A gang for which no partition has enough slots alone: slots of several partitions are reserved
+// for a moment until they are enough. One gang at a time, so that no two gangs hold half of their
+// slots each.
 struct GangReservation {
     std::string job;
     std::uint64_t attempt = 0;
     std::map<std::uint32_t, std::pair<int, SlotGrant>>
-        grants; // by task; with the part of the slots
+        grants; // by task, with the partition that granted it
     Time until = 0;
 };
 
+// Called only from the controller's event loop.
 class GangTracker {
   public:
-    // `wait_s`: how long the tasks of a gang wait for each other on their machines.
-    explicit GangTracker(double wait_s) : start_timeout_s_(wait_s) {}
+    // `start_timeout_s`: how long the tasks of a gang wait for each other on their machines.
+    explicit GangTracker(double start_timeout_s) : start_timeout_s_(start_timeout_s) {}
 
     struct Attempt {
         std::uint64_t number = 0;
         Time since = 0;
-        bool ran = false;    // all tasks were there at some time
+        bool ran = false;    // all tasks ran at some time
         bool ending = false; // its tasks are being stopped, or exit by themselves
         bool saves = false;  // ... and may save first
     };
 
+    // Null if the gang has no attempt.
     const Attempt* find(const std::string& job) const;
-    // May tasks of the gang that are on no machine be placed now: all of them as a new attempt, or
-    // those lost from one that still waits for them?
+    // May the waiting tasks of the gang be placed now: all of them as a new attempt, or the lost
+    // ones of an attempt that still waits for them?
     bool may_place(Time now, const Job& job) const;
+    // Begins the attempt with this number.
     void begin(Time now, const std::string& job, std::uint64_t number);
-    // A task that an owner before us started. False: it belongs to another attempt.
+    // A task that an earlier leader launched was found. Returns false if it belongs to another
+    // attempt.
     bool adopt(Time now, const std::string& job, std::uint64_t number);
     // A task of the attempt was seen to run, so all of them did.
     void on_running(const std::string& job);
-    // Ends the attempt. False: it was being ended already, or there is none.
+    // Begins to end the attempt. Returns false if it is being ended already, or if there is none.
     bool end(const std::string& job, bool saves);
     // None of its tasks is on a machine any more, or the job is over.
     void on_attempt_gone(const std::string& job) { attempts_.erase(job); }
-    // Attempts that can be completed no more: a mate is missing for too long.
+    // The gangs whose attempt can no longer be completed: a member has been missing for too long.
     std::vector<std::string> overdue(Time now, JobStore& jobs) const;
 
   private:
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -1,3 +1,4 @@
+// Implementation of the pending queue; see the header.
 #include "core/scheduling/pending_queue.h"
 
 #include <algorithm>
@@ -9,18 +10,26 @@
 namespace scheduler {
 
 namespace {
-// Work for more than this many times the time there is cannot be done by then, though estimates err
+// Work for more than this many times the time left cannot be done in time, although estimates err
 // and a team may get more CPUs than it has now.
-constexpr double kHopeless = 1.5;
-// A job that has waited for this many times as long as its last aim gives it is left behind.
-constexpr double kLeftBehind = 2;
+constexpr double kHopelessFactor = 1.5;
+// A job is left behind when it has waited for this many times what its latest objective allows.
+constexpr double kLeftBehindFactor = 2;
+
+// A job that can meet its due time, ordered by the work left.
+struct AcceptedJob {
+    double work_s = 0;
+    std::string id;
+    Job* job = nullptr;
+    auto operator<=>(const AcceptedJob&) const = default;
+};
 } // namespace
 
 PendingQueue::PendingQueue(const ClusterSettings& settings, const SchedulingPolicy& policy,
-                           JobStore& jobs, const QuotaLedger& quotas, IsSchedulable waits,
-                           PeerRequests wanted)
+                           JobStore& jobs, const QuotaLedger& quotas, IsSchedulable is_schedulable,
+                           PeerRequests peer_requests)
     : settings_(settings), policy_(policy), jobs_(jobs), quotas_(quotas),
-      is_schedulable_(std::move(waits)), peer_requests_(std::move(wanted)) {
+      is_schedulable_(std::move(is_schedulable)), peer_requests_(std::move(peer_requests)) {
     std::set<int> partitions;
     for (const auto& [team, partition] : partitions_of_teams(settings_)) {
         partitions.insert(partition);
@@ -46,50 +55,53 @@
     ++served_teams_[spec.team].done;
 }
 
-// Run time left of the job's tasks. Those that run are half done on the whole; replicas run for
-// ever.
+// Tasks that run are half done on average; replicas of services run for ever.
 double PendingQueue::remaining_s(const Job& job) {
     double tasks = static_cast<double>(job.waiting.size()) + 0.5 * job.placed;
     return job.spec.kind == JobKind::service ? 0 : tasks * job.spec.estimate_s;
 }
 
-Time PendingQueue::due(Time now, const Job& job) const {
-    // A job that has missed all its aims stands behind those that can still meet one.
-    Time next = latest_due(job);
-    // What is left takes at least this long, even with all that its team may use.
+// What is left of the job takes at least this long, even with all that its team may use.
+double PendingQueue::shortest_run_s(const Job& job) const {
     const JobSpec& spec = job.spec;
     const TeamQuota* quota = quotas_.quota(spec.team);
-    double left = static_cast<double>(spec.tasks - job.done);
-    double at_once = spec.kind == JobKind::array ? left * quota->amount(spec.cpus, spec.gpus) : 0;
-    double shortest = spec.estimate_s * std::max(1.0, at_once / std::max(1.0, quota->limit()));
+    double tasks_left = static_cast<double>(spec.tasks - job.done);
+    double amount =
+        spec.kind == JobKind::array ? tasks_left * quota->amount(spec.cpus, spec.gpus) : 0;
+    return spec.estimate_s * std::max(1.0, amount / std::max(1.0, quota->limit()));
+}
+
+Time PendingQueue::due(Time now, const Job& job) const {
+    // A job that has missed all its objectives comes after those that can still meet one.
+    Time next = latest_due(job);
+    double shortest_s = shortest_run_s(job);
     for (const auto& objective : settings_.objectives) {
         if (objective.job_class != job.spec.job_class) {
             continue;
         }
-        bool own = objective.kind == ServiceLevelObjective::Kind::deadline;
-        if (own && !job.spec.deadline_s) {
+        bool is_deadline = objective.kind == ServiceLevelObjective::Kind::deadline;
+        if (is_deadline && !job.spec.deadline_s) {
             continue;
         }
-        Time at =
-            job.first_seen + (own ? *job.spec.deadline_s * objective.times : objective.within_s);
-        bool starts = objective.kind == ServiceLevelObjective::Kind::wait;
-        if (at > now + (starts ? 0 : shortest)) {
-            next = std::min(next, at);
+        Time due_at = job.first_seen +
+                      (is_deadline ? *job.spec.deadline_s * objective.times : objective.within_s);
+        bool is_wait = objective.kind == ServiceLevelObjective::Kind::wait;
+        if (due_at > now + (is_wait ? 0 : shortest_s)) {
+            next = std::min(next, due_at);
         }
     }
     return next;
 }
 
-// Gives each job its due time. Where a team cannot meet all of them with the CPUs it has, the job
-// with most work left of those due by then stands behind: aims count jobs, and one large job that
-// would be late all the same makes many small ones late (the rule of Moore and Hodgson).
-void PendingQueue::rebuild(Time now) {
-    std::map<std::string, std::vector<Job*>> by_team;
+// Gives each open job its due time, before hopeless ones are postponed. Returns the jobs that can
+// meet an objective, by team.
+PendingQueue::JobsByTeam PendingQueue::assign_due_times(Time now) {
+    JobsByTeam by_team;
     for (const auto& [id, job] : jobs_.all()) {
         bool idle = !job->open() || job->waiting.empty();
         job->waiting_since = idle ? 0 : job->waiting_since > 0 ? job->waiting_since : now;
-        // The largest is put behind again with each small one that comes, so it would wait for as
-        // long as they come. One task costs the others next to nothing.
+        // The largest job is postponed again with each small one that arrives, so it would wait for
+        // as long as they arrive. One task costs the others next to nothing.
         job->awaits_first_task = job->spec.kind == JobKind::array && job->placed + job->done == 0 &&
                                  job->waiting_since > 0 &&
                                  now - job->waiting_since > policy_.first_task_deadline_s;
@@ -100,42 +112,44 @@
             }
         }
     }
-    for (auto& [team, jobs] : by_team) {
-        std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
-            return std::tie(a->spec.priority, a->due, a->spec.id) <
-                   std::tie(b->spec.priority, b->due, b->spec.id);
-        });
-        const TeamQuota& quota = *quotas_.quota(team);
-        double slots = std::max(1.0, quotas_.entitled_amount(team));
-        std::set<std::tuple<double, std::string, Job*>>
-            taken; // by work, so that the largest is last
-        double busy = 0;
-        for (Job* job : jobs) {
-            double work = remaining_s(*job) * quota.amount(job->spec.cpus, job->spec.gpus) / slots;
-            busy += work;
-            taken.insert({work, job->spec.id, job});
-            while (busy > kHopeless * (job->due - now) && !taken.empty()) {
-                auto largest = std::prev(taken.end());
-                Job* out = std::get<Job*>(*largest);
-                if (out->spec.priority < job->spec.priority) {
-                    break; // it runs first whatever its due time
-                }
-                busy -= std::get<double>(*largest);
-                out->due = latest_due(*out);
-                taken.erase(largest);
+    return by_team;
+}
+
+// Where a team cannot meet all due times with the CPUs it has, the job with most work left of those
+// due by then is postponed: objectives count jobs, and one large job that would be late all the
+// same makes many small ones late (the rule of Moore and Hodgson).
+void PendingQueue::postpone_hopeless(Time now, const std::string& team, std::vector<Job*>& jobs) {
+    std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
+        return std::tie(a->spec.priority, a->due, a->spec.id) <
+               std::tie(b->spec.priority, b->due, b->spec.id);
+    });
+    const TeamQuota& quota = *quotas_.quota(team);
+    double slots = std::max(1.0, quotas_.entitled_amount(team));
+    std::set<AcceptedJob> accepted; // the one with most work is the last
+    double total_work_s = 0;
+    for (Job* job : jobs) {
+        double work_s = remaining_s(*job) * quota.amount(job->spec.cpus, job->spec.gpus) / slots;
+        total_work_s += work_s;
+        accepted.insert({work_s, job->spec.id, job});
+        while (total_work_s > kHopelessFactor * (job->due - now) && !accepted.empty()) {
+            auto largest = std::prev(accepted.end());
+            if (largest->job->spec.priority < job->spec.priority) {
+                break; // it runs first whatever its due time
             }
+            total_work_s -= largest->work_s;
+            largest->job->due = latest_due(*largest->job);
+            accepted.erase(largest);
         }
     }
 }
 
-const std::vector<PendingJob>& PendingQueue::ordered(Time now) {
-    if (!stale_ && now < valid_until_) {
-        return queue_;
+void PendingQueue::update_due_times(Time now) {
+    for (auto& [team, jobs] : assign_due_times(now)) {
+        postpone_hopeless(now, team, jobs);
     }
-    stale_ = false;
-    valid_until_ = now + policy_.peer_sync_interval_s;
-    queue_.clear();
-    rebuild(now);
+}
+
+void PendingQueue::append_jobs(Time now) {
     for (const auto& [id, job] : jobs_.all()) {
         const JobSpec& spec = job->spec;
         if (is_schedulable_(now, *job)) {
@@ -146,18 +160,34 @@
                               job.get(), nullptr, 0, spec.kind, spec.spot, job->awaits_first_task});
         }
     }
+}
+
+void PendingQueue::append_peer_requests(Time now) {
     for (const auto& peer : peer_requests_()) {
         if (now - peer.at > settings_.heartbeat_interval_s / 2) {
-            continue; // it would have called again
+            continue; // outdated: a live peer would have called again
         }
-        for (auto& want : *peer.requests) {
-            if (want.count > 0) {
-                queue_.push_back({want.starving, want.priority, want.over_guarantee,
-                                  want.bottleneck_team, peer.at + want.due_s, peer.at - want.age_s,
-                                  nullptr, &want, peer.partition, want.kind, want.spot});
+        for (auto& request : *peer.requests) {
+            if (request.count > 0) {
+                queue_.push_back({request.starving, request.priority, request.over_guarantee,
+                                  request.bottleneck_team, peer.at + request.due_s,
+                                  peer.at - request.age_s, nullptr, &request, peer.partition,
+                                  request.kind, request.spot});
             }
         }
     }
+}
+
+const std::vector<PendingJob>& PendingQueue::ordered(Time now) {
+    if (!stale_ && now < valid_until_) {
+        return queue_;
+    }
+    stale_ = false;
+    valid_until_ = now + policy_.peer_sync_interval_s;
+    queue_.clear();
+    update_due_times(now);
+    append_jobs(now);
+    append_peer_requests(now);
     std::sort(queue_.begin(), queue_.end(), [](const PendingJob& a, const PendingJob& b) {
         return std::tie(b.starving, a.priority, a.over_guarantee, b.bottleneck_team, a.due,
                         a.since) < std::tie(a.starving, b.priority, b.over_guarantee,
@@ -166,81 +196,88 @@
     return queue_;
 }
 
-void PendingQueue::update_load(Time now, double slots, double left_slot_s) {
-    find_bottleneck_teams(slots, left_slot_s);
+void PendingQueue::update_load(Time now, double slots, double remaining_slot_s) {
+    find_bottleneck_teams(slots, remaining_slot_s);
     find_starving(now, slots);
 }
 
 // A team whose work takes longer at the team's limit than all work takes on all machines decides
-// when everything is over: each moment that it runs below its limit is added to the end.
-void PendingQueue::find_bottleneck_teams(double slots, double left_slot_s) {
-    std::map<std::string, double> left; // in the team's own measure
+// when everything is done: each moment that it runs below its limit delays the end.
+void PendingQueue::find_bottleneck_teams(double slots, double remaining_slot_s) {
+    std::map<std::string, double> work_by_team; // in the team's own measure
     for (const auto& [id, job] : jobs_.all()) {
-        const TeamQuota* f = quotas_.quota(job->spec.team);
-        if (job->open() && f) {
-            left[f->name] += remaining_s(*job) * f->amount(job->spec.cpus, job->spec.gpus);
+        const TeamQuota* quota = quotas_.quota(job->spec.team);
+        if (job->open() && quota) {
+            double amount = quota->amount(job->spec.cpus, job->spec.gpus);
+            work_by_team[quota->name] += remaining_s(*job) * amount;
         }
     }
-    double together = left_slot_s / std::max(1.0, slots);
+    double cluster_s = remaining_slot_s / std::max(1.0, slots);
+    double min_s = std::max(cluster_s, settings_.heartbeat_interval_s);
     bottleneck_teams_.clear();
-    for (const auto& [team, work] : left) {
-        if (work >
-            std::max(together, settings_.heartbeat_interval_s) * quotas_.quota(team)->limit()) {
+    for (const auto& [team, work] : work_by_team) {
+        if (work > min_s * quotas_.quota(team)->limit()) {
             bottleneck_teams_.insert(team);
         }
     }
 }
 
 bool PendingQueue::is_left_behind(Time now, const Job& job) const {
-    double last = settings_.worker_lease_s;
+    double latest_s = settings_.worker_lease_s;
     for (const auto& objective : settings_.objectives) {
         if (objective.job_class == job.spec.job_class) {
-            bool own = objective.kind == ServiceLevelObjective::Kind::deadline;
-            last = std::max(last, own ? job.spec.deadline_s.value_or(0) * objective.times
-                                      : objective.within_s);
+            bool is_deadline = objective.kind == ServiceLevelObjective::Kind::deadline;
+            double deadline_s = job.spec.deadline_s.value_or(0) * objective.times;
+            latest_s = std::max(latest_s, is_deadline ? deadline_s : objective.within_s);
         }
     }
-    return now > job.first_seen + kLeftBehind * last;
+    return now > job.first_seen + kLeftBehindFactor * latest_s;
 }
 
-// Under lasting overload some class or team would stand behind the others for ever. So a class with
-// jobs that are left behind keeps an even share of the slots, and such a team the share that its
-// guarantee is of all guarantees, until half of its jobs are served. What it runs beyond that
-// stands in the order as before. Sooner than that the share costs more aims than it saves: with
-// jobs that had only just missed theirs it took rechecks and theses alike below what they had.
+// Under lasting overload some class or team would stay behind the others for ever. So a class with
+// jobs that are left behind keeps an even part of the slots, and such a team the part that its
+// guarantee is of all guarantees, until half of its jobs are done. What it runs beyond that has its
+// usual place in the order. Given sooner, these slots cost more objectives than they save: with
+// jobs that had only just missed theirs, rechecks and theses alike fell below what they had
+// reached.
 void PendingQueue::find_starving(Time now, double slots) {
-    struct Use {
-        double running = 0;
-        bool behind = false;
-    };
-    std::map<std::string, Use> classes; // in the teams' own measures
-    std::map<std::string, Use> teams;
+    UsageByName classes;
+    UsageByName teams;
     for (const auto& [id, job] : jobs_.all()) {
         const JobSpec& spec = job->spec;
-        const TeamQuota* f = quotas_.quota(spec.team);
-        if (!job->open() || !f) {
+        const TeamQuota* quota = quotas_.quota(spec.team);
+        if (!job->open() || !quota) {
             continue;
         }
-        bool behind = !job->waiting.empty() && is_left_behind(now, *job);
-        for (Use* use : {&classes[spec.job_class], &teams[spec.team]}) {
-            use->running += job->placed * f->amount(spec.cpus, spec.gpus);
-            use->behind = use->behind || behind;
+        bool left_behind = !job->waiting.empty() && is_left_behind(now, *job);
+        for (Usage* usage : {&classes[spec.job_class], &teams[spec.team]}) {
+            usage->running += job->placed * quota->amount(spec.cpus, spec.gpus);
+            usage->left_behind = usage->left_behind || left_behind;
         }
     }
-    double even = slots / static_cast<double>(std::max<std::size_t>(1, classes_.size())) /
-                  static_cast<double>(partitions_with_teams_);
+    find_starving_classes(classes, slots);
+    find_starving_teams(teams, slots);
+}
+
+void PendingQueue::find_starving_classes(const UsageByName& usages, double slots) {
+    double even_part = slots / static_cast<double>(std::max<std::size_t>(1, classes_.size())) /
+                       static_cast<double>(partitions_with_teams_);
     starving_classes_.clear();
-    for (const auto& [name, use] : classes) {
-        if (use.behind && !classes_[name].half() && use.running < even) {
+    for (const auto& [name, usage] : usages) {
+        if (usage.left_behind && !classes_[name].is_half_done() && usage.running < even_part) {
             starving_classes_.insert(name);
         }
     }
-    starving_teams_.clear();
+}
+
+void PendingQueue::find_starving_teams(const UsageByName& usages, double slots) {
     double guarantees = std::max(1.0, quotas_.total_guarantee());
-    for (const auto& [name, use] : teams) {
-        const TeamQuota& f = *quotas_.quota(name);
-        double shard = f.amount(f.guaranteed_cpus, f.guaranteed_gpus) / guarantees * slots;
-        if (use.behind && !served_teams_[name].half() && use.running < shard) {
+    starving_teams_.clear();
+    for (const auto& [name, usage] : usages) {
+        const TeamQuota& quota = *quotas_.quota(name);
+        double guaranteed = quota.amount(quota.guaranteed_cpus, quota.guaranteed_gpus);
+        double team_part = guaranteed / guarantees * slots;
+        if (usage.left_behind && !served_teams_[name].is_half_done() && usage.running < team_part) {
             starving_teams_.insert(name);
         }
     }
--- a/src/core/stealing/slot_borrower.cpp
+++ b/src/core/stealing/slot_borrower.cpp
@@ -1,3 +1,4 @@
+// Implementation of the borrowing of slots; see the header.
 #include "core/stealing/slot_borrower.h"
 
 #include <algorithm>
@@ -7,9 +8,25 @@
 namespace scheduler {
 
 namespace {
-constexpr double kMostBatch = 64;
-constexpr std::size_t kMostWants = 24; // jobs named in a call
-constexpr std::size_t kMostTold = 256; // words on tasks, and machines bought, in a call
+constexpr double kMaxBatch = 64;                    // slots requested in a call
+constexpr std::size_t kMaxRequestsPerCall = 24;     // jobs for which slots are requested
+constexpr std::size_t kMaxCommandsPerCall = 256;    // commands about remote tasks
+constexpr std::size_t kMaxProvisionedPerCall = 256; // provisioned machines
+constexpr double kIdleCallsPerHeartbeat = 3;        // calls in a heartbeat interval when idle
+
+RemoteTaskCommand describe_command(const std::string& machine, const LaunchId& id,
+                                   const JobSpec& spec) {
+    return {RemoteTaskCommand::Type::describe,
+            machine,
+            id,
+            0,
+            spec.kind,
+            spec.cpus,
+            spec.gpus,
+            spec.ram_gb,
+            spec.image,
+            spec.image_gb};
+}
 } // namespace
 
 SlotBorrower::SlotBorrower(Leadership& leadership, const ClusterSettings& settings,
@@ -20,9 +37,10 @@
     : leadership_(leadership), settings_(settings), policy_(policy), partition_map_(partition_map),
       owned_shards_(owned_shards), jobs_(jobs), quotas_(quotas), gangs_(gangs), queue_(queue),
       demand_(demand), requests_(requests), delegate_(delegate) {
-    for (int p = 0; p < static_cast<int>(settings_.partitions.size()); ++p) {
-        if (p != leadership_.partition()) {
-            peers_[p].batch = policy_.initial_steal_batch;
+    int partitions = static_cast<int>(settings_.partitions.size());
+    for (int partition = 0; partition < partitions; ++partition) {
+        if (partition != leadership_.partition()) {
+            peers_[partition].batch = policy_.initial_steal_batch;
         }
     }
 }
@@ -44,181 +62,248 @@
     }
 }
 
-std::vector<SlotRequest> SlotBorrower::slot_requests_for(Time now, int partition,
-                                                         const Peer& peer) {
-    auto nth = static_cast<std::uint64_t>(
-        std::distance(peers_.begin(), peers_.find(partition))); // of the peers
-    std::vector<SlotRequest> wants;
-    // One slot for a job to begin with, of one peer at a time, each in turn for a report time.
-    auto begins = [&](const Job* job) {
-        auto turn = stable_hash(job->spec.id) +
-                    static_cast<std::uint64_t>(now / settings_.heartbeat_interval_s);
-        return job->awaits_first_task && turn % peers_.size() == nth;
-    };
-    auto first = [&](const Job* job) { return begins(job) || queue_.is_starving(job->spec); };
+// One slot is requested for a job to begin with, from one peer at a time, each in turn for a
+// heartbeat interval.
+bool SlotBorrower::begins_at(Time now, const Job& job, std::uint64_t peer_index) const {
+    auto turn =
+        stable_hash(job.spec.id) + static_cast<std::uint64_t>(now / settings_.heartbeat_interval_s);
+    return job.awaits_first_task && turn % peers_.size() == peer_index;
+}
+
+// The jobs with tasks to schedule, in the order in which slots are requested for them.
+std::vector<const Job*> SlotBorrower::jobs_to_request(Time now, std::uint64_t peer_index) const {
     std::vector<const Job*> waiting;
     for (const auto& [id, job] : jobs_.all()) {
         if (delegate_.has_schedulable_tasks(now, *job)) {
             waiting.push_back(job.get());
         }
     }
-    std::sort(waiting.begin(), waiting.end(), [&](const Job* a, const Job* b) {
-        return std::tuple(!first(a), a->spec.priority, !queue_.is_bottleneck(a->spec.team), a->due,
-                          a->first_seen) < std::tuple(!first(b), b->spec.priority,
-                                                      !queue_.is_bottleneck(b->spec.team), b->due,
-                                                      b->first_seen);
-    });
-    // Many jobs, so that the peer can choose by image; it gives no more than the batch in all.
-    QuotaLedger room = quotas_; // so that slots are not asked for beyond a team's limit
-    for (const Job* job : waiting) {
-        const JobSpec& spec = job->spec;
-        SlotRequest request;
-        request.job = spec.id;
-        request.kind = spec.kind;
-        request.cpus = spec.cpus;
-        request.gpus = spec.gpus;
-        request.ram_gb = spec.ram_gb;
-        request.image = spec.image;
-        request.image_gb = spec.image_gb;
-        request.types = spec.types;
-        request.zone = spec.zone;
-        request.spot = spec.spot;
-        request.priority = PendingQueue::rank(*job, begins(job));
-        request.bottleneck_team = queue_.is_bottleneck(spec.team);
-        request.starving = first(job);
-        request.over_guarantee = !quotas_.within_guarantee(spec.team, spec.cpus, spec.gpus);
-        request.preempt = job->needs_preemption;
-        request.age_s = now - job->first_seen;
-        request.due_s = std::max(0.0, job->due - now);
-        if (spec.kind == JobKind::gang) {
-            auto n = static_cast<double>(job->waiting.size());
-            if (!room.fits(spec.team, n * spec.cpus, n * spec.gpus) ||
-                !delegate_.request_gang_slots(*job, peer.calls % 2 == 1, request)) {
-                continue;
-            }
-            room.add_usage(spec.team, n * spec.cpus, n * spec.gpus);
-        }
-        std::size_t most = begins(job) ? 1 : job->waiting.size(); // then it stands in line again
-        while (spec.kind != JobKind::gang && request.count < peer.batch && request.count < most &&
-               room.fits(spec.team, spec.cpus, spec.gpus)) {
-            room.add_usage(spec.team, spec.cpus, spec.gpus);
-            ++request.count;
+    auto rank = [&](const Job* job) {
+        bool first = begins_at(now, *job, peer_index) || queue_.is_starving(job->spec);
+        return std::tuple(!first, job->spec.priority, !queue_.is_bottleneck(job->spec.team),
+                          job->due, job->first_seen);
+    };
+    std::sort(waiting.begin(), waiting.end(),
+              [&](const Job* a, const Job* b) { return rank(a) < rank(b); });
+    return waiting;
+}
+
+// A request of slots for the job, without their number.
+SlotRequest SlotBorrower::describe(Time now, const Job& job, bool begins) const {
+    const JobSpec& spec = job.spec;
+    SlotRequest request;
+    request.job = spec.id;
+    request.kind = spec.kind;
+    request.cpus = spec.cpus;
+    request.gpus = spec.gpus;
+    request.ram_gb = spec.ram_gb;
+    request.image = spec.image;
+    request.image_gb = spec.image_gb;
+    request.types = spec.types;
+    request.zone = spec.zone;
+    request.spot = spec.spot;
+    request.priority = PendingQueue::rank(job, begins);
+    request.bottleneck_team = queue_.is_bottleneck(spec.team);
+    request.starving = begins || queue_.is_starving(spec);
+    request.over_guarantee = !quotas_.within_guarantee(spec.team, spec.cpus, spec.gpus);
+    request.preempt = job.needs_preemption;
+    request.age_s = now - job.first_seen;
+    request.due_s = std::max(0.0, job.due - now);
+    return request;
+}
+
+bool SlotBorrower::request_gang(const Job& job, const Peer& peer, QuotaLedger& quota_left,
+                                SlotRequest& request) {
+    const JobSpec& spec = job.spec;
+    auto tasks = static_cast<double>(job.waiting.size());
+    bool remainder = peer.calls % 2 == 1;
+    if (!quota_left.fits(spec.team, tasks * spec.cpus, tasks * spec.gpus) ||
+        !delegate_.request_gang_slots(job, remainder, request)) {
+        return false;
+    }
+    quota_left.add_usage(spec.team, tasks * spec.cpus, tasks * spec.gpus);
+    return true;
+}
+
+void SlotBorrower::count_slots(const Job& job, const Peer& peer, bool begins,
+                               QuotaLedger& quota_left, SlotRequest& request) {
+    const JobSpec& spec = job.spec;
+    // After its first task a job is in line with the others again.
+    std::size_t max_count = begins ? 1 : job.waiting.size();
+    while (request.count < peer.batch && request.count < max_count &&
+           quota_left.fits(spec.team, spec.cpus, spec.gpus)) {
+        quota_left.add_usage(spec.team, spec.cpus, spec.gpus);
+        ++request.count;
+    }
+}
+
+// Requests for many jobs, so that the peer can choose by image; it grants no more than the batch in
+// all.
+std::vector<SlotRequest> SlotBorrower::slot_requests_for(Time now, int partition,
+                                                         const Peer& peer) {
+    auto peer_index =
+        static_cast<std::uint64_t>(std::distance(peers_.begin(), peers_.find(partition)));
+    std::vector<SlotRequest> requests;
+    QuotaLedger quota_left = quotas_; // so that slots are not requested beyond a team's limit
+    for (const Job* job : jobs_to_request(now, peer_index)) {
+        bool begins = begins_at(now, *job, peer_index);
+        SlotRequest request = describe(now, *job, begins);
+        if (job->spec.kind != JobKind::gang) {
+            count_slots(*job, peer, begins, quota_left, request);
+        } else if (!request_gang(*job, peer, quota_left, request)) {
+            continue;
         }
         if (request.count > 0) {
-            wants.push_back(std::move(request));
+            requests.push_back(std::move(request));
         }
-        if (wants.size() == kMostWants) {
+        if (requests.size() == kMaxRequestsPerCall) {
             break;
         }
     }
-    return wants;
+    return requests;
 }
 
-void SlotBorrower::sync_peer(Time now, int partition, Peer& peer) {
-    queue_clears(peer);
-    PeerSyncRequest out;
-    out.from_partition = leadership_.partition();
-    out.term = leadership_.term();
-    out.to_partition = partition;
-    queue_.ordered(now); // due times
-    out.sequence = ++peer.calls;
-    if (now >= peer.request_again_at) {
-        out.slot_requests = slot_requests_for(now, partition, peer);
-    }
-    std::vector<Peer::RemoteLaunch> told;
-    for (const auto& [where, t] : peer.commands) {
-        if (told.size() == kMostTold) {
+void SlotBorrower::append_commands(const Peer& peer, PeerSyncRequest& request,
+                                   SyncCall& call) const {
+    for (const auto& [launch, command] : peer.commands) {
+        if (call.commands.size() == kMaxCommandsPerCall) {
             break;
         }
-        told.push_back(where);
-        out.commands.push_back(t);
-    }
-    std::vector<std::string> bought;
-    for (const auto& [name, b] : demand_.provisioned()) {
-        if (partition_map_.holder(shard_of_machine(settings_, name, b.first.zone)) == partition &&
-            bought.size() < kMostTold) {
-            bought.push_back(name);
-            out.provisioned.push_back({name, b.first.type, b.first.zone, b.first.spot});
+        call.commands.push_back(launch);
+        request.commands.push_back(command);
+    }
+}
+
+void SlotBorrower::append_provisioned(PeerSyncRequest& request, SyncCall& call) const {
+    for (const auto& [name, provisioned] : demand_.provisioned()) {
+        const ScaleOut& order = provisioned.order;
+        ShardId shard = shard_of_machine(settings_, name, order.zone);
+        if (partition_map_.holder(shard) == call.partition &&
+            call.provisioned.size() < kMaxProvisionedPerCall) {
+            call.provisioned.push_back(name);
+            request.provisioned.push_back({name, order.type, order.zone, order.spot});
         }
     }
-    out.transfers = peer.transfers;
-    out.acked_term = peer.acked_term;
-    out.acked_version = peer.resyncs_requested == peer.resyncs_answered ? peer.acked_version : 0;
-    out.demand = demand_.current(now).demand;
-    out.capacity = demand_.current(now).capacity;
-    std::uint32_t asked = 0;
-    std::uint32_t gang = 0; // the largest
-    for (const auto& w : out.slot_requests) {
-        asked += w.count;
-        gang = std::max(gang, w.kind == JobKind::gang ? w.count : 0);
-    }
-    asked = std::min(asked, std::max(gang, static_cast<std::uint32_t>(peer.batch)));
-    out.max_slots = asked;
-    bool busy = asked > 0 || peer.tasks > 0 || !delegate_.reconciled();
-    peer.next = now + (busy ? policy_.peer_sync_interval_s : settings_.heartbeat_interval_s / 3);
+}
+
+// All slots requested, within the batch; but a gang is requested as a whole.
+std::uint32_t SlotBorrower::max_slots_for(const Peer& peer,
+                                          const std::vector<SlotRequest>& requests) {
+    std::uint32_t total = 0;
+    std::uint32_t largest_gang = 0;
+    for (const auto& request : requests) {
+        total += request.count;
+        largest_gang = std::max(largest_gang, request.kind == JobKind::gang ? request.count : 0);
+    }
+    return std::min(total, std::max(largest_gang, static_cast<std::uint32_t>(peer.batch)));
+}
+
+PeerSyncRequest SlotBorrower::build_request(Time now, Peer& peer, SyncCall& call) {
+    PeerSyncRequest request;
+    request.from_partition = leadership_.partition();
+    request.term = leadership_.term();
+    request.to_partition = call.partition;
+    queue_.ordered(now); // updates the due times of jobs
+    request.sequence = ++peer.calls;
+    if (now >= peer.request_again_at) {
+        request.slot_requests = slot_requests_for(now, call.partition, peer);
+    }
+    append_commands(peer, request, call);
+    append_provisioned(request, call);
+    request.transfers = peer.transfers;
+    request.acked_term = peer.acked_term;
+    bool wants_full_inventory = peer.resyncs_requested != peer.resyncs_answered;
+    request.acked_version = wants_full_inventory ? 0 : peer.acked_version;
+    request.demand = demand_.current(now).demand;
+    request.capacity = demand_.current(now).capacity;
+    request.max_slots = max_slots_for(peer, request.slot_requests);
+    call.max_slots = request.max_slots;
+    call.transfers = peer.transfers.size();
+    call.resyncs_requested = peer.resyncs_requested;
+    return request;
+}
+
+void SlotBorrower::sync_peer(Time now, int partition, Peer& peer) {
+    queue_clears(peer);
+    SyncCall call;
+    call.partition = partition;
+    PeerSyncRequest request = build_request(now, peer, call);
+    bool busy = call.max_slots > 0 || peer.tasks > 0 || !delegate_.reconciled();
+    double idle_interval_s = settings_.heartbeat_interval_s / kIdleCallsPerHeartbeat;
+    peer.next = now + (busy ? policy_.peer_sync_interval_s : idle_interval_s);
     peer.in_flight = true;
-    requests_.send(
-        PeerSyncCall{partition_map_.at(partition).leader, std::move(out)},
-        [this, partition, asked, told, bought, given = peer.transfers.size(),
-         anew = peer.resyncs_requested](Time at, OutboundResponse& response) {
-            Peer& p = peers_.at(partition);
-            p.in_flight = false;
-            if (response.status != 200 || !response.peer_sync || !leadership_.is_active(at)) {
-                return;
-            }
-            p.resyncs_answered = anew;
-            for (const auto& where : told) {
-                p.commands.erase(where);
-            }
-            p.transfers.erase(p.transfers.begin(),
-                              p.transfers.begin() + static_cast<std::ptrdiff_t>(given));
-            for (const auto& name : bought) {
-                demand_.remove_provisioned(name); // its owner counts it now, in this very reply
-            }
-            on_response(at, partition, asked, *response.peer_sync);
-        });
+    requests_.send(PeerSyncCall{partition_map_.at(partition).leader, std::move(request)},
+                   [this, call](Time at, OutboundResponse& response) {
+                       on_sync_response(at, call, response);
+                   });
 }
 
-void SlotBorrower::on_response(Time at, int partition, std::uint32_t asked,
-                               const PeerSyncResponse& response) {
-    Peer& p = peers_.at(partition);
-    apply_response(at, partition, p, response);
-    // The first batch is small; while everything asked for is given, the next is twice as large and
-    // follows at once.
-    if (asked > 0 && response.grants.size() >= asked) {
-        p.batch = std::min(kMostBatch, p.batch * 2);
-        p.next = at;
+void SlotBorrower::on_sync_response(Time now, const SyncCall& call,
+                                    const OutboundResponse& response) {
+    Peer& peer = peers_.at(call.partition);
+    peer.in_flight = false;
+    if (response.status != 200 || !response.peer_sync || !leadership_.is_active(now)) {
+        return;
+    }
+    peer.resyncs_answered = call.resyncs_requested;
+    for (const auto& launch : call.commands) {
+        peer.commands.erase(launch);
+    }
+    peer.transfers.erase(peer.transfers.begin(),
+                         peer.transfers.begin() + static_cast<std::ptrdiff_t>(call.transfers));
+    for (const auto& name : call.provisioned) {
+        demand_.remove_provisioned(name); // its owner counts it now, in this very response
+    }
+    on_response(now, call.partition, call.max_slots, *response.peer_sync);
+}
+
+// The first batch is small; while everything requested is granted, the next is twice as large and
+// follows at once.
+void SlotBorrower::adapt_batch(Time now, Peer& peer, std::uint32_t max_slots,
+                               std::size_t granted) const {
+    if (max_slots > 0 && granted >= max_slots) {
+        peer.batch = std::min(kMaxBatch, peer.batch * 2);
+        peer.next = now;
     } else {
-        p.batch = std::max(policy_.initial_steal_batch, p.batch / 2);
+        peer.batch = std::max(policy_.initial_steal_batch, peer.batch / 2);
     }
-    if (std::any_of(p.commands.begin(), p.commands.end(), [](const auto& t) {
-            return t.second.type == RemoteTaskCommand::Type::return_slot;
-        })) {
-        // The slots go back at once, but asked for again at once they would come and go as fast as
-        // calls do.
-        p.next = at;
-        p.request_again_at = at + policy_.peer_sync_interval_s;
+}
+
+void SlotBorrower::on_response(Time now, int partition, std::uint32_t max_slots,
+                               const PeerSyncResponse& response) {
+    Peer& peer = peers_.at(partition);
+    apply_response(now, partition, peer, response);
+    adapt_batch(now, peer, max_slots, response.grants.size());
+    bool returns_slots =
+        std::any_of(peer.commands.begin(), peer.commands.end(), [](const auto& entry) {
+            return entry.second.type == RemoteTaskCommand::Type::return_slot;
+        });
+    if (returns_slots) {
+        // The slots are returned at once; but requested again at once, they would come and go as
+        // fast as calls do.
+        peer.next = now;
+        peer.request_again_at = now + policy_.peer_sync_interval_s;
     }
-    delegate_.on_peer_response(at);
+    delegate_.on_peer_response(now);
 }
 
-// Tasks of ours that ended there: their machine may forget them once that is durable here.
+// Tasks that exited there: their machine may forget them once that is durable here.
 void SlotBorrower::queue_clears(Peer& peer) {
-    std::erase_if(peer.exited, [&](const auto& e) {
-        const RemoteTaskStatus& remote_task = e.second;
+    std::erase_if(peer.exited, [&](const auto& entry) {
+        const RemoteTaskStatus& remote_task = entry.second;
         if (!delegate_.end_is_durable(remote_task.status)) {
             return false;
         }
-        peer.commands[e.first] = {RemoteTaskCommand::Type::clear, remote_task.machine,
-                                  e.first.first};
+        peer.commands[entry.first] = {RemoteTaskCommand::Type::clear, remote_task.machine,
+                                      entry.first.id};
         return true;
     });
 }
 
-// A word that does not wait for the next regular call.
+// Queues a command that does not wait for the next regular call.
 void SlotBorrower::queue_command(Peer& peer, RemoteTaskCommand command) {
-    Peer::RemoteLaunch where{command.launch, command.machine};
-    peer.commands[where] = std::move(command);
+    RemoteLaunch launch{command.launch, command.machine};
+    peer.commands[launch] = std::move(command);
     peer.next = 0;
 }
 
@@ -235,8 +320,7 @@
     for (const auto& grant : response.grants) {
         ShardId shard = shard_of_machine(settings_, grant.machine, grant.zone);
         if (term_of_fencing_token(grant.fencing_token) < shard_terms_[shard]) {
-            return_grant(partition,
-                         grant); // its share has passed on since: the start would be refused
+            return_grant(partition, grant); // its shard has migrated: the launch would be refused
         } else if ((grant.launch.attempt & kGangBit) != 0) {
             gangs[grant.launch.attempt].push_back(grant);
         } else {
@@ -257,56 +341,58 @@
     }
 }
 
-// What a reply says counts by share: only under the latest term that we know of, and not for shares
-// that we hold ourselves. `complete`: nothing has to be listed again.
+// A response counts by shard: only under the latest known term of the shard, and not for shards
+// that this partition owns. Sets `complete` to false if something has to be reported again.
 SlotBorrower::ShardInventories
 SlotBorrower::current_inventories(int partition, const PeerSyncResponse& response, bool& complete) {
-    std::vector<ShardInventory> listed;
+    std::vector<ShardInventory> reported;
     if (response.shards) {
-        listed = *response.shards;
-    } else { // a node of the version before: it holds what is at home there
+        reported = *response.shards;
+    } else { // a controller of the previous version: it owns the shards whose home it is
         for (int number = 0; number < shards_per_home(settings_, partition); ++number) {
-            listed.push_back(
+            reported.push_back(
                 {{partition, number}, response.term, response.reconciled, response.complete});
         }
     }
-    ShardInventories out;
-    for (const auto& l : listed) {
-        if (const OwnedShards::Shard* own = owned_shards_.find(l.shard)) {
-            // A later holder than we are: we gave it away and have not heard that it is done.
-            complete = complete && l.term < own->term;
+    ShardInventories current;
+    for (const auto& inventory : reported) {
+        if (const OwnedShards::Shard* own = owned_shards_.find(inventory.shard)) {
+            // A later term than the own one: the shard has migrated out, and the response to that
+            // transaction is still missing.
+            complete = complete && inventory.term < own->term;
             continue;
         }
-        std::uint64_t& heard = shard_terms_[l.shard];
-        if (l.term >= heard) {
-            heard = l.term;
-            out.emplace(l.shard, l);
+        std::uint64_t& latest_term = shard_terms_[inventory.shard];
+        if (inventory.term >= latest_term) {
+            latest_term = inventory.term;
+            current.emplace(inventory.shard, inventory);
         }
     }
-    return out;
+    return current;
 }
 
-// For each share that it covers, the reply lists every task of ours there and every slot whose
-// start has not shown. A task of ours that is in neither is not on that machine, once all of the
-// share's machines are accounted for and the share has been listed whole, of late or before.
+// For each shard that it covers, the response reports every task of this partition there and every
+// slot whose launch has not shown. A remote task that is in neither is not on that machine, once
+// all of the shard's machines are reconciled and the shard has been reported in full, now or
+// before.
 void SlotBorrower::reconcile(Time now, int partition, Peer& peer,
                              const PeerSyncResponse& response) {
     bool complete = response.no_stale_grants;
-    ShardInventories listings = current_inventories(partition, response, complete);
+    ShardInventories inventories = current_inventories(partition, response, complete);
     for (const auto& remote_task : response.tasks) {
-        auto l = listings.find(shard_of_machine(settings_, remote_task.machine, remote_task.zone));
-        if (l != listings.end()) {
-            apply_task_status(now, partition, peer, remote_task, l->second.term);
+        ShardId shard = shard_of_machine(settings_, remote_task.machine, remote_task.zone);
+        if (auto inventory = inventories.find(shard); inventory != inventories.end()) {
+            apply_task_status(now, partition, peer, remote_task, inventory->second.term);
         }
     }
-    apply_absent(now, response, listings);
-    if (complete) { // from here on, changes will do
+    apply_absent(now, response, inventories);
+    if (complete) { // from here on, changes are enough
         peer.acked_term = response.term;
         peer.acked_version = response.version;
     }
     std::size_t before = inventoried_.size();
-    for (const auto& [shard, l] : listings) {
-        if (l.reconciled && response.no_stale_grants) {
+    for (const auto& [shard, inventory] : inventories) {
+        if (inventory.reconciled && response.no_stale_grants) {
             inventoried_.insert(shard);
         }
     }
@@ -315,101 +401,132 @@
     }
 }
 
+// A task exited on a machine of another partition.
+void SlotBorrower::apply_exit(Time now, Peer& peer, const RemoteTaskStatus& remote_task,
+                              bool is_recorded) {
+    const TaskStatus& status = remote_task.status;
+    Job* job = jobs_.find(status.task.job);
+    bool waits = job && status.task.index < job->spec.tasks &&
+                 job->tasks[status.task.index] == TaskState::waiting;
+    if (is_recorded) {
+        on_task_gone(now, status.task, status.exit_reason);
+    } else if (waits && status.exit_reason == ExitReason::done && job->open()) {
+        delegate_.on_found_done(now, *job, status.task.index);
+    }
+    LaunchId id = launch_id(status.attempt, status.task.index);
+    peer.exited[{id, remote_task.machine}] = remote_task;
+}
+
+// Records a task that an earlier leader of this partition launched. Returns false if it is not one.
+bool SlotBorrower::adopt_remote(Time now, int partition, const RemoteTaskStatus& remote_task,
+                                std::uint64_t term) {
+    const TaskStatus& status = remote_task.status;
+    Job* job = jobs_.find(status.task.job);
+    bool waits = job && status.task.index < job->spec.tasks &&
+                 job->tasks[status.task.index] == TaskState::waiting;
+    if (!waits ||
+        (job->spec.kind == JobKind::gang && !gangs_.adopt(now, status.task.job, status.attempt))) {
+        return false;
+    }
+    jobs_.mark_placed(*job, status.task.index, remote_task.zone);
+    quotas_.add_usage(job->spec.team, job->spec.cpus, job->spec.gpus);
+    on_placed(status.task,
+              {status.attempt, partition, remote_task.machine, remote_task.zone,
+               shard_of_machine(settings_, remote_task.machine, remote_task.zone), term});
+    return true;
+}
+
+// Queues the stop of a task that is not to run there. Returns false if it is.
+bool SlotBorrower::stop_unwanted(Peer& peer, const RemoteTaskStatus& remote_task,
+                                 bool is_recorded) {
+    const TaskStatus& status = remote_task.status;
+    Job* job = jobs_.find(status.task.job);
+    bool is_known = job && status.task.index < job->spec.tasks;
+    bool must_move = remote_task.draining && is_known && job->spec.kind == JobKind::service;
+    // The command that ends an attempt may have gone to an earlier owner of the shard.
+    const GangTracker::Attempt* attempt =
+        is_known && job->spec.kind == JobKind::gang ? gangs_.find(status.task.job) : nullptr;
+    bool attempt_ends = attempt && attempt->ending;
+    if (is_recorded && job->open() && !must_move && !attempt_ends) {
+        return false;
+    }
+    double grace_s =
+        is_recorded && attempt_ends && attempt->saves ? kSaveGraceFactor * job->spec.save_s : 0;
+    LaunchId id = launch_id(status.attempt, status.task.index);
+    peer.commands[{id, remote_task.machine}] = {RemoteTaskCommand::Type::stop, remote_task.machine,
+                                                id, grace_s};
+    return true;
+}
+
 void SlotBorrower::apply_task_status(Time now, int partition, Peer& peer,
                                      const RemoteTaskStatus& remote_task, std::uint64_t term) {
     const TaskStatus& status = remote_task.status;
     LaunchId id = launch_id(status.attempt, status.task.index);
-    Job* job = jobs_.find(status.task.job);
-    bool ours = job && status.task.index < job->spec.tasks;
     auto it = remote_tasks_.find(status.task);
-    bool same = it != remote_tasks_.end() && it->second.attempt == status.attempt &&
-                it->second.machine == remote_task.machine;
-    if (same) {
+    bool is_recorded = it != remote_tasks_.end() && it->second.attempt == status.attempt &&
+                       it->second.machine == remote_task.machine;
+    if (is_recorded) {
         update_location(it->second, id, partition, term);
     }
-    bool waits = ours && job->tasks[status.task.index] == TaskState::waiting;
     if (status.stage == TaskStage::exited) {
-        if (same) {
-            on_task_gone(now, status.task, status.exit_reason);
-        } else if (waits && status.exit_reason == ExitReason::done && job->open()) {
-            delegate_.on_found_done(now, *job, status.task.index);
-        }
-        peer.exited[{id, remote_task.machine}] = remote_task;
+        apply_exit(now, peer, remote_task, is_recorded);
         return;
     }
-    bool gang = ours && job->spec.kind == JobKind::gang;
-    if (waits && (!gang || gangs_.adopt(now, status.task.job, status.attempt))) {
-        // started by an owner of this part before us
-        jobs_.mark_placed(*job, status.task.index, remote_task.zone);
-        quotas_.add_usage(job->spec.team, job->spec.cpus, job->spec.gpus);
-        on_placed(status.task,
-                  {status.attempt, partition, remote_task.machine, remote_task.zone,
-                   shard_of_machine(settings_, remote_task.machine, remote_task.zone), term});
-        same = true;
-    }
-    bool moves = remote_task.draining && ours && job->spec.kind == JobKind::service;
-    // The word that ends an attempt may have gone to who held the share before.
-    const GangTracker::Attempt* attempt = gang ? gangs_.find(status.task.job) : nullptr;
-    bool ends = attempt && attempt->ending;
-    if (!same || !job->open() || moves || ends) {
-        double grace_s = same && ends && attempt->saves ? kSaveGraceFactor * job->spec.save_s : 0;
-        peer.commands[{id, remote_task.machine}] = {RemoteTaskCommand::Type::stop,
-                                                    remote_task.machine, id, grace_s};
+    is_recorded = adopt_remote(now, partition, remote_task, term) || is_recorded;
+    if (stop_unwanted(peer, remote_task, is_recorded)) {
         return;
     }
+    const JobSpec& spec = jobs_.find(status.task.job)->spec;
     if (remote_task.resources_unknown) {
-        const JobSpec& spec = job->spec;
-        peer.commands[{id, remote_task.machine}] = {RemoteTaskCommand::Type::describe,
-                                                    remote_task.machine,
-                                                    id,
-                                                    0,
-                                                    spec.kind,
-                                                    spec.cpus,
-                                                    spec.gpus,
-                                                    spec.ram_gb,
-                                                    spec.image,
-                                                    spec.image_gb};
-    }
-    if (gang && status.stage == TaskStage::running) {
+        peer.commands[{id, remote_task.machine}] = describe_command(remote_task.machine, id, spec);
+    }
+    if (spec.kind == JobKind::gang && status.stage == TaskStage::running) {
         gangs_.on_running(status.task.job);
     }
-    if (gang && remote_task.preemption_notice) {
+    if (spec.kind == JobKind::gang && remote_task.preemption_notice) {
         delegate_.end_attempt(now, status.task.job, true);
     }
 }
 
+// Adds the tasks whose shard the response covers, but which it does not report.
+void SlotBorrower::collect_absent(const std::set<TaskId>& tasks,
+                                  const ShardInventories& inventories,
+                                  const ReportedLaunches& reported, bool needs_complete,
+                                  std::set<TaskId>& absent) const {
+    for (const auto& task : tasks) {
+        const RemoteTask& remote = remote_tasks_.at(task);
+        auto inventory = inventories.find(remote.shard);
+        if (inventory == inventories.end() || !inventory->second.reconciled ||
+            remote.term > inventory->second.term ||
+            (needs_complete && !inventory->second.complete)) {
+            continue;
+        }
+        LaunchId id = launch_id(remote.attempt, task.index);
+        if (!reported.pending.contains(id) && !reported.present.contains({id, remote.machine})) {
+            absent.insert(task);
+        }
+    }
+}
+
 void SlotBorrower::apply_absent(Time now, const PeerSyncResponse& response,
-                                const ShardInventories& listings) {
-    std::set<LaunchId> open(response.pending_launches.begin(), response.pending_launches.end());
-    std::set<Peer::RemoteLaunch> present;
+                                const ShardInventories& inventories) {
+    ReportedLaunches reported;
+    reported.pending = {response.pending_launches.begin(), response.pending_launches.end()};
     for (const auto& remote_task : response.tasks) {
-        present.insert({launch_id(remote_task.status.attempt, remote_task.status.task.index),
-                        remote_task.machine});
+        const TaskStatus& status = remote_task.status;
+        reported.present.insert(
+            {launch_id(status.attempt, status.task.index), remote_task.machine});
     }
     std::set<TaskId> absent;
-    auto look = [&](const std::set<TaskId>& tasks, bool whole) {
-        for (const auto& task : tasks) {
-            const RemoteTask& remote = remote_tasks_.at(task);
-            auto l = listings.find(remote.shard);
-            if (l == listings.end() || !l->second.reconciled || remote.term > l->second.term ||
-                (whole && !l->second.complete)) {
-                continue;
-            }
-            LaunchId id = launch_id(remote.attempt, task.index);
-            if (!open.contains(id) && !present.contains({id, remote.machine})) {
-                absent.insert(task);
-            }
-        }
-    };
-    if (std::any_of(listings.begin(), listings.end(),
-                    [](const auto& l) { return l.second.complete; })) {
+    if (std::any_of(inventories.begin(), inventories.end(),
+                    [](const auto& entry) { return entry.second.complete; })) {
         for (const auto& [machine, tasks] : tasks_by_machine_) {
-            look(tasks, true);
+            collect_absent(tasks, inventories, reported, true, absent);
         }
     }
     for (const auto& machine : response.machines) {
-        if (auto there = tasks_by_machine_.find(machine); there != tasks_by_machine_.end()) {
-            look(there->second, false);
+        if (auto tasks = tasks_by_machine_.find(machine); tasks != tasks_by_machine_.end()) {
+            collect_absent(tasks->second, inventories, reported, false, absent);
         }
     }
     for (const auto& task : absent) {
@@ -417,8 +534,8 @@
     }
 }
 
-// Its share is listed by another part than before, or by the same under a later term: what was said
-// of it goes there.
+// The task's shard is reported by another partition than before, or by the same under a later term:
+// pending commands about the task go there.
 void SlotBorrower::update_location(RemoteTask& remote, const LaunchId& id, int partition,
                                    std::uint64_t term) {
     remote.term = std::max(remote.term, term);
@@ -427,8 +544,8 @@
     }
     Peer& from = peers_.at(remote.partition);
     Peer& to = peers_.at(partition);
-    if (auto told = from.commands.extract({id, remote.machine}); !told.empty()) {
-        to.commands.insert(std::move(told));
+    if (auto command = from.commands.extract({id, remote.machine}); !command.empty()) {
+        to.commands.insert(std::move(command));
     }
     --from.tasks;
     ++to.tasks;
@@ -446,20 +563,20 @@
     RemoteTask remote = std::move(it->second);
     remote_tasks_.erase(it);
     --peers_.at(remote.partition).tasks;
-    auto there = tasks_by_machine_.find(remote.machine);
-    there->second.erase(task);
-    if (there->second.empty()) {
-        tasks_by_machine_.erase(there);
+    auto tasks = tasks_by_machine_.find(remote.machine);
+    tasks->second.erase(task);
+    if (tasks->second.empty()) {
+        tasks_by_machine_.erase(tasks);
     }
     return remote;
 }
 
-void SlotBorrower::on_task_gone(Time now, const TaskId& task, ExitReason why) {
+void SlotBorrower::on_task_gone(Time now, const TaskId& task, ExitReason reason) {
     RemoteTask remote = remove(task);
-    delegate_.on_remote_exit(now, task, why, remote.zone);
+    delegate_.on_remote_exit(now, task, reason, remote.zone);
 }
 
-// ---- Moves of shares ----
+// ---- Migrations of shards ----
 
 void SlotBorrower::announce_transfer(int partition, const ShardTransfer& transfer) {
     peers_.at(partition).transfers.push_back(transfer);
@@ -467,8 +584,8 @@
 }
 
 void SlotBorrower::migrated_out(const TaskId& task, RemoteTask remote) {
-    std::uint64_t& heard = shard_terms_[remote.shard];
-    heard = std::max(heard, remote.term);
+    std::uint64_t& latest_term = shard_terms_[remote.shard];
+    latest_term = std::max(latest_term, remote.term);
     on_placed(task, std::move(remote));
 }
 
@@ -488,11 +605,11 @@
 }
 
 void SlotBorrower::on_inventory_complete(Time now, const std::string& machine) {
-    auto there = tasks_by_machine_.find(machine);
-    if (there == tasks_by_machine_.end()) {
+    auto it = tasks_by_machine_.find(machine);
+    if (it == tasks_by_machine_.end()) {
         return;
     }
-    std::set<TaskId> tasks = there->second;
+    std::set<TaskId> tasks = it->second;
     for (const auto& task : tasks) {
         on_task_gone(now, task, ExitReason::none);
     }
@@ -500,8 +617,8 @@
 
 void SlotBorrower::on_inventory_complete(Time now, const ShardId& shard) {
     std::vector<TaskId> tasks;
-    for (const auto& [task, r] : remote_tasks_) {
-        if (r.shard == shard) {
+    for (const auto& [task, remote] : remote_tasks_) {
+        if (remote.shard == shard) {
             tasks.push_back(task);
         }
     }
@@ -510,7 +627,7 @@
     }
 }
 
-// ---- Slots handed over ----
+// ---- Granted slots ----
 
 bool SlotBorrower::grant_suits(const Job& job, const SlotGrant& grant) const {
     const JobSpec& spec = job.spec;
@@ -519,21 +636,29 @@
            job.allows_zone(grant.zone) && quotas_.fits(spec.team, spec.cpus, spec.gpus);
 }
 
-void SlotBorrower::use_grant(Time now, int partition, Peer& peer, const SlotGrant& grant) {
+// The job that the grant was requested for, or else, if its tasks have found slots meanwhile, the
+// first of the other jobs that may use the slot; null if there is none.
+Job* SlotBorrower::job_for_grant(Time now, const SlotGrant& grant) const {
     auto suits = [&](const Job& job) {
         return job.spec.kind != JobKind::gang && delegate_.has_schedulable_tasks(now, job) &&
                grant_suits(job, grant);
     };
     Job* job = jobs_.find(grant.job);
-    if (!job || !suits(*job)) { // its tasks found slots meanwhile; another job may use these
-        job = nullptr;
-        for (const auto& [id, other] : jobs_.all()) {
-            if (suits(*other) && (!job || std::tie(other->spec.priority, other->first_seen) <
-                                              std::tie(job->spec.priority, job->first_seen))) {
-                job = other.get();
-            }
+    if (job && suits(*job)) {
+        return job;
+    }
+    job = nullptr;
+    for (const auto& [id, other] : jobs_.all()) {
+        if (suits(*other) && (!job || std::tie(other->spec.priority, other->first_seen) <
+                                          std::tie(job->spec.priority, job->first_seen))) {
+            job = other.get();
         }
     }
+    return job;
+}
+
+void SlotBorrower::use_grant(Time now, int partition, Peer& peer, const SlotGrant& grant) {
+    Job* job = job_for_grant(now, grant);
     if (!job || !leadership_.is_active(now)) {
         queue_command(peer, {RemoteTaskCommand::Type::return_slot, grant.machine, grant.launch});
         return;
@@ -541,7 +666,6 @@
     launch(partition, grant, *job, job->waiting.first());
 }
 
-// Sends the start of a task of ours to slots that another owner has handed over.
 void SlotBorrower::launch(int partition, const SlotGrant& grant, Job& job, std::uint32_t index) {
     TaskId task{job.spec.id, index};
     jobs_.mark_placed(job, index, grant.zone);
@@ -550,19 +674,19 @@
                      shard_of_machine(settings_, grant.machine, grant.zone),
                      term_of_fencing_token(grant.fencing_token), grant.endpoint, grant.agent_epoch,
                      grant.fencing_token});
-    WorkerCommands orders{grant.machine,
-                          grant.endpoint,
-                          grant.fencing_token,
-                          grant.agent_epoch,
-                          {{CommandType::start, task, grant.launch.attempt, 0}}};
-    requests_.send(std::move(orders), [this, task, partition, machine = grant.machine,
-                                       id = grant.launch](Time at, OutboundResponse& response) {
+    WorkerCommands commands{grant.machine,
+                            grant.endpoint,
+                            grant.fencing_token,
+                            grant.agent_epoch,
+                            {{CommandType::start, task, grant.launch.attempt, 0}}};
+    requests_.send(std::move(commands), [this, task, partition, machine = grant.machine,
+                                         id = grant.launch](Time at, OutboundResponse& response) {
         auto it = remote_tasks_.find(task);
         if ((response.status != 409 && !response.never_sent) || it == remote_tasks_.end() ||
             it->second.attempt != id.attempt || it->second.machine != machine) {
-            return; // executed, or in doubt until the machine's owner lists it or has fenced it
+            return; // executed, or in doubt until the lender reports it or has fenced it
         }
-        // Refused or never sent, so it never will be executed: the slots go back.
+        // Refused or never sent, so it will never be executed: the slots are returned.
         queue_command(peers_.at(partition), {RemoteTaskCommand::Type::return_slot, machine, id});
         on_task_gone(at, task, ExitReason::none);
     });
@@ -572,15 +696,15 @@
     auto used = remote_tasks_.find({grant.job, grant.launch.index});
     if ((grant.launch.attempt & kGangBit) != 0 && used != remote_tasks_.end() &&
         used->second.attempt == grant.launch.attempt && used->second.machine == grant.machine) {
-        return; // the very slot that the task was started on
+        return; // the very slot that the task was launched on
     }
     queue_command(peers_.at(partition),
                   {RemoteTaskCommand::Type::return_slot, grant.machine, grant.launch});
 }
 
-void SlotBorrower::stop_job(const std::string& id, double grace_s) {
-    for (auto it = remote_tasks_.lower_bound({id, 0});
-         it != remote_tasks_.end() && it->first.job == id; ++it) {
+void SlotBorrower::stop_job(const std::string& job, double grace_s) {
+    for (auto it = remote_tasks_.lower_bound({job, 0});
+         it != remote_tasks_.end() && it->first.job == job; ++it) {
         stop_task(it->first, grace_s);
     }
 }
@@ -610,7 +734,7 @@
                        remote.fencing_token,
                        remote.agent_epoch,
                        {{CommandType::stop, task, remote.attempt, grace_s}}},
-        [](Time, OutboundResponse&) {}); // that it is gone, only its machine's owner can say
+        [](Time, OutboundResponse&) {}); // only the lender can tell that the task is gone
     return true;
 }
 
--- a/src/core/stealing/slot_borrower.h
+++ b/src/core/stealing/slot_borrower.h
@@ -1,6 +1,7 @@
-// The owner of jobs and the machines of other parts: slots wanted from their owners, the starts
-// sent to slots that were handed over, and what the owners' listings say became of the tasks there.
-// See "Stolen slots" in docs/design.md; the listings are Lending's.
+// The borrower's side of work stealing between partitions. A leader whose jobs need slots requests
+// them from the leaders of other partitions, the lenders; it launches tasks on the slots that were
+// granted, and learns from the lenders' inventories what became of the tasks there. See "Stolen
+// slots" in docs/design.md; the slot lender answers with the inventories.
 #pragma once
 
 #include "core/autoscaling/demand_tracker.h"
@@ -10,39 +11,45 @@
 
 namespace scheduler {
 
+// Called only from the controller's event loop. A peer sync that fails is followed by the next
+// regular one, which repeats everything that was not acknowledged.
 class SlotBorrower {
   public:
-    struct Delegate { // what it needs of the part it works for
+    // What the borrower needs of its partition's leader.
+    struct Delegate {
         virtual ~Delegate() = default;
         virtual bool has_schedulable_tasks(Time now, const Job& job) const = 0;
-        // All tasks of older jobs are accounted for.
+        // Are all tasks of older jobs known?
         virtual bool reconciled() const = 0;
-        // May the worker forget this exited task of ours?
+        // May the worker forget this exited task of this partition?
         virtual bool end_is_durable(const TaskStatus& task) = 0;
-        // A task on a machine of another part is on none any more.
-        virtual void on_remote_exit(Time now, const TaskId& task, ExitReason why,
+        // A task that was on a machine of another partition is on no machine any more.
+        virtual void on_remote_exit(Time now, const TaskId& task, ExitReason reason,
                                     const std::string& zone) = 0;
-        // A task that an owner before us had started there was done.
+        // A task that an earlier leader had launched there was done.
         virtual void on_found_done(Time now, Job& job, std::uint32_t task) = 0;
-        // What is wanted for a gang from one peer; false: nothing now. `rest`: see
-        // gang_placing.cpp.
-        virtual bool request_gang_slots(const Job& job, bool rest, SlotRequest& request) = 0;
+        // Completes the request for slots of a gang from one peer; false: nothing is wanted now.
+        // `remainder`: only those slots that are missing in a reservation.
+        virtual bool request_gang_slots(const Job& job, bool remainder, SlotRequest& request) = 0;
         virtual void on_gang_grants(Time now, int partition,
                                     const std::vector<SlotGrant>& grants) = 0;
+        // Ends the attempt of a gang. `saves`: its tasks may save their state first.
         virtual void end_attempt(Time now, const std::string& job, bool saves) = 0;
-        // Another part has accounted for our tasks on the machines of some more shares.
+        // Another partition has sent a complete inventory of some more shards.
         virtual void try_reconcile(Time now) = 0;
-        // A peer has answered: slots may have become free, or wants may have to be asked anew.
+        // A peer has responded: slots may have become free, or be needed from other peers.
         virtual void on_peer_response(Time now) = 0;
     };
-    struct RemoteTask { // a task of ours on a machine of another part
+    // A task of this partition on a machine of another one.
+    struct RemoteTask {
         std::uint64_t attempt = 0;
         int partition = 0;
         std::string machine;
         std::string zone;
         ShardId shard;
-        std::uint64_t term = 0; // of the share, when the slot was given or the task last listed
-        // As the slot was given to this owner; no endpoint: by one before, or it moved.
+        std::uint64_t term = 0; // of the shard, when the slot was granted or the task last reported
+        // As the slot was granted to this leader. Without an endpoint it was granted to an earlier
+        // leader, or the task's shard has migrated out.
         std::string endpoint;
         std::uint64_t agent_epoch = 0;
         std::uint64_t fencing_token = 0;
@@ -53,87 +60,130 @@
                  GangTracker& gangs, PendingQueue& queue, DemandTracker& demand,
                  OutboundRequests& requests, Delegate& delegate);
 
-    // Calls to the peers that are due.
+    // Calls the peers that are due.
     void sync_due_peers(Time now);
-    // All peers are to be called at once: one may have slots where we have none.
+    // All peers are to be called at once: one of them may have idle slots.
     void sync_soon();
-    // A listing of another part's owner that came by another way than a call. It counts only until
-    // a call of ours was answered: it may be older than the slots that came with the answer.
+    // Applies an inventory of another partition's leader that came through the store. It counts
+    // only until a call under the same term has been answered: it may be older than the slots that
+    // were granted with that answer.
     void apply_posted_inventory(Time now, int partition, const PeerSyncResponse& response);
-    // Its holder has accounted for our tasks on the machines of the share.
+    // Has the shard's owner sent a complete inventory of this partition's tasks on its machines?
     bool is_inventoried(const ShardId& shard) const { return inventoried_.contains(shard); }
+    // May a task of the job run on the granted slot?
     bool grant_suits(const Job& job, const SlotGrant& grant) const;
-    // Sends the start of a task of ours to slots that another owner has handed over.
+    // Launches a task on slots that another partition's leader has granted.
     void launch(int partition, const SlotGrant& grant, Job& job, std::uint32_t index);
-    // A slot of the part that was kept for a while is used now. Its owner may have listed its
-    // machine as gone meanwhile and will not do so again, so it is asked to list everything once.
+    // A slot of the partition that was reserved for a while is used now. The lender may have
+    // reported its machine as gone meanwhile and will not do so again, so it is asked for one full
+    // inventory.
     void request_full_resync(int partition) { ++peers_.at(partition).resyncs_requested; }
+    // Returns the slots, unless the task that they were granted for runs on them.
     void return_grant(int partition, const SlotGrant& grant);
-    // The job's tasks on other parts' machines are stopped by the owners of these.
+    // Asks the lenders to stop the job's tasks, or one task, on their machines.
     void stop_job(const std::string& job, double grace_s);
     void stop_task(const TaskId& task, double grace_s);
-    // The machine's owner has not taken the word to stop the task: the worker is told as it was
-    // told of the start. An owner that has fenced the machine since is the only one that it hears.
-    // False: there is no need, or no way.
+    // If the lender has not acknowledged the command to stop the task, sends it to the worker
+    // directly as the launch was sent. A worker that has been fenced since refuses it. Returns
+    // false if there is no need, or no way.
     bool stop_directly(const TaskId& task, double grace_s);
-    // Tasks of ours on other parts' machines.
+    // This partition's tasks on machines of other partitions.
     const std::map<TaskId, RemoteTask>& remote_tasks() const { return remote_tasks_; }
-    // ---- Moves of shares ----
-    // Tells the owner of the part that we gave it a share, until it has heard.
+    // ---- Migrations of shards ----
+    // Tells the partition's leader that a shard was transferred to it, until it has responded.
     void announce_transfer(int partition, const ShardTransfer& transfer);
-    // A placed task of ours goes to another part with its machine's share.
+    // A placed task of this partition becomes remote, with its machine's shard.
     void migrated_out(const TaskId& task, RemoteTask remote);
-    // The share is ours now: no listing of an earlier holder counts any more.
+    // The shard is owned from now on: no inventory of an earlier owner counts any more.
     void migrated_in(const ShardId& shard, std::uint64_t term);
-    // The task runs on a machine that is ours now: it is borrowed no more. False: it was not, or is
-    // another start.
+    // The task runs on a machine that is owned now, so it is no longer remote. Returns false if it
+    // was not remote, or if this is another launch of it.
     bool adopt_local(const TaskId& task, std::uint64_t attempt, const std::string& machine);
-    // Tasks that are borrowed still on a machine of ours that does not list them, or of a share
-    // that is accounted for, are gone.
+    // Tasks that are still remote on an owned machine that does not report them, or on a shard that
+    // is reconciled, are gone.
     void on_inventory_complete(Time now, const std::string& machine);
     void on_inventory_complete(Time now, const ShardId& shard);
 
   private:
+    // A launch on a machine of another partition.
+    struct RemoteLaunch {
+        LaunchId id;
+        std::string machine;
+        auto operator<=>(const RemoteLaunch&) const = default;
+    };
     struct Peer {
         bool in_flight = false;
-        Time next = 0;
-        std::uint64_t heard_term = 0;
-        std::uint64_t answered_term = 0; // its owner has answered a call under it
-        std::size_t tasks = 0;           // of ours, there
-        double batch = 0;
+        Time next = 0;                   // of the next call
+        std::uint64_t heard_term = 0;    // the latest term of its leader
+        std::uint64_t answered_term = 0; // the latest term under which a call was answered
+        std::size_t tasks = 0;           // remote tasks on its machines
+        double batch = 0;                // slots to request in a call
         std::uint64_t calls = 0;
-        Time request_again_at =
-            0; // slots that it gave us went back: nothing is asked for until then
-        using RemoteLaunch = std::pair<LaunchId, std::string>; // a start and its machine
-        std::map<RemoteLaunch, RemoteTaskCommand> commands;    // until a call is answered
-        std::vector<ShardTransfer> transfers;                  // as well
-        std::map<RemoteLaunch, RemoteTaskStatus> exited;       // exited there, not durable here yet
-        std::uint64_t acked_term = 0;                          // of the listing taken in
+        Time request_again_at = 0; // slots were returned: nothing is requested until then
+        std::map<RemoteLaunch, RemoteTaskCommand> commands; // until a call is answered
+        std::vector<ShardTransfer> transfers;               // until a call is answered
+        std::map<RemoteLaunch, RemoteTaskStatus> exited;    // there, but not durable here yet
+        std::uint64_t acked_term = 0;                       // of the inventory applied last
         std::uint64_t acked_version = 0;
-        std::uint64_t resyncs_requested =
-            0; // times that a whole listing was wanted, and of these answered
+        std::uint64_t resyncs_requested = 0; // number of full inventories requested
         std::uint64_t resyncs_answered = 0;
     };
+    // What a peer sync told the peer, to be dropped when it is answered.
+    struct SyncCall {
+        int partition = 0;
+        std::uint32_t max_slots = 0;
+        std::vector<RemoteLaunch> commands;
+        std::vector<std::string> provisioned; // machine names
+        std::size_t transfers = 0;
+        std::uint64_t resyncs_requested = 0;
+    };
+    // What a response reports of this partition's tasks.
+    struct ReportedLaunches {
+        std::set<LaunchId> pending;
+        std::set<RemoteLaunch> present;
+    };
     void sync_peer(Time now, int partition, Peer& peer);
-    void on_response(Time now, int partition, std::uint32_t asked,
+    PeerSyncRequest build_request(Time now, Peer& peer, SyncCall& call);
+    void append_commands(const Peer& peer, PeerSyncRequest& request, SyncCall& call) const;
+    void append_provisioned(PeerSyncRequest& request, SyncCall& call) const;
+    static std::uint32_t max_slots_for(const Peer& peer, const std::vector<SlotRequest>& requests);
+    void on_sync_response(Time now, const SyncCall& call, const OutboundResponse& response);
+    void adapt_batch(Time now, Peer& peer, std::uint32_t max_slots, std::size_t granted) const;
+    void on_response(Time now, int partition, std::uint32_t max_slots,
                      const PeerSyncResponse& response);
     std::vector<SlotRequest> slot_requests_for(Time now, int partition, const Peer& peer);
+    bool begins_at(Time now, const Job& job, std::uint64_t peer_index) const;
+    std::vector<const Job*> jobs_to_request(Time now, std::uint64_t peer_index) const;
+    SlotRequest describe(Time now, const Job& job, bool begins) const;
+    bool request_gang(const Job& job, const Peer& peer, QuotaLedger& quota_left,
+                      SlotRequest& request);
+    static void count_slots(const Job& job, const Peer& peer, bool begins, QuotaLedger& quota_left,
+                            SlotRequest& request);
     void apply_response(Time now, int partition, Peer& peer, const PeerSyncResponse& response);
-    // The shares of a reply whose listing counts now.
+    // The shards of a response whose inventory counts now.
     using ShardInventories = std::map<ShardId, ShardInventory>;
     ShardInventories current_inventories(int partition, const PeerSyncResponse& response,
                                          bool& complete);
     void reconcile(Time now, int partition, Peer& peer, const PeerSyncResponse& response);
     void apply_task_status(Time now, int partition, Peer& peer, const RemoteTaskStatus& remote_task,
                            std::uint64_t term);
-    void apply_absent(Time now, const PeerSyncResponse& response, const ShardInventories& listings);
+    void apply_exit(Time now, Peer& peer, const RemoteTaskStatus& remote_task, bool is_recorded);
+    bool adopt_remote(Time now, int partition, const RemoteTaskStatus& remote_task,
+                      std::uint64_t term);
+    bool stop_unwanted(Peer& peer, const RemoteTaskStatus& remote_task, bool is_recorded);
+    void apply_absent(Time now, const PeerSyncResponse& response,
+                      const ShardInventories& inventories);
+    void collect_absent(const std::set<TaskId>& tasks, const ShardInventories& inventories,
+                        const ReportedLaunches& reported, bool needs_complete,
+                        std::set<TaskId>& absent) const;
     void update_location(RemoteTask& remote, const LaunchId& id, int partition, std::uint64_t term);
+    Job* job_for_grant(Time now, const SlotGrant& grant) const;
     void use_grant(Time now, int partition, Peer& peer, const SlotGrant& grant);
     void queue_command(Peer& peer, RemoteTaskCommand command);
     void queue_clears(Peer& peer);
     void on_placed(const TaskId& task, RemoteTask remote);
     RemoteTask remove(const TaskId& task);
-    void on_task_gone(Time now, const TaskId& task, ExitReason why);
+    void on_task_gone(Time now, const TaskId& task, ExitReason reason);
 
     Leadership& leadership_;
     const ClusterSettings& settings_;
@@ -149,9 +199,9 @@
     Delegate& delegate_;
     std::map<int, Peer> peers_;
     std::map<TaskId, RemoteTask> remote_tasks_;
-    std::map<std::string, std::set<TaskId>> tasks_by_machine_; // by machine
-    std::map<ShardId, std::uint64_t> shard_terms_; // the latest term listed, or held by us
-    std::set<ShardId> inventoried_;
+    std::map<std::string, std::set<TaskId>> tasks_by_machine_;
+    std::map<ShardId, std::uint64_t> shard_terms_; // the latest term known of each shard
+    std::set<ShardId> inventoried_;                // shards with a complete inventory
 };
 
 } // namespace scheduler
