--- a/src/core/stealing/slot_lender.cpp
+++ b/src/core/stealing/slot_lender.cpp
@@ -1,3 +1,4 @@
+// Implementation of the lending of slots; see the header.
 #include "core/stealing/slot_lender.h"
 
 #include <algorithm>
@@ -6,8 +7,24 @@
 namespace scheduler {
 
 namespace {
-// A slot handed over shows its start within a report or so; after that the owner fences it.
-constexpr double kLotReports = 1.5;
+// The launch in a lent slot shows in a heartbeat within about one interval; a slot that is older
+// than this many intervals is fenced.
+constexpr double kLaunchHeartbeats = 1.5;
+// Changes of the inventory that are kept: twice the number of machines, and this many more.
+constexpr std::size_t kExtraChanges = 64;
+// States of a remote task that are part of its hash.
+constexpr std::uint64_t kLeavingState = 1;
+constexpr std::uint64_t kResourcesUnknownState = 2;
+constexpr std::uint64_t kFinishedState = 4;
+constexpr std::uint64_t kPreemptionNoticeState = 8;
+
+// The finalizer of SplitMix64 over a launch and its state.
+std::uint64_t hash_launch(const LaunchId& id, std::uint64_t state) {
+    std::uint64_t hash = (id.attempt * 16 + state) * 31 + id.index + 0x9e3779b97f4a7c15ULL;
+    hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9ULL;
+    hash = (hash ^ (hash >> 27)) * 0x94d049bb133111ebULL;
+    return hash ^ (hash >> 31);
+}
 } // namespace
 
 JobSpec requested_resources(const SlotRequest& request) {
@@ -35,9 +52,10 @@
     : leadership_(leadership), settings_(settings), owned_shards_(owned_shards),
       machines_(machines), queue_(queue), demand_(demand), requests_(requests),
       delegate_(delegate) {
-    for (int p = 0; p < static_cast<int>(settings_.partitions.size()); ++p) {
-        if (p != leadership_.partition()) {
-            borrowers_[p];
+    int partitions = static_cast<int>(settings_.partitions.size());
+    for (int partition = 0; partition < partitions; ++partition) {
+        if (partition != leadership_.partition()) {
+            borrowers_[partition];
         }
     }
 }
@@ -52,7 +70,7 @@
 
 bool SlotLender::heard_from_all() const {
     return std::all_of(borrowers_.begin(), borrowers_.end(),
-                       [](const auto& t) { return t.second.called_term > 0; });
+                       [](const auto& entry) { return entry.second.called_term > 0; });
 }
 
 bool SlotLender::has_unacked_exits(const Machine& machine) const {
@@ -72,17 +90,34 @@
         return;
     }
     Borrower& borrower = it->second;
+    if (reject_outdated(request_id, request, borrower)) {
+        return;
+    }
+    apply_request(now, request, borrower);
+    delegate_.on_slot_requests(now);
+
+    PeerSyncResponse response = build_response(now, request);
+    append_grants(borrower, response);
+    requests_.respond(request_id, 200, std::move(response));
+}
+
+bool SlotLender::reject_outdated(RequestId request_id, const PeerSyncRequest& request,
+                                 const Borrower& borrower) {
     if (request.term < borrower.term) {
         requests_.respond(request_id, 409, TextBody{"a later owner has called"});
-        return;
+        return true;
     }
-    // A call that comes late would give back slots that were handed over since: the tasks of a
-    // gang's attempt share its number, so a slot may come to have the name of one that went back.
+    // A late call would return slots that were lent since: the tasks of a gang's attempt share its
+    // number, so a slot may come to have the launch id of one that was returned.
     if (request.term == borrower.called_term && request.sequence != 0 &&
         request.sequence <= borrower.sequence) {
         requests_.respond(request_id, 409, TextBody{"a later call has come"});
-        return;
+        return true;
     }
+    return false;
+}
+
+void SlotLender::apply_request(Time now, const PeerSyncRequest& request, Borrower& borrower) {
     observe_term(now, borrower, request.term);
     borrower.called_term = request.term;
     borrower.sequence = request.sequence;
@@ -91,31 +126,33 @@
             apply_command(*machine, command, request.from_partition);
         }
     }
-    for (const auto& g : request.transfers) { // before the machines that it names
-        delegate_.accept_transfer(now, g);
+    // Before the provisioned machines, which may be of these shards.
+    for (const auto& transfer : request.transfers) {
+        delegate_.accept_transfer(now, transfer);
     }
-    for (const auto& b : request.provisioned) { // it counts here from now on, long before it is up
-        delegate_.expect_machine(now, b);
+    // These count here from now on, long before they are up.
+    for (const auto& machine : request.provisioned) {
+        delegate_.expect_machine(now, machine);
     }
-    queue_.clear(); // it points into the wants of before
+    queue_.clear(); // it points into the requests that are replaced now
     borrower.acked_version = request.acked_term == leadership_.term() ? request.acked_version : 0;
     borrower.requests = request.slot_requests;
     borrower.requested_at = now;
     borrower.slots_left = request.max_slots;
     demand_.on_peer_demand(now, request.from_partition, request.demand, request.capacity);
-    delegate_.on_slot_requests(now);
+}
 
-    PeerSyncResponse response = build_response(now, request);
-    for (auto& g : std::exchange(borrower.grants, {})) {
-        Machine* machine = machines_.find(g.machine);
-        if (machine && machine->lent_slots.contains(g.launch)) {
-            response.grants.push_back(std::move(g));
+// Moves the slots that were lent to the borrower, and still are, into the response.
+void SlotLender::append_grants(Borrower& borrower, PeerSyncResponse& response) {
+    for (auto& grant : std::exchange(borrower.grants, {})) {
+        Machine* machine = machines_.find(grant.machine);
+        if (machine && machine->lent_slots.contains(grant.launch)) {
+            response.grants.push_back(std::move(grant));
         }
     }
-    requests_.respond(request_id, 200, std::move(response));
 }
 
-// Slots that an owner before it got are fenced.
+// Slots that an earlier leader of the partition borrowed are fenced.
 void SlotLender::observe_term(Time now, Borrower& borrower, std::uint64_t term) {
     if (term > borrower.term) {
         borrower.term = term;
@@ -147,57 +184,83 @@
     response.capacity = demand_.current(now).capacity;
     response.complete =
         request.acked_term != leadership_.term() || request.acked_version <= dropped_version_;
+    ShardSet full_shards = append_shards(request, response);
+    append_machines(request, full_shards, response);
+    append_changes(request, full_shards, response);
+    return response;
+}
+
+// Appends the shards that this partition may answer for. Returns those whose inventory is new to
+// the caller: it is sent in full.
+SlotLender::ShardSet SlotLender::append_shards(const PeerSyncRequest& request,
+                                               PeerSyncResponse& response) const {
+    ShardSet full_shards;
     response.reconciled = true;
     response.shards.emplace();
-    std::set<ShardId> whole; // those that the caller has not taken in yet
     for (const auto& [id, shard] : owned_shards_.all()) {
         if (shard.state == OwnedShards::State::in_doubt) {
             continue;
         }
-        auto covered = published_shards_.find(id);
-        bool accounted = covered != published_shards_.end();
-        bool is_new = response.complete || (accounted && request.acked_version < covered->second);
-        response.reconciled = response.reconciled && accounted;
-        response.shards->push_back({id, shard.term, accounted, is_new});
+        auto published = published_shards_.find(id);
+        bool reconciled = published != published_shards_.end();
+        bool is_new =
+            response.complete || (reconciled && request.acked_version < published->second);
+        response.reconciled = response.reconciled && reconciled;
+        response.shards->push_back({id, shard.term, reconciled, is_new});
         if (is_new) {
-            whole.insert(id);
+            full_shards.insert(id);
         }
     }
-    if (!whole.empty()) {
-        for (const auto& [name, m] : machines_.all()) {
-            if (!whole.contains(m.shard)) {
-                continue;
-            }
-            append_tasks(m, request.from_partition, response);
-            for (const auto& [id, lot] : m.lent_slots) {
-                response.no_stale_grants =
-                    response.no_stale_grants &&
-                    (lot.borrower != request.from_partition || lot.borrower_term >= request.term);
-            }
+    return full_shards;
+}
+
+// Appends the tasks on all machines of these shards.
+void SlotLender::append_machines(const PeerSyncRequest& request, const ShardSet& full_shards,
+                                 PeerSyncResponse& response) {
+    if (full_shards.empty()) {
+        return;
+    }
+    for (const auto& [name, machine] : machines_.all()) {
+        if (!full_shards.contains(machine.shard)) {
+            continue;
+        }
+        append_tasks(machine, request.from_partition, response);
+        for (const auto& [id, lent] : machine.lent_slots) {
+            bool is_stale =
+                lent.borrower == request.from_partition && lent.borrower_term < request.term;
+            response.no_stale_grants = response.no_stale_grants && !is_stale;
         }
     }
-    for (auto change = changes_.upper_bound(request.acked_version);
-         !response.complete && change != changes_.end(); ++change) {
-        auto m = machines_.all().find(change->second);
-        if (m == machines_.all().end()) {
-            response.machines.push_back(change->second);
-        } else if (!whole.contains(m->second.shard)) {
-            response.machines.push_back(change->second);
-            append_tasks(m->second, request.from_partition, response);
+}
+
+// Appends the tasks on machines of other shards that changed since the caller's version.
+void SlotLender::append_changes(const PeerSyncRequest& request, const ShardSet& full_shards,
+                                PeerSyncResponse& response) {
+    if (response.complete) {
+        return;
+    }
+    for (auto change = changes_.upper_bound(request.acked_version); change != changes_.end();
+         ++change) {
+        const std::string& name = change->second;
+        auto machine = machines_.all().find(name);
+        if (machine == machines_.all().end()) {
+            response.machines.push_back(name);
+        } else if (!full_shards.contains(machine->second.shard)) {
+            response.machines.push_back(name);
+            append_tasks(machine->second, request.from_partition, response);
         }
     }
-    return response;
 }
 
-// The tasks of the thief's part on one machine, and the slots it may yet start some on.
+// Appends the borrower's tasks on one machine, and the slots on which it may yet launch some.
 void SlotLender::append_tasks(const Machine& machine, int borrower, PeerSyncResponse& response) {
     ++effort_;
-    for (const auto& [task, p] : machine.tasks) {
-        if (partition_of_attempt(p.attempt) == borrower) {
-            TaskStatus status{task, p.attempt, p.stage, ExitReason::none};
-            response.tasks.push_back({status, machine.name, machine.zone, p.resources_unknown,
-                                      machine.draining || machine.cordoned,
-                                      machine.preemption_notice_s.has_value()});
+    for (const auto& [task, placement] : machine.tasks) {
+        if (partition_of_attempt(placement.attempt) == borrower) {
+            TaskStatus status{task, placement.attempt, placement.stage, ExitReason::none};
+            response.tasks.push_back(
+                {status, machine.name, machine.zone, placement.resources_unknown,
+                 machine.draining || machine.cordoned, machine.preemption_notice_s.has_value()});
         }
     }
     for (const auto& status : machine.finished) {
@@ -205,42 +268,43 @@
             response.tasks.push_back({status, machine.name, machine.zone, false, false, false});
         }
     }
-    for (const auto& [id, lot] : machine.lent_slots) {
-        if (lot.borrower == borrower) {
+    for (const auto& [id, lent] : machine.lent_slots) {
+        if (lent.borrower == borrower) {
             response.pending_launches.push_back(id);
         }
     }
 }
 
-// Has the listing of this machine's guests changed, for any of their owners? A start that shows in
-// its slot changes nothing, so that most changes are ends.
-void SlotLender::on_machine_changed(Machine& machine) {
-    std::uint64_t print = 0;
-    auto mix = [&](const LaunchId& id, std::uint64_t state) {
-        std::uint64_t x = (id.attempt * 16 + state) * 31 + id.index + 0x9e3779b97f4a7c15ULL;
-        x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-        x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-        print ^= x ^ (x >> 31);
-    };
-    std::uint64_t leaving =
-        (machine.draining || machine.cordoned ? 1 : 0) + (machine.preemption_notice_s ? 8 : 0);
-    for (const auto& [task, p] : machine.tasks) {
-        if (!leadership_.is_own_attempt(p.attempt)) {
-            mix(launch_id(p.attempt, task.index), leaving + (p.resources_unknown ? 2 : 0));
+// A hash of what the inventory says of the machine's remote tasks, in any order. A launch that
+// shows in its lent slot does not change it, so that most changes are exits.
+std::uint64_t SlotLender::hash_remote_tasks(const Machine& machine) const {
+    std::uint64_t machine_state = (machine.draining || machine.cordoned ? kLeavingState : 0) +
+                                  (machine.preemption_notice_s ? kPreemptionNoticeState : 0);
+    std::uint64_t hash = 0;
+    for (const auto& [task, placement] : machine.tasks) {
+        if (!leadership_.is_own_attempt(placement.attempt)) {
+            std::uint64_t task_state = placement.resources_unknown ? kResourcesUnknownState : 0;
+            hash ^=
+                hash_launch(launch_id(placement.attempt, task.index), machine_state + task_state);
         }
     }
-    for (const auto& [id, lot] : machine.lent_slots) {
-        mix(id, leaving);
+    for (const auto& [id, lent] : machine.lent_slots) {
+        hash ^= hash_launch(id, machine_state);
     }
-    for (const auto& t : machine.finished) {
-        if (!leadership_.is_own_attempt(t.attempt)) {
-            mix(launch_id(t.attempt, t.task.index), 4);
+    for (const auto& status : machine.finished) {
+        if (!leadership_.is_own_attempt(status.attempt)) {
+            hash ^= hash_launch(launch_id(status.attempt, status.task.index), kFinishedState);
         }
     }
-    if (print == machine.remote_tasks_hash) {
+    return hash;
+}
+
+void SlotLender::on_machine_changed(Machine& machine) {
+    std::uint64_t hash = hash_remote_tasks(machine);
+    if (hash == machine.remote_tasks_hash) {
         return;
     }
-    machine.remote_tasks_hash = print;
+    machine.remote_tasks_hash = hash;
     changes_.erase(machine.remote_tasks_version);
     log_change(machine.name);
     machine.remote_tasks_version = version_;
@@ -255,8 +319,8 @@
 
 void SlotLender::log_change(const std::string& machine) {
     changes_[++version_] = machine;
-    // Machines that are gone would stay in the log for ever.
-    while (changes_.size() > 2 * machines_.all().size() + 64) {
+    // Otherwise machines that are gone would stay in the log for ever.
+    while (changes_.size() > 2 * machines_.all().size() + kExtraChanges) {
         dropped_version_ = changes_.begin()->first;
         changes_.erase(changes_.begin());
     }
@@ -264,115 +328,131 @@
 
 void SlotLender::apply_command(Machine& machine, const RemoteTaskCommand& command, int borrower) {
     switch (command.type) {
-    case RemoteTaskCommand::Type::return_slot: {
-        auto lot = machine.lent_slots.find(command.launch);
-        if (lot != machine.lent_slots.end() && lot->second.borrower == borrower &&
-            lot->second.borrower_term == borrowers_.at(borrower).term) {
-            machine.lent_slots.erase(lot);
-            delegate_.update_slot_lists(machine);
-        }
-        return;
-    }
+    case RemoteTaskCommand::Type::return_slot: apply_return(machine, command, borrower); return;
     case RemoteTaskCommand::Type::clear:
-        for (const auto& t : machine.finished) {
-            if (launch_id(t.attempt, t.task.index) == command.launch) {
+        for (const auto& status : machine.finished) {
+            if (launch_id(status.attempt, status.task.index) == command.launch) {
                 machine.remote_clears.insert(command.launch);
             }
         }
         return;
-    case RemoteTaskCommand::Type::stop:
-        // Its start may be on the way yet, so the word is kept. Told anew to leave at once, it
-        // must.
-        if (auto [it, added] = machine.remote_stops.try_emplace(command.launch, command.grace_s);
-            added || command.grace_s < it->second) {
-            it->second = command.grace_s;
-            for (const auto& [task, p] : machine.tasks) {
-                if (launch_id(p.attempt, task.index) == command.launch &&
-                    p.via == Placement::Via::reported) {
-                    machines_.queue_stop(machine, task, p.attempt, command.grace_s);
-                }
-            }
-        }
-        return;
+    case RemoteTaskCommand::Type::stop: apply_stop(machine, command); return;
     case RemoteTaskCommand::Type::describe: apply_resources(machine, command); return;
     }
 }
 
+void SlotLender::apply_return(Machine& machine, const RemoteTaskCommand& command, int borrower) {
+    auto lent = machine.lent_slots.find(command.launch);
+    if (lent != machine.lent_slots.end() && lent->second.borrower == borrower &&
+        lent->second.borrower_term == borrowers_.at(borrower).term) {
+        machine.lent_slots.erase(lent);
+        delegate_.update_slot_lists(machine);
+    }
+}
+
+// The launch may still be on its way, so the command is kept. A later command with a shorter grace
+// time takes effect too.
+void SlotLender::apply_stop(Machine& machine, const RemoteTaskCommand& command) {
+    auto [it, added] = machine.remote_stops.try_emplace(command.launch, command.grace_s);
+    if (!added && command.grace_s >= it->second) {
+        return;
+    }
+    it->second = command.grace_s;
+    for (const auto& [task, placement] : machine.tasks) {
+        if (launch_id(placement.attempt, task.index) == command.launch &&
+            placement.via == Placement::Via::reported) {
+            machines_.queue_stop(machine, task, placement.attempt, command.grace_s);
+        }
+    }
+}
+
 void SlotLender::apply_resources(Machine& machine, const RemoteTaskCommand& command) {
-    for (auto& [task, p] : machine.tasks) {
-        if (launch_id(p.attempt, task.index) == command.launch && p.resources_unknown) {
-            p.kind = command.kind;
-            p.cpus = command.cpus;
-            p.gpus = command.gpus;
-            p.ram_gb = command.ram_gb;
-            p.image = command.image;
-            p.image_gb = command.image_gb;
-            p.resources_unknown = false;
-            machine.touch_image(p.image, p.image_gb);
+    for (auto& [task, placement] : machine.tasks) {
+        if (launch_id(placement.attempt, task.index) == command.launch &&
+            placement.resources_unknown) {
+            placement.kind = command.kind;
+            placement.cpus = command.cpus;
+            placement.gpus = command.gpus;
+            placement.ram_gb = command.ram_gb;
+            placement.image = command.image;
+            placement.image_gb = command.image_gb;
+            placement.resources_unknown = false;
+            machine.touch_image(placement.image, placement.image_gb);
             delegate_.update_slot_lists(machine);
         }
     }
 }
 
+LentSlot SlotLender::make_lent_slot(Time now, const Machine& machine, int borrower,
+                                    const SlotRequest& request) {
+    LentSlot lent;
+    lent.borrower = borrower;
+    lent.borrower_term = borrowers_.at(borrower).term;
+    lent.fencing_token = machine.fencing_token();
+    lent.since = now;
+    lent.placement = placement_for(requested_resources(request));
+    lent.placement.attempt =
+        request.attempt != 0 ? request.attempt : leadership_.next_attempt(borrower, false);
+    lent.placement.over_guarantee = request.over_guarantee;
+    lent.placement.via = Placement::Via::direct_command;
+    lent.placement.fencing_token = lent.fencing_token;
+    lent.placement.since = now;
+    return lent;
+}
+
 void SlotLender::lend(Time now, Machine& machine, int borrower, SlotRequest& request,
                       std::uint32_t member) {
     Borrower& to = borrowers_.at(borrower);
     if (request.attempt != 0 && machine.lent_slots.contains(launch_id(request.attempt, member))) {
-        // Handed over already: the thief holds it, or has not heard of it and will when it is
-        // fenced. A second one of the same name could be given back, and the task on the first
+        // Lent already: the borrower holds the slot, or does not know of it and will when it is
+        // fenced. A second slot of the same launch id could be returned, and the task on the first
         // taken for gone.
         --request.count;
         return;
     }
-    LentSlot lot;
-    lot.borrower = borrower;
-    lot.borrower_term = to.term;
-    lot.fencing_token = machine.fencing_token();
-    lot.since = now;
-    lot.placement = placement_for(requested_resources(request));
-    lot.placement.attempt =
-        request.attempt != 0 ? request.attempt : leadership_.next_attempt(borrower, false);
-    lot.placement.over_guarantee = request.over_guarantee;
-    lot.placement.via = Placement::Via::direct_command;
-    lot.placement.fencing_token = lot.fencing_token;
-    lot.placement.since = now;
+    LentSlot lent = make_lent_slot(now, machine, borrower, request);
     machine.touch_image(request.image, request.image_gb);
-    LaunchId id = launch_id(lot.placement.attempt, member);
+    LaunchId id = launch_id(lent.placement.attempt, member);
     to.grants.push_back({id, request.job, machine.name, machine.endpoint, machine.agent_epoch,
-                         lot.fencing_token, machine.type.name, machine.zone, machine.spot,
+                         lent.fencing_token, machine.type.name, machine.zone, machine.spot,
                          request.cpus, request.gpus, request.ram_gb});
-    machine.lent_slots.emplace(id, std::move(lot));
+    machine.lent_slots.emplace(id, std::move(lent));
     machines_with_lent_slots_.insert(machine.name);
     delegate_.update_slot_lists(machine);
     --request.count;
     --to.slots_left;
 }
 
-// A slot whose start does not show, or that an owner before the present one got: a higher token
-// makes sure that the start never comes, and the next report under it frees the slot.
+// Does the machine have a slot that its present fencing token admits, and whose launch does not
+// show in time, or that an earlier leader of the borrowing partition got? A higher token makes sure
+// that the launch never takes effect, and the next heartbeat under it frees the slot.
+bool SlotLender::must_fence(Time now, const Machine& machine) const {
+    double max_age_s = kLaunchHeartbeats * settings_.heartbeat_interval_s;
+    return std::any_of(machine.lent_slots.begin(), machine.lent_slots.end(),
+                       [&](const auto& entry) {
+                           const LentSlot& lent = entry.second;
+                           bool is_stale = lent.borrower_term < borrowers_.at(lent.borrower).term;
+                           return (now - lent.since > max_age_s || is_stale) &&
+                                  lent.fencing_token == machine.fencing_token();
+                       });
+}
+
 void SlotLender::fence_lent_slots(Time now) {
-    std::vector<Machine*> fence;
+    std::vector<Machine*> to_fence;
     std::erase_if(machines_with_lent_slots_, [&](const std::string& name) {
         ++effort_;
         Machine* machine = machines_.find(name);
         if (!machine || machine->lent_slots.empty()) {
             return true;
         }
-        bool old =
-            std::any_of(machine->lent_slots.begin(), machine->lent_slots.end(), [&](const auto& l) {
-                const LentSlot& lot = l.second;
-                return (now - lot.since > kLotReports * settings_.heartbeat_interval_s ||
-                        lot.borrower_term < borrowers_.at(lot.borrower).term) &&
-                       lot.fencing_token == machine->fencing_token();
-            });
-        if (old) {
-            fence.push_back(machine);
+        if (must_fence(now, *machine)) {
+            to_fence.push_back(machine);
         }
         return false;
     });
-    // The new owner of a part places no older task until these slots are settled, and a report
-    // under the new token may be two report times away.
-    for (Machine* machine : fence) {
+    // The new leader of a partition places no older task until these slots are resolved, and a
+    // heartbeat under the new token may be two intervals away.
+    for (Machine* machine : to_fence) {
         machines_.fence(*machine);
         delegate_.update_slot_lists(*machine);
         delegate_.request_inventory(machine->name);
--- a/src/core/stealing/slot_lender.h
+++ b/src/core/stealing/slot_lender.h
@@ -1,7 +1,8 @@
-// The owner of machines and those who have tasks there, the owners of other parts: slots struck
-// from our lists and handed over, what each wants, and the listing by which each learns what became
-// of its tasks. "Stolen slots" and "What owners list for each other" in docs/design.md say why no
-// task runs twice. The paper's idle core taken from another scheduler core's list, as a call.
+// The lender's side of work stealing between partitions. A leader that owns machines lends idle
+// slots to the leaders of other partitions, the borrowers; it takes their slot requests, and
+// reports in an inventory what became of their tasks here. "Stolen slots" and "What owners list for
+// each other" in docs/design.md say why no task runs twice. This is the paper's steal of an idle
+// core from another scheduler core's list, as a call.
 #pragma once
 
 #include "core/autoscaling/demand_tracker.h"
@@ -10,76 +11,98 @@
 
 namespace scheduler {
 
-// The slots that a want asks for, as a job of that shape.
+// The slots that a request asks for, as a job with those requirements.
 JobSpec requested_resources(const SlotRequest& request);
 
+// Called only from the controller's event loop.
 class SlotLender {
   public:
-    struct Delegate { // what it needs of the part it works for
+    // What the lender needs of its partition's leader.
+    struct Delegate {
         virtual ~Delegate() = default;
+        // The machine's idle slots have changed.
         virtual void update_slot_lists(Machine& machine) = 0;
-        // A listing of the machine is waited for: it is asked for one at once.
+        // The machine's inventory is awaited: it is to be probed at once.
         virtual void request_inventory(const std::string& machine) = 0;
-        // The wants have come, or changed: our idle slots go to whoever is first in order.
+        // Slot requests have changed: idle slots go to whoever is first in the pending queue.
         virtual void on_slot_requests(Time now) = 0;
-        // A machine of this part was rented by the caller for all.
+        // The caller has provisioned a machine of this partition.
         virtual void expect_machine(Time now, const ProvisionedMachine& machine) = 0;
-        // The caller has given us a share.
+        // The caller has transferred a shard to this partition.
         virtual void accept_transfer(Time now, const ShardTransfer& transfer) = 0;
     };
     SlotLender(Leadership& leadership, const ClusterSettings& settings,
                const OwnedShards& owned_shards, MachineTable& machines, PendingQueue& queue,
                DemandTracker& demand, OutboundRequests& requests, Delegate& delegate);
 
-    // The owner of another part calls as the owner of its jobs.
+    // Handles a peer sync of another partition's leader. Responds at once: 503 if the partition is
+    // unknown, 409 if a later leader or a later call has come, else 200.
     void handle_sync(Time now, RequestId request_id, const PeerSyncRequest& request);
-    // What they want, for the waiting order.
+    // The slot requests of all borrowers, for the pending queue.
     std::vector<PeerSlotRequests> slot_requests();
-    // Slots that the thief takes at most before it calls again.
+    // The number of slots that the borrower still accepts before it calls again.
     std::uint32_t slots_left(int borrower) const { return borrowers_.at(borrower).slots_left; }
-    // Strikes slots for one task of the want on the machine, which must have them.
+    // Lends slots for one task of the request on the machine, which must have them.
     void lend(Time now, Machine& machine, int borrower, SlotRequest& request,
               std::uint32_t member = 0);
-    // The machine's listing may have changed.
+    // The inventory of the machine's remote tasks may have changed.
     void on_machine_changed(Machine& machine);
-    // All machines of the share are accounted for: from here on its listing says all there is.
+    // All machines of the shard are reconciled: from now on its inventory is complete.
     void publish_shard(const ShardId& shard) { published_shards_[shard] = ++version_; }
-    // The share is another part's, or about to be.
+    // The shard is another partition's, or about to be.
     void unpublish_shard(const ShardId& shard) { published_shards_.erase(shard); }
-    // It goes with its share, to be listed by who holds that.
+    // The machine migrates with its shard, whose new owner reports it.
     void forget(const Machine& machine) { changes_.erase(machine.remote_tasks_version); }
-    // It is about to be taken off the table. A thief may not have seen yet that its tasks there are
-    // gone, so the word stays.
+    // The machine is about to be removed from the table. A borrower may not know yet that its tasks
+    // there are gone, so the change stays in the log.
     void on_machine_removed(const Machine& machine);
-    // Raises the token of machines with slots whose start does not show.
+    // Raises the fencing token of machines with lent slots whose launch does not show.
     void fence_lent_slots(Time now);
-    // A task that ended on the machine is not known yet to the owner of its job.
+    // Did a task complete on the machine without its job's leader knowing of it yet?
     bool has_unacked_exits(const Machine& machine) const;
+    // Have the leaders of all other partitions called?
     bool heard_from_all() const;
-    // The term under which the owner of the part last called; 0: it has not.
+    // The term under which the partition's leader last called; 0: it has not.
     std::uint64_t last_term_of(int partition) const { return borrowers_.at(partition).called_term; }
-    // The whole listing for the owner of the part under that term, as if it had called; none while
-    // it would not be complete. From then on calls of earlier owners are refused.
+    // The full inventory for the partition's leader under that term, as if it had called; none
+    // while the inventory would not be complete. From then on calls of earlier leaders are refused.
     std::optional<PeerSyncResponse> inventory_for(Time now, int partition, std::uint64_t term);
+    // Machines visited so far, as a measure of work for tests.
     std::uint64_t effort() const { return effort_; }
 
   private:
     struct Borrower {
-        std::uint64_t term = 0;          // the latest that is known of
+        std::uint64_t term = 0;          // the latest that is known
         std::uint64_t called_term = 0;   // ... and that it has called under
         std::uint64_t sequence = 0;      // of that call
-        std::uint64_t acked_version = 0; // the version of our listing that it has taken in
+        std::uint64_t acked_version = 0; // the version of the inventory that it has applied
         std::vector<SlotRequest> requests;
         Time requested_at = 0;
         std::uint32_t slots_left = 0;
         std::vector<SlotGrant> grants;
     };
+    using ShardSet = std::set<ShardId>;
+    bool reject_outdated(RequestId request_id, const PeerSyncRequest& request,
+                         const Borrower& borrower);
+    void apply_request(Time now, const PeerSyncRequest& request, Borrower& borrower);
+    void append_grants(Borrower& borrower, PeerSyncResponse& response);
+    void apply_return(Machine& machine, const RemoteTaskCommand& command, int borrower);
+    void apply_stop(Machine& machine, const RemoteTaskCommand& command);
     void apply_command(Machine& machine, const RemoteTaskCommand& command, int borrower);
     void apply_resources(Machine& machine, const RemoteTaskCommand& command);
     PeerSyncResponse build_response(Time now, const PeerSyncRequest& request);
+    ShardSet append_shards(const PeerSyncRequest& request, PeerSyncResponse& response) const;
+    void append_machines(const PeerSyncRequest& request, const ShardSet& full_shards,
+                         PeerSyncResponse& response);
+    void append_changes(const PeerSyncRequest& request, const ShardSet& full_shards,
+                        PeerSyncResponse& response);
     void observe_term(Time now, Borrower& borrower, std::uint64_t term);
     void log_change(const std::string& machine);
     void append_tasks(const Machine& machine, int borrower, PeerSyncResponse& response);
+    std::uint64_t hash_remote_tasks(const Machine& machine) const;
+    LentSlot make_lent_slot(Time now, const Machine& machine, int borrower,
+                            const SlotRequest& request);
+    bool must_fence(Time now, const Machine& machine) const;
 
     Leadership& leadership_;
     const ClusterSettings& settings_;
@@ -90,13 +113,13 @@
     OutboundRequests& requests_;
     Delegate& delegate_;
     std::map<int, Borrower> borrowers_;
-    // Machines by when their listing of guests last changed, so that a thief is told of changes
-    // only.
+    // Machines by the version at which their inventory of remote tasks last changed, so that a
+    // borrower is told of changes only.
     std::map<std::uint64_t, std::string> changes_;
     std::uint64_t version_ = 1;
-    std::set<std::string> machines_with_lent_slots_;    // machines that may have lots
-    std::map<ShardId, std::uint64_t> published_shards_; // and since which version
-    std::uint64_t dropped_version_ = 0; // changes up to here may have been dropped from the log
+    std::set<std::string> machines_with_lent_slots_;    // machines that may have some
+    std::map<ShardId, std::uint64_t> published_shards_; // with the version of their publication
+    std::uint64_t dropped_version_ = 0; // changes up to it may have been dropped from the log
     std::uint64_t effort_ = 0;
 };
 
