--- a/src/core/messaging/outbound_requests.cpp
+++ b/src/core/messaging/outbound_requests.cpp
@@ -6,10 +6,14 @@
 
 namespace scheduler {
 
+namespace {
+constexpr int kTooManyRequests = 429; // of HTTP
+} // namespace
+
 OutboundRequestId OutboundRequests::send(OutboundBody body, OnResponse then) {
     OutboundRequestId id = next_++;
-    if (const auto* orders = std::get_if<WorkerCommands>(&body)) {
-        then = [this, machine = orders->machine,
+    if (const auto* commands = std::get_if<WorkerCommands>(&body)) {
+        then = [this, machine = commands->machine,
                 then = std::move(then)](Time at, OutboundResponse& response) {
             if (response.status != 0) {
                 unresponsive_workers_.clear();
@@ -26,12 +30,13 @@
 
 bool OutboundRequests::send_to_store(Time now, StoreRateLimiter::Use use, OutboundBody body,
                                      OnResponse then) {
-    const auto* txn = std::get_if<StoreTransaction>(&body);
-    if (!rate_limiter_.try_acquire(now, use, txn ? static_cast<int>(txn->writes.size()) : 0)) {
+    const auto* transaction = std::get_if<StoreTransaction>(&body);
+    int writes = transaction ? static_cast<int>(transaction->writes.size()) : 0;
+    if (!rate_limiter_.try_acquire(now, use, writes)) {
         return false;
     }
     send(std::move(body), [this, then = std::move(then)](Time at, OutboundResponse& response) {
-        if (response.status == 429) {
+        if (response.status == kTooManyRequests) {
             rate_limiter_.on_throttled(at);
         }
         then(at, response);
--- a/src/core/messaging/store_rate_limiter.cpp
+++ b/src/core/messaging/store_rate_limiter.cpp
@@ -5,9 +5,14 @@
 namespace scheduler {
 
 namespace {
-// A node may use more than an even share, since load is rarely even; a 429 corrects us.
-constexpr double kShare = 1.8;
-// What each use leaves in the bucket for the uses before it, as a part of one second's worth.
+// A controller may use more than an even proportion, since load is rarely even; a 429 corrects
+// that.
+constexpr double kOvercommit = 1.8;
+// After a 429: the most that is left of a second's requests, and how long less urgent uses pause.
+constexpr double kRequestsLeftOnThrottle = 0.3;
+constexpr double kThrottlePause_s = 0.5;
+
+// What a use leaves in the buckets for more urgent ones, as a fraction of one second's worth.
 constexpr double reserve(StoreRateLimiter::Use use) {
     switch (use) {
     case StoreRateLimiter::Use::renewal: return 0;
@@ -19,21 +24,21 @@
 }
 } // namespace
 
-StoreRateLimiter::StoreRateLimiter(double rps, double write_rps, int nodes)
-    : rps_(rps * std::min(1.0, kShare / std::max(1, nodes))),
-      write_rps_(write_rps * std::min(1.0, kShare / std::max(1, nodes))), requests_(rps_),
-      writes_(write_rps_) {}
+StoreRateLimiter::StoreRateLimiter(double requests_per_s, double writes_per_s, int controllers)
+    : requests_per_s_(requests_per_s * std::min(1.0, kOvercommit / std::max(1, controllers))),
+      writes_per_s_(writes_per_s * std::min(1.0, kOvercommit / std::max(1, controllers))),
+      requests_(requests_per_s_), writes_(writes_per_s_) {}
 
 void StoreRateLimiter::refill(Time now) {
-    double passed = std::max(0.0, now - last_);
-    last_ = std::max(last_, now); // a time gone back would be counted twice
-    requests_ = std::min(rps_, requests_ + passed * rps_);
-    writes_ = std::min(write_rps_, writes_ + passed * write_rps_);
+    double passed = std::max(0.0, now - last_refill_);
+    last_refill_ = std::max(last_refill_, now); // a time gone back would be counted twice
+    requests_ = std::min(requests_per_s_, requests_ + passed * requests_per_s_);
+    writes_ = std::min(writes_per_s_, writes_ + passed * writes_per_s_);
 }
 
 bool StoreRateLimiter::try_acquire(Time now, Use use, int writes) {
     refill(now);
-    if (use == Use::renewal) { // never held back: without the lease nothing else is of use
+    if (use == Use::renewal) { // never held back: without the store lease nothing else is of use
         requests_ -= 1;
         writes_ -= writes;
         return true;
@@ -41,12 +46,12 @@
     if (use != Use::user && now < pause_until_) {
         return false;
     }
-    if (requests_ - 1 < reserve(use) * rps_) {
+    if (requests_ - 1 < reserve(use) * requests_per_s_) {
         return false;
     }
-    // A limit below one change a second still lets one through when nothing else is written.
-    double left = std::min(reserve(use) * write_rps_, write_rps_ - 1);
-    if (writes > 0 && writes_ - writes < left) {
+    // A limit below one write a second still lets one through when nothing else is written.
+    double writes_reserve = std::min(reserve(use) * writes_per_s_, writes_per_s_ - 1);
+    if (writes > 0 && writes_ - writes < writes_reserve) {
         return false;
     }
     requests_ -= 1;
@@ -55,14 +60,14 @@
 }
 
 int StoreRateLimiter::max_writes(Use use) const {
-    return std::max(1, static_cast<int>((1 - reserve(use)) * write_rps_));
+    return std::max(1, static_cast<int>((1 - reserve(use)) * writes_per_s_));
 }
 
 void StoreRateLimiter::on_throttled(Time now) {
     refill(now);
-    requests_ = std::min(requests_, 0.3 * rps_);
+    requests_ = std::min(requests_, kRequestsLeftOnThrottle * requests_per_s_);
     writes_ = std::min(writes_, 0.0);
-    pause_until_ = now + 0.5;
+    pause_until_ = now + kThrottlePause_s;
 }
 
 } // namespace scheduler
--- a/src/core/model/instance_type_catalog.cpp
+++ b/src/core/model/instance_type_catalog.cpp
@@ -7,8 +7,8 @@
 namespace scheduler {
 
 InstanceTypeCatalog::InstanceTypeCatalog(const std::vector<InstanceType>& types) : all_(types) {
-    for (const auto& t : all_) {
-        by_fetch_.push_back(&t);
+    for (const auto& type : all_) {
+        by_fetch_.push_back(&type);
     }
     std::stable_sort(by_fetch_.begin(), by_fetch_.end(), [](const auto* a, const auto* b) {
         return a->fetch_gb_per_s > b->fetch_gb_per_s;
--- a/src/core/model/partition_assignment.cpp
+++ b/src/core/model/partition_assignment.cpp
@@ -5,33 +5,42 @@
 
 namespace scheduler {
 
+namespace {
+// FNV-1a of 64 bits, and the first step of the final mix of MurmurHash3.
+constexpr std::uint64_t kFnvOffsetBasis = 14695981039346656037ULL;
+constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
+constexpr std::uint64_t kMixMultiplier = 0xff51afd7ed558ccdULL;
+constexpr int kMixShift = 33;
+} // namespace
+
 std::uint64_t stable_hash(const std::string& text) {
-    std::uint64_t h = 14695981039346656037ULL;
+    std::uint64_t hash = kFnvOffsetBasis;
     for (unsigned char c : text) {
-        h = (h ^ c) * 1099511628211ULL;
+        hash = (hash ^ c) * kFnvPrime;
     }
-    h ^= h >> 33;
-    h *= 0xff51afd7ed558ccdULL;
-    return h ^ (h >> 33);
+    hash ^= hash >> kMixShift;
+    hash *= kMixMultiplier;
+    return hash ^ (hash >> kMixShift);
 }
 
 int partition_of_machine(const ClusterSettings& settings, const std::string& machine,
                          const std::string& zone) {
-    int n = static_cast<int>(settings.partitions.size());
-    bool near = std::any_of(settings.partitions.begin(), settings.partitions.end(),
-                            [&](const PartitionSettings& p) { return p.zone == zone; });
+    int count = static_cast<int>(settings.partitions.size());
+    bool zone_has_partition =
+        std::any_of(settings.partitions.begin(), settings.partitions.end(),
+                    [&](const PartitionSettings& p) { return p.zone == zone; });
     int best = 0;
     std::uint64_t best_hash = 0;
-    bool any = false;
-    for (int p = 0; p < n; ++p) {
-        if (near && settings.partitions[p].zone != zone) {
+    bool found = false;
+    for (int p = 0; p < count; ++p) {
+        if (zone_has_partition && settings.partitions[p].zone != zone) {
             continue;
         }
-        std::uint64_t h = stable_hash(machine + "/" + settings.partitions[p].node);
-        if (!any || h > best_hash) {
-            any = true;
+        std::uint64_t hash = stable_hash(machine + "/" + settings.partitions[p].node);
+        if (!found || hash > best_hash) {
+            found = true;
             best = p;
-            best_hash = h;
+            best_hash = hash;
         }
     }
     return best;
@@ -48,23 +57,24 @@
         cpus += quota->guaranteed_cpus;
         gpus += quota->guaranteed_gpus;
     }
-    // What a team is guaranteed of all that is; a little more, so that teams without a guarantee
-    // are spread as well.
-    auto shard = [&](const TeamQuota& quota) {
+    // The team's proportion of all guarantees; a little more, so that teams without a guarantee are
+    // spread as well.
+    auto weight = [&](const TeamQuota& quota) {
         return quota.guaranteed_cpus / std::max(1.0, cpus) +
                quota.guaranteed_gpus / std::max(1.0, gpus) + 1 / std::max(1.0, cpus + gpus);
     };
     std::sort(teams.begin(), teams.end(), [&](const TeamQuota* a, const TeamQuota* b) {
-        double of_a = shard(*a);
-        double of_b = shard(*b);
-        return std::tie(of_b, a->name) < std::tie(of_a, b->name);
+        double weight_a = weight(*a);
+        double weight_b = weight(*b);
+        return std::tie(weight_b, a->name) < std::tie(weight_a, b->name);
     });
     std::vector<double> load(std::max<std::size_t>(1, settings.partitions.size()), 0);
     std::map<std::string, int> out;
-    for (const auto* quota : teams) { // the largest first, each to the part with the least so far
+    // The largest first, each to the partition with the least so far.
+    for (const auto* quota : teams) {
         auto least = std::min_element(load.begin(), load.end());
         out.emplace(quota->name, static_cast<int>(least - load.begin()));
-        *least += shard(*quota);
+        *least += weight(*quota);
     }
     return out;
 }
--- a/src/core/model/shards.cpp
+++ b/src/core/model/shards.cpp
@@ -7,9 +7,9 @@
 namespace scheduler {
 
 namespace {
-// A twentieth of the machines at most, and a quarter of a part's own at most.
-constexpr int kLeastOfAll = 20;
-constexpr int kLeastOfPart = 4;
+// A shard is at most a twentieth of all machines, and at most a quarter of a partition's own.
+constexpr int kMinShardsOfCluster = 20;
+constexpr int kMinShardsOfPartition = 4;
 } // namespace
 
 std::string to_string(const ShardId& shard) {
@@ -18,10 +18,12 @@
 
 int shards_per_home(const ClusterSettings& settings, int home) {
     const std::string& zone = settings.partitions[static_cast<std::size_t>(home)].zone;
-    auto beside =
+    // Partitions that the machines of the zone are divided among.
+    auto zone_partitions =
         static_cast<int>(std::count_if(settings.partitions.begin(), settings.partitions.end(),
                                        [&](const auto& p) { return p.zone == zone; }));
-    return std::max(kLeastOfPart, (kLeastOfAll + beside - 1) / beside);
+    return std::max(kMinShardsOfPartition,
+                    (kMinShardsOfCluster + zone_partitions - 1) / zone_partitions);
 }
 
 std::vector<ShardId> all_shards(const ClusterSettings& settings) {
@@ -35,10 +37,10 @@
 }
 
 ShardId shard_at_home(const ClusterSettings& settings, int home, const std::string& machine) {
-    // Another text than any that decides the home, so that the two do not go together.
-    std::uint64_t h = stable_hash("share/" + machine);
+    // Not a text that decides any home, so that shard and home are independent of each other.
+    std::uint64_t hash = stable_hash("share/" + machine);
     return {home,
-            static_cast<int>(h % static_cast<std::uint64_t>(shards_per_home(settings, home)))};
+            static_cast<int>(hash % static_cast<std::uint64_t>(shards_per_home(settings, home)))};
 }
 
 ShardId shard_of_machine(const ClusterSettings& settings, const std::string& machine,
--- a/src/core/model/task_set.h
+++ b/src/core/model/task_set.h
@@ -1,15 +1,19 @@
-// Task numbers of one job, as a compressed bitmap: about a bit for each task of a large job, where
-// a tree takes some 50 bytes. In ascending order.
+// A set of task indices of one job.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
+
 #include <roaring/roaring.hh>
 
 namespace scheduler {
 
+// A compressed bitmap: about a bit for each task of a large job, where a tree takes some 50 bytes.
+// Iterates in ascending order.
 class TaskSet {
   public:
     TaskSet() = default;
-    // All from 0 up to `tasks`.
+    // All indices below `tasks`.
     explicit TaskSet(std::uint32_t tasks) : size_(tasks) { bits_.addRange(0, tasks); }
 
     void insert(std::uint32_t task) { size_ += bits_.addChecked(task) ? 1 : 0; }
@@ -17,13 +21,14 @@
     bool contains(std::uint32_t task) const { return bits_.contains(task); }
     std::size_t size() const { return size_; }
     bool empty() const { return size_ == 0; }
-    std::uint32_t first() const { return bits_.minimum(); } // of a set that is not empty
+    // The lowest index. The set must not be empty.
+    std::uint32_t first() const { return bits_.minimum(); }
     Roaring::const_iterator begin() const { return bits_.begin(); }
     Roaring::const_iterator end() const { return bits_.end(); }
 
   private:
     Roaring bits_;
-    std::size_t size_ = 0; // the bitmap would count it anew each time
+    std::size_t size_ = 0; // cached: the bitmap would count its bits each time
 };
 
 } // namespace scheduler
--- a/src/core/quotas/quota_config.cpp
+++ b/src/core/quotas/quota_config.cpp
@@ -8,8 +8,8 @@
 namespace scheduler {
 
 namespace {
-constexpr double kAgain = 1.0 / 6; // report times after a read or watch that failed
-constexpr std::size_t kLongestName = 180;
+constexpr double kRetryHeartbeats = 1.0 / 6; // heartbeat intervals after a failed read or watch
+constexpr std::size_t kMaxNameLength = 180;  // of a team, in bytes: it is part of a key
 } // namespace
 
 std::string invalid_quota_reason(const TeamQuota& settings, const TeamQuota& changed) {
@@ -17,13 +17,13 @@
         const char* key;
         double guarantee;
         double limit;
-        bool stated;
-        bool states;
+        bool limited_by_settings;
+        bool limited_by_change;
     };
-    bool name = !settings.name.empty() && settings.name.size() <= kLongestName &&
-                std::none_of(settings.name.begin(), settings.name.end(),
-                             [](unsigned char c) { return c <= ' ' || c == 127; });
-    if (!name) {
+    bool valid_name = !settings.name.empty() && settings.name.size() <= kMaxNameLength &&
+                      std::none_of(settings.name.begin(), settings.name.end(),
+                                   [](unsigned char c) { return c <= ' ' || c == 127; });
+    if (!valid_name) {
         return "team: its name cannot be part of a key";
     }
     for (const Measure& m : {Measure{"cpus", changed.guaranteed_cpus, changed.max_cpus,
@@ -40,20 +40,21 @@
         if (m.limit > 0 && m.guarantee > m.limit) {
             return key + ": above " + key + "_max";
         }
-        if (m.stated != m.states) {
-            return key + (m.stated ? ": the settings state some, so one of guarantee and limit "
-                                     "must be above 0"
-                                   : ": the settings state none for this team");
+        if (m.limited_by_settings != m.limited_by_change) {
+            return key + (m.limited_by_settings
+                              ? ": the settings state some, so one of guarantee and limit "
+                                "must be above 0"
+                              : ": the settings state none for this team");
         }
     }
     return "";
 }
 
 QuotaConfig::QuotaConfig(const ClusterSettings& settings, OutboundRequests& requests,
-                         OnEffective in_force)
-    : requests_(requests), on_effective_(std::move(in_force)),
+                         OnEffective on_effective)
+    : requests_(requests), on_effective_(std::move(on_effective)),
       bound_s_(StalenessBound::bound_s(settings)), watch_s_(StalenessBound::max_watch_s(settings)),
-      retry_s_(kAgain * settings.heartbeat_interval_s) {
+      retry_s_(kRetryHeartbeats * settings.heartbeat_interval_s) {
     for (const auto& quota : settings.teams) {
         Team& team = quotas_[quota.name];
         team.settings = quota;
@@ -61,8 +62,8 @@
     }
 }
 
-bool QuotaConfig::is_known(Time now, Time claimed) const {
-    return known_until_ >= claimed && now - known_until_ < bound_s_;
+bool QuotaConfig::is_known(Time now, Time leader_since) const {
+    return known_until_ >= leader_since && now - known_until_ < bound_s_;
 }
 
 const TeamQuota* QuotaConfig::team(const std::string& name) const {
@@ -106,7 +107,7 @@
 void QuotaConfig::apply(Time now, const QuotaChange& change) {
     auto it = quotas_.find(change.team);
     if (it == quotas_.end()) {
-        return; // no team of our settings: those are the ones that may change
+        return; // only teams of the settings may change
     }
     Team& t = it->second;
     if (change.revision <= t.revision) {
@@ -116,7 +117,7 @@
     std::string fault = change.quota ? invalid_quota_reason(t.settings, *change.quota)
                                      : std::string("cannot be read");
     if (!fault.empty()) {
-        // The last good one stays in force; where none is known, nothing of the team is started.
+        // The last valid quota stays in force; where none is known, nothing of the team is started.
         t.blocked = t.effective_revision == 0 && !loaded_;
         requests_.log(LogLevel::error,
                       "event=record_unreadable key=" + std::string(kQuotaConfigPrefix) +
@@ -156,17 +157,17 @@
     }
 }
 
-// A key that a read lacks was there no more at its revision: the team is as the settings say.
+// A key that a read lacks was deleted by the revision of the read: the team is as in the settings.
 void QuotaConfig::apply_absent(Time now, const OutboundResponse& response,
                                const std::string& after) {
-    std::map<std::string, bool> there;
+    std::map<std::string, bool> present;
     for (const auto& item : response.entries) {
-        there[item.key] = true;
+        present[item.key] = true;
     }
     for (const auto& [name, t] : quotas_) {
         std::string key = kQuotaConfigPrefix + name;
-        bool within = key > after && (!response.more || key <= response.entries.back().key);
-        if (within && !there.contains(key) && t.revision > 0 && t.revision < response.revision) {
+        bool in_page = key > after && (!response.more || key <= response.entries.back().key);
+        if (in_page && !present.contains(key) && t.revision > 0 && t.revision < response.revision) {
             apply(now, {name, t.settings, response.revision});
         }
     }
@@ -211,7 +212,7 @@
             apply_absent(at, response, after);
             if (response.more) {
                 read(at, response.entries.back().key, begun);
-                if (!reading_) { // the budget has none left
+                if (!reading_) { // refused by the rate limiter
                     reload_requested_ = true;
                 }
                 return;
@@ -234,8 +235,8 @@
         [this, sent = now](Time at, OutboundResponse& response) {
             watching_ = false;
             if (response.status != 200) {
-                reload_requested_ =
-                    true; // what it missed comes at once, not with the end of the next
+                // A read brings what the watch missed at once, a new watch only as it ends.
+                reload_requested_ = true;
                 next_ = at + retry_s_;
                 return;
             }
@@ -247,7 +248,8 @@
                 }
             }
             revision_ = std::max(revision_, response.revision);
-            advance(sent); // not to when the answer came: it may have waited through a refusal
+            // Not to the time of the response: it may have been held up while the store refused.
+            advance(sent);
             next_ = at;
             tick(at);
         });
--- a/src/core/quotas/quota_ledger.cpp
+++ b/src/core/quotas/quota_ledger.cpp
@@ -6,8 +6,8 @@
 namespace scheduler {
 
 namespace {
-constexpr double kRounding = 1e-6;
-}
+constexpr double kRounding = 1e-6; // error of sums of CPUs and GPUs
+} // namespace
 
 bool TeamQuota::allows(double used_cpus, double used_gpus) const {
     return (max_cpus <= 0 || used_cpus <= max_cpus + kRounding) &&
@@ -20,13 +20,13 @@
 }
 
 double TeamQuota::limit() const {
-    double most = limits_gpus() ? max_gpus : max_cpus;
-    return most > 0 ? most : std::numeric_limits<double>::infinity();
+    double maximum = limits_gpus() ? max_gpus : max_cpus;
+    return maximum > 0 ? maximum : std::numeric_limits<double>::infinity();
 }
 
-QuotaLedger::QuotaLedger(const std::vector<TeamQuota>& facts) {
-    for (const auto& f : facts) {
-        quotas_[f.name].quota = f;
+QuotaLedger::QuotaLedger(const std::vector<TeamQuota>& quotas) {
+    for (const auto& quota : quotas) {
+        quotas_[quota.name].quota = quota;
     }
 }
 
@@ -35,10 +35,10 @@
     return it == quotas_.end() ? nullptr : &it->second.quota;
 }
 
-void QuotaLedger::configure(const TeamQuota& quota, bool held) {
+void QuotaLedger::configure(const TeamQuota& quota, bool blocked) {
     Team& team = quotas_[quota.name];
     team.quota = quota;
-    team.blocked = held;
+    team.blocked = blocked;
 }
 
 double QuotaLedger::total_guarantee() const {
@@ -55,8 +55,8 @@
         return {0, 0};
     }
     const Team& t = it->second;
-    auto beyond = [](double used, double most) {
-        return most > 0 && used > most + kRounding ? used - most : 0;
+    auto beyond = [](double used, double limit) {
+        return limit > 0 && used > limit + kRounding ? used - limit : 0;
     };
     return {beyond(t.cpus, t.quota.max_cpus), beyond(t.gpus, t.quota.max_gpus)};
 }
@@ -103,9 +103,9 @@
     const std::map<std::string, std::pair<double, double>>& cpus_and_gpus) {
     for (auto& [name, t] : quotas_) {
         auto it = cpus_and_gpus.find(name);
-        bool known = it == cpus_and_gpus.end();
-        t.doubtful_cpus = known ? 0 : it->second.first;
-        t.doubtful_gpus = known ? 0 : it->second.second;
+        bool none = it == cpus_and_gpus.end();
+        t.doubtful_cpus = none ? 0 : it->second.first;
+        t.doubtful_gpus = none ? 0 : it->second.second;
     }
 }
 
