--- a/bench/compare.sh
+++ b/bench/compare.sh
@@ -15,7 +15,7 @@
 cp -r bench "$there/bench"
 grep -q 'add_subdirectory(bench)' "$there/CMakeLists.txt" || echo 'add_subdirectory(bench)' >> "$there/CMakeLists.txt"
 for tree in "$there" .; do
-  cmake -S "$tree" -B "$tree/target/bench" -DORCHIDLANDING_BENCH=ON -DCMAKE_BUILD_TYPE=Release >/dev/null
+  cmake -S "$tree" -B "$tree/target/bench" -DSCHEDULER_BENCH=ON -DCMAKE_BUILD_TYPE=Release >/dev/null
   cmake --build "$tree/target/bench" -j"$(nproc)" --target core_bench >/dev/null
 done
 echo "== $ref"
--- a/src/cli/config_command.cpp
+++ b/src/cli/config_command.cpp
@@ -14,11 +14,11 @@
 constexpr int kBadUse = 2;
 
 int bad(const std::string& why) {
-    std::cerr << "orchidlanding: " << why << "\n";
+    std::cerr << "cluster-scheduler: " << why << "\n";
     return kBadUse;
 }
 int not_done(const std::string& why) {
-    std::cerr << "orchidlanding: " << why << "\n";
+    std::cerr << "cluster-scheduler: " << why << "\n";
     return kNotDone;
 }
 
@@ -77,7 +77,7 @@
         return not_done(state_failed(settings));
     }
     if (!now.readable) { // it is written over as a whole
-        std::cerr << "orchidlanding: what stands there cannot be read, version " << now.version
+        std::cerr << "cluster-scheduler: what stands there cannot be read, version " << now.version
                   << "; numbers that are not given are those of the settings\n";
     }
     TeamQuota wanted = now.facts;
--- a/src/cli/config_command.h
+++ b/src/cli/config_command.h
@@ -1,5 +1,5 @@
-// `orchidlanding config put|get|list`: guarantees and limits of teams, changed while the service
-// runs. See docs/configuration.md.
+// `cluster-scheduler config put|get|list`: guarantees and limits of teams, changed while the
+// service runs. See docs/configuration.md.
 #pragma once
 
 #include <optional>
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// orchidlanding: a cluster scheduler. This file wires settings, core and network together.
+// cluster-scheduler: a cluster scheduler. This file wires settings, core and network together.
 #include <malloc.h>
 #include <pthread.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -37,7 +37,7 @@
 }
 
 void set_up_log() {
-    auto log = spdlog::stderr_logger_mt("orchidlanding");
+    auto log = spdlog::stderr_logger_mt("cluster-scheduler");
     log->set_pattern("%Y-%m-%dT%H:%M:%S.%e level=%l %v");
     const char* level = std::getenv("LOG_LEVEL");
     log->set_level(spdlog::level::from_str(level ? level : "info"));
@@ -91,7 +91,7 @@
 } // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"orchidlanding, a cluster scheduler for tasks on rented machines"};
+    CLI::App app{"cluster-scheduler, a cluster scheduler for tasks on rented machines"};
     std::string config;
     app.add_option("--config", config, "the platform's settings (TOML)");
     app.set_version_flag("--version", kVersion);
@@ -124,14 +124,14 @@
         return 2;
     }
     if (config.empty()) {
-        std::cerr << "orchidlanding: --config FILE is needed\n";
+        std::cerr << "cluster-scheduler: --config FILE is needed\n";
         return 2;
     }
     cli::Settings settings;
     try {
         settings = cli::read_settings(config);
     } catch (const cli::SettingsError& bad) {
-        std::cerr << "orchidlanding: " << bad.what() << "\n";
+        std::cerr << "cluster-scheduler: " << bad.what() << "\n";
         return 2;
     }
     if (check->parsed()) {
--- a/src/core/jobs/job_persistence.cpp
+++ b/src/core/jobs/job_persistence.cpp
@@ -14,7 +14,7 @@
 // the machine registry.
 constexpr double kProgressShare = 0.3;
 // What the chunks of one transaction may take of the 64 KiB that a transaction may have.
-constexpr std::size_t kProgressBytes = 48 * 1024;
+constexpr std::size_t kProgressBytes = std::size_t{48} * 1024;
 constexpr std::size_t kChunkOverheadBytes = 128; // key, version and framing of one chunk
 constexpr std::size_t kTasksPerHexDigit = 4;     // in the stored form of the bits, a byte a digit
 
--- a/src/core/jobs/job_service.cpp
+++ b/src/core/jobs/job_service.cpp
@@ -147,8 +147,8 @@
     }
 }
 
-void JobService::read(Time now, RequestId request_id, const std::string& id, OnOpen on_open,
-                      OnMissing on_missing) {
+void JobService::read(Time now, RequestId request_id, const std::string& id, const OnOpen& on_open,
+                      const OnMissing& on_missing) {
     bool sent = requests_.send_to_store(
         now, StoreRateLimiter::Use::user, StoreGet{key_of(id)},
         [this, request_id, id, on_open, on_missing](Time at, OutboundResponse& response) {
--- a/src/core/jobs/job_service.h
+++ b/src/core/jobs/job_service.h
@@ -56,8 +56,8 @@
     // the job is open, `on_missing` if there is none.
     using OnOpen = std::function<void(Time, const KeyedRecord&)>;
     using OnMissing = std::function<void(Time)>;
-    void read(Time now, RequestId request_id, const std::string& id, OnOpen on_open,
-              OnMissing on_missing);
+    void read(Time now, RequestId request_id, const std::string& id, const OnOpen& on_open,
+              const OnMissing& on_missing);
     void on_read(Time now, RequestId request_id, const std::string& id,
                  const OutboundResponse& response, const OnOpen& on_open);
 
--- a/src/core/leadership/lease_extender.h
+++ b/src/core/leadership/lease_extender.h
@@ -1,7 +1,7 @@
 // Lease extensions between peers, by which leaders outlive a store outage that is longer than their
 // leases. While every peer has agreed not to campaign for a controller's home partition for a
-// stated time, the controller goes on leading it. See "A state outage longer than any lease" in
-// docs/design.md for the argument.
+// stated time, the controller goes on leading it. See "An outage of the store longer than any
+// lease" in docs/design.md for the argument.
 //
 // The requester's side: it asks every peer again and again while the store does not respond to it,
 // and counts each extension from the sending of the request. The granter's side: it grants only
--- a/src/core/model/shards.h
+++ b/src/core/model/shards.h
@@ -1,6 +1,6 @@
 // Shards: the units in which machines migrate from one partition to another while jobs run. Which
 // shard a machine falls into is a pure function, so that no two controllers can disagree; which
-// partition holds a shard is what the map in the store says. See docs/shares.md.
+// partition holds a shard is what the map in the store says. See docs/sharding.md.
 #pragma once
 
 #include <cstddef>
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -38,8 +38,12 @@
       lender_(leadership_, settings_, owned_shards_, machines_, queue_, demand_, requests_, *this),
       borrower_(leadership_, settings_, policy_, partition_map, owned_shards_, jobs_, quotas_,
                 gangs_, queue_, demand_, requests_, *this),
+      task_launcher_(jobs_, machines_, slots_, quotas_, slot_finder_, lender_),
       gang_scheduler_({leadership_, settings_, jobs_, machines_, quotas_, gangs_, slot_finder_,
-                       queue_, lender_, borrower_, requests_},
+                       queue_, lender_, borrower_, task_launcher_, requests_},
+                      *this),
+      task_scheduler_({leadership_, policy_, machines_, quotas_, slots_, slot_finder_, queue_,
+                       lender_, gang_scheduler_, task_launcher_},
                       *this),
       inventory_relay_(leadership_, settings_, partition_map, lender_, borrower_, requests_, *this),
       shard_manager_(leadership_, settings_, partition_map, owned_shards_, instance_types_,
@@ -541,6 +545,27 @@
     send_commands(now);
 }
 
+bool PartitionLeader::has_schedulable_tasks(Time now, const Job& job) const {
+    // After an outage for all, a leader whose leadership had outlived it once started replicas of a
+    // job that had been cancelled before, until the first response of its watch.
+    return staleness_.is_fresh(now) &&
+           (failover_.reconciled() || (failover_.loaded() && !job.in_doubt)) && job.open() &&
+           !job.waiting.empty() && now >= job.backoff_until &&
+           (job.spec.kind != JobKind::gang || gangs_.may_place(now, job));
+}
+
+void PartitionLeader::schedule(Time now) {
+    if (failover_.loaded() && leadership_.is_active(now)) {
+        task_scheduler_.schedule(now);
+    }
+}
+
+void PartitionLeader::schedule_on(Time now, Machine& machine) {
+    if (failover_.loaded() && leadership_.is_active(now)) {
+        task_scheduler_.schedule_on(now, machine);
+    }
+}
+
 void PartitionLeader::retry_preemption(Time now) {
     if (!failover_.loaded() || !leadership_.is_active(now)) {
         return;
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -1,10 +1,12 @@
-// The owner's work for its part: which jobs wait, which machines have idle slots, what goes
-// where. It lives as long as the claim; losing the claim throws all of it away.
+// The leader of a partition: wires the classes that each do one thing for it, and decides what
+// follows for the others from what one of them reports. It lives as long as the leadership term;
+// losing the leadership discards all of it.
 //
-// It wires the classes that each do one thing: Accounts (takeover), Lending and Borrowing (slots
-// between parts), Postbox (listings by another road), ShareDesk (shares that come and go),
-// DemandBook and Renting (machines and money). What is left here is what needs all of them:
-// reports, placing, gangs, durable writes.
+// Failover reads what is durable, Reconciliation accounts for machines that may run unknown tasks,
+// TaskScheduler, GangScheduler, Preemptor and QuotaEvictor decide what runs where, SlotLender and
+// SlotBorrower trade idle slots with other partitions, InventoryRelay passes inventories through
+// the store, ShardManager moves shards, DemandTracker and Autoscaler scale the machines out and in,
+// JobPersistence writes progress and outcomes. The heartbeat path is in this class itself.
 #pragma once
 
 #include "core/autoscaling/autoscaler.h"
@@ -14,10 +16,9 @@
 #include "core/quotas/quota_config.h"
 #include "core/recovery/failover.h"
 #include "core/recovery/inventory_relay.h"
-#include "core/scheduling/gang_scheduler.h"
 #include "core/scheduling/preemptor.h"
 #include "core/scheduling/quota_evictor.h"
-#include "core/scheduling/slot_finder.h"
+#include "core/scheduling/task_scheduler.h"
 #include "core/sharding/shard_manager.h"
 
 namespace scheduler {
@@ -28,6 +29,7 @@
                         SlotLender::Delegate,
                         SlotBorrower::Delegate,
                         GangScheduler::Delegate,
+                        TaskScheduler::Delegate,
                         ShardManager::Delegate,
                         InventoryRelay::Delegate,
                         JobPersistence::Delegate,
@@ -41,11 +43,12 @@
                     const QuotaConfig& config);
 
     void handle_heartbeat(Time now, RequestId request_id, const Heartbeat& heartbeat);
-    // `capacity`: of the node's processor. `may_move`: the state service answers.
+    // `capacity`: the controller's CPU headroom, see CpuHeadroom. `may_move`: the store responds,
+    // so shards may be migrated.
     void tick(Time now, double capacity, bool may_move);
-    // The node has read the map of shares.
+    // The controller has read the partition map.
     void on_map_updated(Time now) { shard_manager_.on_map_updated(now); }
-    // Gives the share to another part, if it is this one's to give.
+    // Begins to migrate the shard to another partition. False: it is not owned, or not now.
     bool migrate_shard(Time now, const ShardId& shard, int to) {
         return shard_manager_.migrate(now, shard, to);
     }
@@ -56,26 +59,28 @@
     }
     void drain_into(Outputs& out) { requests_.drain_into(out); }
     std::size_t reporting_count() const { return machines_.reporting_count(); }
-    // See Calls::unanswered.
+    // See OutboundRequests::unresponsive_workers.
     int unresponsive_workers() const { return requests_.unresponsive_workers(); }
-    // A worker has reported to this node.
+    // A worker has sent a heartbeat to this controller.
     void worker_responded() { requests_.worker_responded(); }
-    // Machines and jobs looked at so far: what grows with the fleet must not grow with each report.
+    // Machines and jobs looked at so far: what grows with the cluster must not grow with each
+    // heartbeat.
     std::uint64_t effort() const {
-        return effort_ + slot_finder_.effort() + preemptor_.effort() + lender_.effort() +
-               demand_.effort() + quota_evictor_.effort();
+        return effort_ + slot_finder_.effort() + preemptor_.effort() + task_scheduler_.effort() +
+               lender_.effort() + demand_.effort() + quota_evictor_.effort();
     }
-    // The owner of another part asks for slots for its tasks, as the owner of their jobs.
+    // The leader of another partition synchronises: it asks for slots, commands its tasks here, and
+    // is sent their state.
     void handle_peer_sync(Time now, RequestId request_id, const PeerSyncRequest& request);
     // Tasks done and running of an open job, for display.
     bool task_counts(const std::string& job, std::uint32_t& done, std::uint32_t& running);
     bool deposed() const { return leadership_.deposed(); }
     const StalenessBound& staleness() const { return staleness_; }
-    // Every cancellation that any node had seen by then is known here: all siblings have said so.
+    // Every cancellation that any controller had seen by then is known here: all peers said so.
     void cancellations_known_until(Time to) { staleness_.advance(to); }
-    // The team's guarantee and limit from now on.
+    // The team's guarantee and limit have changed.
     void apply_quota(Time now, const TeamQuota& quota);
-    // A sibling has seen the job cancelled.
+    // Any controller has seen the job cancelled.
     void cancel_job(Time now, const std::string& id) override;
 
   private:
@@ -106,18 +111,12 @@
     void expire_leases(Time now);
     void log_stats(Time now);
 
-    // Placing (placing.cpp): idle slots to what waits.
-    void update_slot_lists(Machine& machine) override;
+    // Scheduling of pending tasks onto idle slots: see TaskScheduler.
+    void update_slot_lists(Machine& machine) override { task_launcher_.update_slot_lists(machine); }
     void schedule(Time now);
-    void fill_slots(Time now, bool spot, bool spot_jobs);
-    bool fits_machine(Time now, const Machine& machine, const PendingJob& candidate) const;
     void schedule_on(Time now, Machine& machine);
-    // Has the job tasks to be placed now?
+    // Does the job have tasks that may be scheduled now?
     bool has_schedulable_tasks(Time now, const Job& job) const override;
-    bool schedule_task(Time now, bool spot, Job& job, std::uint32_t task);
-    void launch_on(Time now, Machine& machine, Job& job, std::uint32_t task,
-                   std::uint64_t attempt) override;
-    void lend_slots(Time now, bool spot, int borrower, SlotRequest& request);
 
     // Gangs: see GangScheduler.
     bool request_gang_slots(const Job& job, bool rest, SlotRequest& request) override {
@@ -129,9 +128,7 @@
     void end_attempt(Time now, const std::string& job, bool saves) override {
         gang_scheduler_.end_attempt(now, job, saves);
     }
-    void on_gang_complete(Time now, Job& job) override {
-        job_persistence_.finish_job(now, job);
-    }
+    void on_gang_complete(Time now, Job& job) override { job_persistence_.finish_job(now, job); }
 
     // Preempts for what waits, and sends the stops.
     void retry_preemption(Time now);
@@ -147,7 +144,7 @@
     void forget_if_over(const std::string& id);
     void drop_job(const std::string& id);
 
-    // What the classes that it wires ask of it.
+    // Delegates of the classes that it wires.
     bool end_is_durable(const TaskStatus& task) override;
     void on_remote_exit(Time now, const TaskId& task, ExitReason why,
                         const std::string& zone) override;
@@ -185,7 +182,9 @@
     Reconciliation reconciliation_;
     SlotLender lender_;
     SlotBorrower borrower_;
+    TaskLauncher task_launcher_;
     GangScheduler gang_scheduler_;
+    TaskScheduler task_scheduler_;
     InventoryRelay inventory_relay_;
     ShardManager shard_manager_;
     JobPersistence job_persistence_;
--- a/src/core/recovery/failover.h
+++ b/src/core/recovery/failover.h
@@ -1,6 +1,6 @@
 // Takes over a partition after a change of leadership: reads its jobs, completed-task bits and
 // machine registries from the store, follows later changes of jobs by a watch, and decides when
-// everything that earlier leaders may have started is reconciled. See "Takeover" in docs/design.md.
+// everything that earlier leaders may have started is reconciled. See "Failover" in docs/design.md.
 // Times in seconds of this controller's steady clock.
 #pragma once
 
--- a/src/core/recovery/inventory_relay.h
+++ b/src/core/recovery/inventory_relay.h
@@ -4,7 +4,7 @@
 // machines of their shards. While the controllers cannot call each other, each leader that owns
 // shards posts its inventory to the store, and the new leader reads it there. Without the relay an
 // older task would wait beside idle slots until calls succeed again. See "While peers refuse calls"
-// in docs/shares.md.
+// in docs/sharding.md.
 #pragma once
 
 #include "core/stealing/slot_borrower.h"
--- a/src/core/recovery/reconciliation.h
+++ b/src/core/recovery/reconciliation.h
@@ -4,7 +4,7 @@
 // registry may run some of them, so each is probed at once. A machine is reconciled when it is
 // fenced and has sent its inventory of running tasks, when it has been released, or when its worker
 // lease has expired by the clock. Until then, older tasks that it may be running are not launched
-// anywhere else. See "Takeover" in docs/design.md.
+// anywhere else. See "Failover" in docs/design.md.
 #pragma once
 
 #include <deque>
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -10,7 +10,7 @@
       jobs_(dependencies.jobs), machines_(dependencies.machines), quotas_(dependencies.quotas),
       gangs_(dependencies.gangs), slot_finder_(dependencies.slot_finder),
       queue_(dependencies.queue), lender_(dependencies.lender), borrower_(dependencies.borrower),
-      requests_(dependencies.requests), delegate_(delegate) {}
+      launcher_(dependencies.launcher), requests_(dependencies.requests), delegate_(delegate) {}
 
 GangScheduler::Members GangScheduler::waiting_members(const Job& job) {
     return {job.waiting.begin(), job.waiting.end()};
@@ -93,7 +93,7 @@
         gangs_.begin(now, job.spec.id, attempt);
     }
     for (std::size_t i = 0; i < members.size(); ++i) {
-        delegate_.launch_on(now, *machines_.find(plan.machines[i]), job, members[i], attempt);
+        launcher_.launch(now, *machines_.find(plan.machines[i]), job, members[i], attempt);
     }
 }
 
--- a/src/core/scheduling/gang_scheduler.h
+++ b/src/core/scheduling/gang_scheduler.h
@@ -4,6 +4,7 @@
 #pragma once
 
 #include "core/scheduling/slot_finder.h"
+#include "core/scheduling/task_launcher.h"
 #include "core/stealing/slot_borrower.h"
 #include "core/stealing/slot_lender.h"
 
@@ -32,9 +33,6 @@
         virtual bool has_schedulable_tasks(Time now, const Job& job) const = 0;
         // All tasks of older jobs are accounted for.
         virtual bool reconciled() const = 0;
-        // Starts one task of the attempt on one of our machines.
-        virtual void launch_on(Time now, Machine& machine, Job& job, std::uint32_t task,
-                               std::uint64_t attempt) = 0;
         // A start that was queued for the machine never goes out.
         virtual void on_task_removed(Time now, const std::string& machine,
                                      const HeartbeatResult::RemovedTask& removed) = 0;
@@ -52,6 +50,7 @@
         PendingQueue& queue;
         SlotLender& lender;
         SlotBorrower& borrower;
+        TaskLauncher& launcher;
         OutboundRequests& requests;
     };
     GangScheduler(const Dependencies& dependencies, Delegate& delegate);
@@ -69,7 +68,7 @@
     void on_grants(Time now, int partition, const std::vector<SlotGrant>& grants);
 
     // Stops all tasks of the gang's attempt. `saves`: they are given the time to save.
-    void end_attempt(Time now, const std::string& job, bool saves);
+    void end_attempt(Time now, const std::string& id, bool saves);
     // Another task of the gang is known gone.
     void on_task_gone(Time now, Job& job, ExitReason reason);
     // What the inventory of one of our machines means for gangs.
@@ -119,6 +118,7 @@
     PendingQueue& queue_;
     SlotLender& lender_;
     SlotBorrower& borrower_;
+    TaskLauncher& launcher_;
     OutboundRequests& requests_;
     Delegate& delegate_;
     std::optional<GangReservation> reservation_;
--- a/src/core/scheduling/preemptor.cpp
+++ b/src/core/scheduling/preemptor.cpp
@@ -175,7 +175,7 @@
 
 // The plan that loses least run time: for a gang, one for all of its tasks or none.
 std::optional<Preemptor::Plan> Preemptor::cheapest_plan(const Demand& demand,
-                                                        OptionsByZone by_zone) {
+                                                        OptionsByZone&& by_zone) {
     std::optional<Plan> best;
     bool whole = demand.spec.kind == JobKind::gang;
     for (auto& [zone, options] : by_zone) {
--- a/src/core/scheduling/preemptor.h
+++ b/src/core/scheduling/preemptor.h
@@ -56,7 +56,7 @@
     bool preempt_for(Time now, const Demand& demand);
     bool is_eligible(const Machine& machine, const Demand& demand) const;
     OptionsByZone options_by_zone(Time now, const Demand& demand);
-    static std::optional<Plan> cheapest_plan(const Demand& demand, OptionsByZone by_zone);
+    static std::optional<Plan> cheapest_plan(const Demand& demand, OptionsByZone&& by_zone);
     std::size_t stop_victims(Time now, const JobSpec& spec, const Plan& plan);
 
     const ClusterSettings& settings_;
--- /dev/null
+++ b/src/core/scheduling/task_launcher.h
@@ -0,0 +1,30 @@
+// Starts tasks on machines of the partition, and keeps the slot lists in step with the machines.
+#pragma once
+
+#include "core/scheduling/slot_finder.h"
+#include "core/stealing/slot_lender.h"
+
+namespace scheduler {
+
+class TaskLauncher {
+  public:
+    TaskLauncher(JobStore& jobs, MachineTable& machines, SlotLists& slots, QuotaLedger& quotas,
+                 const SlotFinder& slot_finder, SlotLender& lender)
+        : jobs_(jobs), machines_(machines), slots_(slots), quotas_(quotas),
+          slot_finder_(slot_finder), lender_(lender) {}
+
+    // Queues the start of the task on the machine, which must have the slots.
+    void launch(Time now, Machine& machine, Job& job, std::uint32_t index, std::uint64_t attempt);
+    // What the machine has free, or whether it takes tasks, may have changed.
+    void update_slot_lists(Machine& machine);
+
+  private:
+    JobStore& jobs_;
+    MachineTable& machines_;
+    SlotLists& slots_;
+    QuotaLedger& quotas_;
+    const SlotFinder& slot_finder_;
+    SlotLender& lender_;
+};
+
+} // namespace scheduler
--- /dev/null
+++ b/src/core/scheduling/task_scheduler.cpp
@@ -0,0 +1,195 @@
+#include "core/scheduling/task_scheduler.h"
+
+#include <algorithm>
+
+namespace scheduler {
+
+namespace {
+constexpr double kMinFetchGbPerS = 1e-3; // keeps the time to fetch finite
+} // namespace
+
+TaskScheduler::TaskScheduler(const Dependencies& dependencies, const Delegate& delegate)
+    : leadership_(dependencies.leadership), policy_(dependencies.policy),
+      machines_(dependencies.machines), quotas_(dependencies.quotas), slots_(dependencies.slots),
+      slot_finder_(dependencies.slot_finder), queue_(dependencies.queue),
+      lender_(dependencies.lender), gang_scheduler_(dependencies.gang_scheduler),
+      launcher_(dependencies.launcher), delegate_(delegate) {}
+
+void TaskScheduler::schedule(Time now) {
+    if (slots_.empty()) {
+        return;
+    }
+    queue_.invalidate();
+    // Each job on its own kind of machine first. What is left of the on-demand ones then serves
+    // the jobs that may use spot machines as well: were they let in by rank, jobs that have
+    // nowhere else to go would stand behind them.
+    fill_slots(now, true, true);
+    fill_slots(now, false, false);
+    fill_slots(now, false, true);
+}
+
+void TaskScheduler::fill_slots(Time now, bool spot, bool spot_jobs) {
+    std::set<Shape> full;
+    for (const PendingJob& candidate : queue_.ordered(now)) {
+        if (candidate.spot != spot_jobs) {
+            continue;
+        }
+        if (candidate.slot_request) {
+            fill_request(now, spot, candidate, full);
+        } else if (candidate.job->spec.kind == JobKind::gang) {
+            gang_scheduler_.schedule(now, spot, *candidate.job);
+        } else {
+            fill_job(now, spot, candidate, full);
+        }
+    }
+}
+
+// Lends slots to another partition. `full`: shapes that there are no slots for.
+void TaskScheduler::fill_request(Time now, bool spot, const PendingJob& candidate,
+                                 const std::set<Shape>& full) {
+    SlotRequest& request = *candidate.slot_request;
+    if (candidate.kind == JobKind::gang) {
+        gang_scheduler_.lend_slots(now, spot, candidate.borrower, request);
+    } else if (!full.contains({request.cpus, request.gpus, request.ram_gb})) {
+        lend_slots(now, spot, candidate.borrower, request);
+    }
+}
+
+// Starts tasks of our own job. `full`: shapes that there are no slots for, to which its own is
+// added if that shows here.
+void TaskScheduler::fill_job(Time now, bool spot, const PendingJob& candidate,
+                             std::set<Shape>& full) {
+    Job& job = *candidate.job;
+    const JobSpec& spec = job.spec;
+    bool plain = !spec.types && !spec.zone && !spec.one_zone && !spec.spread;
+    Shape shape{spec.cpus, spec.gpus, spec.ram_gb};
+    if (plain && full.contains(shape)) {
+        return; // no slot for its like a moment ago, so none now
+    }
+    while (!job.waiting.empty() && !candidate.first_task_placed() &&
+           quotas_.fits(spec.team, spec.cpus, spec.gpus)) {
+        if (!schedule_task(now, spot, job, job.waiting.first())) {
+            if (plain) {
+                full.insert(shape);
+            }
+            return;
+        }
+    }
+}
+
+bool TaskScheduler::schedule_task(Time now, bool spot, Job& job, std::uint32_t index) {
+    TaskId task{job.spec.id, index};
+    const std::string* found =
+        slot_finder_.find({.spot = spot, .spec = job.spec, .task = &task, .job = &job});
+    if (!found) {
+        return false;
+    }
+    launcher_.launch(now, *machines_.find(*found), job, index,
+                     leadership_.next_attempt(leadership_.partition(), false));
+    return true;
+}
+
+// Takes slots off our lists for tasks of another partition.
+void TaskScheduler::lend_slots(Time now, bool spot, int borrower, SlotRequest& request) {
+    JobSpec shape = requested_resources(request);
+    while (request.count > 0 && lender_.slots_left(borrower) > 0) {
+        const std::string* found = slot_finder_.find({.spot = spot, .spec = shape});
+        if (!found) {
+            return;
+        }
+        lender_.lend(now, *machines_.find(*found), borrower, request);
+    }
+}
+
+bool TaskScheduler::fits_request(const Machine& machine, const PendingJob& candidate) const {
+    const SlotRequest& request = *candidate.slot_request;
+    return request.count > 0 && lender_.slots_left(candidate.borrower) > 0 &&
+           machine.available_to(request.job) && request.cpus <= machine.free_cpus() &&
+           request.ram_gb <= machine.free_ram() && request.gpus <= machine.free_gpus() &&
+           (!request.types || std::find(request.types->begin(), request.types->end(),
+                                        machine.type.name) != request.types->end()) &&
+           (!request.zone || *request.zone == machine.zone);
+}
+
+// Can the slots of this machine serve the candidate now?
+bool TaskScheduler::fits_machine(Time now, const Machine& machine,
+                                 const PendingJob& candidate) const {
+    if (candidate.slot_request) {
+        return fits_request(machine, candidate);
+    }
+    const JobSpec& spec = candidate.job->spec;
+    return delegate_.has_schedulable_tasks(now, *candidate.job) && !candidate.first_task_placed() &&
+           machine.available_to(spec.id) && spec.cpus <= machine.free_cpus() &&
+           spec.ram_gb <= machine.free_ram() && spec.gpus <= machine.free_gpus() &&
+           quotas_.fits(spec.team, spec.cpus, spec.gpus) && spec.allows_type(machine.type.name) &&
+           candidate.job->allows_zone(machine.zone) &&
+           !machine.reports_exited({spec.id, candidate.job->waiting.first()});
+}
+
+// Of the candidates of the same rank, one whose image the machine has goes before one due a little
+// earlier whose image it would have to fetch: while it is fetched, the slots stand idle.
+const PendingJob* TaskScheduler::best_for(Time now, const Machine& machine, bool spot_jobs,
+                                          const std::vector<PendingJob>& order,
+                                          const Candidates& lacking) {
+    const PendingJob* best = nullptr;
+    Time best_due = 0;
+    for (const PendingJob& candidate : order) {
+        ++effort_;
+        if (best && (!candidate.same_rank(*best) || candidate.due >= best_due)) {
+            break; // no warm image makes up for that
+        }
+        if (candidate.spot != spot_jobs || lacking.contains(&candidate) ||
+            !fits_machine(now, machine, candidate)) {
+            continue;
+        }
+        double fetch_s =
+            machine.has_image(candidate.image())
+                ? 0
+                : candidate.image_gb() / std::max(kMinFetchGbPerS, machine.type.fetch_gb_per_s);
+        Time due = candidate.due + policy_.warm_image_patience * fetch_s;
+        if (!best || due < best_due) {
+            best = &candidate;
+            best_due = due;
+        }
+    }
+    return best;
+}
+
+void TaskScheduler::schedule_on(Time now, Machine& machine) {
+    if (!slot_finder_.is_schedulable(machine) || machine.command_in_flight != 0) {
+        return;
+    }
+    const std::vector<PendingJob>& order = queue_.ordered(now);
+    Candidates lacking; // gangs for which this machine is not enough
+    // On-demand machines serve first what may use nothing else.
+    for (bool spot_jobs : {false, true}) {
+        if (machine.spot && !spot_jobs) {
+            continue;
+        }
+        while (const PendingJob* candidate = best_for(now, machine, spot_jobs, order, lacking)) {
+            if (!place_on(now, machine, *candidate)) {
+                lacking.insert(candidate);
+            }
+        }
+    }
+}
+
+// Gives slots of the machine to the candidate; to a gang also slots of others. False: it is a gang
+// and there were not enough.
+bool TaskScheduler::place_on(Time now, Machine& machine, const PendingJob& candidate) {
+    if (candidate.kind == JobKind::gang) {
+        return candidate.slot_request
+                   ? gang_scheduler_.lend_slots(now, machine.spot, candidate.borrower,
+                                                *candidate.slot_request)
+                   : gang_scheduler_.schedule(now, machine.spot, *candidate.job);
+    }
+    if (candidate.slot_request) {
+        lender_.lend(now, machine, candidate.borrower, *candidate.slot_request);
+    } else {
+        launcher_.launch(now, machine, *candidate.job, candidate.job->waiting.first(),
+                         leadership_.next_attempt(leadership_.partition(), false));
+    }
+    return true;
+}
+
+} // namespace scheduler
--- a/src/core/sharding/owned_shards.h
+++ b/src/core/sharding/owned_shards.h
@@ -1,5 +1,5 @@
 // The shards of machines that a partition owns, each with its term, from when to when. This class
-// is the only writer of that state. See docs/shares.md, "The argument for each rule", 1.
+// is the only writer of that state. See docs/sharding.md, "The argument for each rule", 1.
 #pragma once
 
 #include "core/leadership/leadership.h"
--- a/src/core/sharding/shard_balancer.h
+++ b/src/core/sharding/shard_balancer.h
@@ -1,5 +1,5 @@
 // Decides when a shard of machines is to migrate, and to which partition: a pure function of what
-// partition leaders tell each other. See "When to move" in docs/shares.md.
+// partition leaders tell each other. See "When to migrate" in docs/sharding.md.
 #pragma once
 
 #include "core/model/shards.h"
--- a/src/core/sharding/shard_manager.h
+++ b/src/core/sharding/shard_manager.h
@@ -1,5 +1,5 @@
 // The shards of machines of a partition as they migrate in and out: what follows for the
-// partition's tables, and when one is to migrate out. See docs/shares.md.
+// partition's tables, and when one is to migrate out. See docs/sharding.md.
 #pragma once
 
 #include "core/machines/machine_registry.h"
--- a/src/core/sharding/shard_migration.h
+++ b/src/core/sharding/shard_migration.h
@@ -1,5 +1,5 @@
 // Migrates a shard of machines to another partition while jobs run: one shard at a time, by one
-// transaction. See "A move" in docs/shares.md for the steps and the argument.
+// transaction. See "A migration" in docs/sharding.md for the steps and the argument.
 #pragma once
 
 #include "core/sharding/owned_shards.h"
--- a/src/scale/main.cpp
+++ b/src/scale/main.cpp
@@ -14,7 +14,7 @@
 std::string default_daemon() {
     std::error_code error;
     auto self = std::filesystem::read_symlink("/proc/self/exe", error);
-    return (self.parent_path() / "orchidlanding").string();
+    return (self.parent_path() / "cluster-scheduler").string();
 }
 
 void add_load_options(CLI::App& command, Options& options) {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -23,7 +23,7 @@
 inline constexpr char kLeaseExtensionPath[] = "/promise";
 inline constexpr char kCancellationsPath[] = "/cancelled";
 inline constexpr char kQuotaStatusPath[] = "/config";
-inline constexpr std::size_t kBodyLimit = 64 * 1024;
+inline constexpr std::size_t kBodyLimit = std::size_t{64} * 1024;
 inline constexpr char kContentType[] = "application/msgpack";
 
 JobSpec parse_job(const std::string& body);
--- a/tests/borrowing_test.cpp
+++ b/tests/borrowing_test.cpp
@@ -1,5 +1,5 @@
 // What the owner of jobs may conclude from whose listing: the steps 3 and 4 of the argument in
-// docs/shares.md, with scripted holders of shares.
+// docs/sharding.md, with scripted holders of shares.
 #include <gtest/gtest.h>
 
 #include "core/model/partition_assignment.h"
--- a/tests/config_command_test.sh
+++ b/tests/config_command_test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# `orchidlanding config` against real controllers and the scale run's state service: what is written, refused and shown.
+# `cluster-scheduler config` against real controllers and the scale run's state service: what is written, refused and shown.
 set -u
 daemon=$1
 run=$2
--- a/tests/meeting_rows_test.cpp
+++ b/tests/meeting_rows_test.cpp
@@ -492,7 +492,7 @@
 class MeetingRows : public testing::TestWithParam<int> {};
 
 // In CI each row is played at each instant, with another one that ends each time; all crossings
-// with ORCHIDLANDING_SEEDS.
+// with SCHEDULER_SEEDS.
 TEST_P(MeetingRows, KeepTheRulesAndForgetNobody) {
     const Row& row = rows().at(static_cast<std::size_t>(GetParam()));
     bool all = seeds_asked() > 0;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -32,7 +32,7 @@
 class Daemon {
   public:
     Daemon() : port_(free_port()), settings_(std::filesystem::temp_directory_path()) {
-        settings_ /= "orchidlanding-" + std::to_string(::getpid()) + ".toml";
+        settings_ /= "cluster-scheduler-" + std::to_string(::getpid()) + ".toml";
         std::string here = "127.0.0.1:";
         int nobody = free_port(); // no state service and no cloud
         std::ofstream(settings_)
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -467,7 +467,7 @@
     }
 }
 
-// ORCHIDLANDING_SEEDS asks for all strikes and so many more seeds; without it, each point has a
+// SCHEDULER_SEEDS asks for all strikes and so many more seeds; without it, each point has a
 // part of them.
 class RestartPoints : public testing::TestWithParam<std::size_t> {};
 
--- a/tests/seeds.h
+++ b/tests/seeds.h
@@ -1,5 +1,5 @@
-// Seeds of the randomised tests beyond those of CI: ORCHIDLANDING_SEEDS=200 asks for so many, from
-// ORCHIDLANDING_FIRST_SEED on.
+// Seeds of the randomised tests beyond those of CI: SCHEDULER_SEEDS=200 asks for so many, from
+// SCHEDULER_FIRST_SEED on.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,16 +11,16 @@
 namespace scheduler::test {
 
 inline int seeds_asked() {
-    const char* seeds = std::getenv("ORCHIDLANDING_SEEDS");
+    const char* seeds = std::getenv("SCHEDULER_SEEDS");
     return seeds ? std::atoi(seeds) : 0;
 }
 
 // Skips the test where none are asked for.
 template <class Play> void play_seeds_asked(int usual_first, Play play) {
     if (seeds_asked() == 0) {
-        GTEST_SKIP() << "ORCHIDLANDING_SEEDS is not set";
+        GTEST_SKIP() << "SCHEDULER_SEEDS is not set";
     }
-    const char* from = std::getenv("ORCHIDLANDING_FIRST_SEED");
+    const char* from = std::getenv("SCHEDULER_FIRST_SEED");
     int first = from ? std::atoi(from) : usual_first;
     for (int seed = first; seed < first + seeds_asked(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
--- a/tests/share_test.cpp
+++ b/tests/share_test.cpp
@@ -1,5 +1,5 @@
 // Shares of machines and their moves: the pure parts, a move as its steps, and several machines and
-// failures on the fake clock. See docs/shares.md.
+// failures on the fake clock. See docs/sharding.md.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
