--- a/src/cli/config_command.h
+++ b/src/cli/config_command.h
@@ -20,7 +20,7 @@
 // Exit statuses: 0; 1: it was not done, another change has come or nobody answered; 2: bad use,
 // with the key and the reason on standard error.
 int config_put(const Settings& settings, const ConfigPut& put);
-int config_get(const Settings& settings, const std::string& team);
+int config_get(const Settings& settings, const std::string& name);
 int config_list(const Settings& settings);
 
 } // namespace scheduler::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -22,7 +22,7 @@
 using namespace scheduler;
 
 constexpr char kVersion[] = "0.1.0";
-constexpr std::size_t kStackBytes = 256 * 1024;
+constexpr std::size_t kStackBytes = std::size_t{256} * 1024;
 
 void set_up_process() {
     std::signal(SIGPIPE, SIG_IGN);
@@ -90,6 +90,8 @@
 
 } // namespace
 
+// An exception that reaches main ends the start, as intended.
+// NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
     CLI::App app{"cluster-scheduler, a cluster scheduler for tasks on rented machines"};
     std::string config;
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -2,6 +2,7 @@
 #include "core/autoscaling/autoscaler.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace scheduler {
 
@@ -142,7 +143,7 @@
 // Lists the machines whose names come after this one, page by page.
 void Autoscaler::list_instances_after(std::string after) {
     listing_ = true;
-    requests_.send(ListInstances{after}, [this](Time at, OutboundResponse& response) {
+    requests_.send(ListInstances{std::move(after)}, [this](Time at, OutboundResponse& response) {
         listing_ = false;
         next_list_ = at + settings_.list_lag_s;
         if (response.status != 200) {
--- a/src/core/autoscaling/autoscaler.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -42,7 +42,7 @@
     // once.
     void scale_in(Time now, std::vector<std::string> names);
     // The provisioning leader announces a machine of this partition.
-    void expect_machine(Time now, const ProvisionedMachine& machine);
+    void expect_machine(Time now, const ProvisionedMachine& provisioned);
 
   private:
     static constexpr int kProvisionerPartition = 0; // whose leader provisions for all
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -78,6 +78,7 @@
 CapacityPlanner::cheapest_by_zone(Time now, const std::vector<InstanceType>& types,
                                   bool spot) const {
     std::vector<const InstanceType*> by_price;
+    by_price.reserve(types.size());
     for (const auto& type : types) {
         by_price.push_back(&type);
     }
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -14,7 +14,7 @@
 
 namespace scheduler {
 
-class Controller : StoreLeaseKeeper::Delegate, LeaderElection::Delegate {
+class Controller final : StoreLeaseKeeper::Delegate, LeaderElection::Delegate {
   public:
     Controller(const ClusterSettings& settings, const SchedulingPolicy& policy);
     Controller(const Controller&) = delete;
--- a/src/core/leadership/partition_map.cpp
+++ b/src/core/leadership/partition_map.cpp
@@ -149,6 +149,7 @@
 
 std::vector<StoreCondition> PartitionMap::unchanged_conditions() const {
     std::vector<StoreCondition> all;
+    all.reserve(partitions_.size());
     for (int p = 0; p < count(); ++p) {
         all.push_back({partition_key(p), at(p).version});
     }
--- a/src/core/messaging/instance_type_source.cpp
+++ b/src/core/messaging/instance_type_source.cpp
@@ -23,9 +23,7 @@
         return;
     }
     next_refresh_ = now + (available() ? worker_lease_s_ : heartbeat_interval_s_ / 3);
-    if (available()) {
-        fetch();
-    } else if (!reading_stored_ && !read_stored(now)) {
+    if (available() || (!reading_stored_ && !read_stored(now))) {
         fetch();
     }
 }
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -73,7 +73,7 @@
     // is sent their state.
     void handle_peer_sync(Time now, RequestId request_id, const PeerSyncRequest& request);
     // Tasks done and running of an open job, for display.
-    bool task_counts(const std::string& job, std::uint32_t& done, std::uint32_t& running);
+    bool task_counts(const std::string& id, std::uint32_t& done, std::uint32_t& running);
     bool deposed() const { return leadership_.deposed(); }
     const StalenessBound& staleness() const { return staleness_; }
     // Every cancellation that any controller had seen by then is known here: all peers said so.
@@ -97,11 +97,11 @@
     HeartbeatBody heartbeat_response(Machine& machine, const Heartbeat& heartbeat, bool current);
     void apply_heartbeat(Time now, Machine& machine, const Heartbeat& heartbeat,
                          OutboundRequestId orders) override;
-    void on_task_removed(Time now, const std::string& machine,
+    void on_task_removed(Time now, const std::string& name,
                          const HeartbeatResult::RemovedTask& removed) override;
     bool on_task_gone(Time now, const TaskId& task, ExitReason why, const std::string& zone);
     void adopt_reported(Time now, Machine& machine);
-    void adopt_own(Time now, Machine& machine, const TaskStatus& task);
+    void adopt_own(Time now, Machine& machine, const TaskStatus& status);
     void stop_cancelled(const Heartbeat& heartbeat, std::vector<WorkerCommand>& out) const;
     void add_corrective_commands(Machine& machine, std::vector<WorkerCommand>& out);
     void add_clears(const Machine& machine, std::vector<WorkerCommand>& out);
@@ -145,7 +145,7 @@
     void drop_job(const std::string& id);
 
     // Delegates of the classes that it wires.
-    bool end_is_durable(const TaskStatus& task) override;
+    bool end_is_durable(const TaskStatus& status) override;
     void on_remote_exit(Time now, const TaskId& task, ExitReason why,
                         const std::string& zone) override;
     void on_found_done(Time now, Job& job, std::uint32_t task) override;
@@ -164,11 +164,11 @@
     bool awaits_inventories() const override {
         return failover_.loaded() && !failover_.reconciled();
     }
-    void on_machine_released(Time now, const std::string& machine) override;
+    void on_machine_released(Time now, const std::string& name) override;
     void resume_scheduling(Time now) override;
     bool has_unacked_exits(Time now, const Machine& machine) const override;
     bool heard_from_all_peers() const override { return lender_.heard_from_all(); }
-    void release_machines(Time now, std::vector<std::string> machines) override;
+    void release_machines(Time now, std::vector<std::string> names) override;
 
     const QuotaConfig& quota_config_; // the node's
     std::set<std::string> own_teams_;
--- a/src/core/quotas/quota_config.cpp
+++ b/src/core/quotas/quota_config.cpp
@@ -38,7 +38,9 @@
             return key + "_max: not a number of 0 or more";
         }
         if (m.limit > 0 && m.guarantee > m.limit) {
-            return key + ": above " + key + "_max";
+            std::string reason = key;
+            reason.append(": above ").append(key).append("_max");
+            return reason;
         }
         if (m.limited_by_settings != m.limited_by_change) {
             return key + (m.limited_by_settings
--- a/src/core/recovery/inventory_relay.cpp
+++ b/src/core/recovery/inventory_relay.cpp
@@ -15,7 +15,7 @@
 // Part of the store's value limit that a page fills, as its size is only estimated.
 constexpr double kPageFill = 0.75;
 // Bytes of a transaction, of the 64 KiB that the store allows.
-constexpr std::size_t kMaxTransactionBytes = 48 * 1024;
+constexpr std::size_t kMaxTransactionBytes = std::size_t{48} * 1024;
 constexpr int kBytesPerKib = 1024;
 // Estimated sizes in a page, in bytes.
 constexpr std::size_t kTaskBytes = 64; // without its strings
--- a/src/core/sharding/shard_manager.cpp
+++ b/src/core/sharding/shard_manager.cpp
@@ -175,6 +175,7 @@
         }
     }
     std::vector<ShardLoad> loads;
+    loads.reserve(by_shard.size());
     for (const auto& [id, load] : by_shard) {
         loads.push_back(load);
     }
