--- a/src/core/autoscaling/capacity_planner.h
+++ b/src/core/autoscaling/capacity_planner.h
@@ -6,7 +6,7 @@
 
 #include "core/machines/machine_table.h"
 #include "core/machines/slot_lists.h"
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 
 namespace scheduler {
 
--- a/src/core/machines/machine_table.cpp
+++ b/src/core/machines/machine_table.cpp
@@ -8,6 +8,7 @@
 namespace scheduler {
 
 namespace {
+constexpr double kMinFetchGbPerS = 1e-3; // keeps the time to fetch finite
 // Reported tasks that were placed by this leader, by their status in the heartbeat.
 using ReportedTasks = std::map<TaskId, const TaskStatus*>;
 
@@ -133,6 +134,10 @@
                        [&](const CachedImage& cached) { return cached.name == image; });
 }
 
+double Machine::fetch_s(const std::string& image, double image_gb) const {
+    return has_image(image) ? 0 : image_gb / std::max(kMinFetchGbPerS, type.fetch_gb_per_s);
+}
+
 bool Machine::has_unknown_resources() const {
     return std::any_of(tasks.begin(), tasks.end(),
                        [](const auto& entry) { return entry.second.resources_unknown; });
--- a/src/core/machines/machine_table.h
+++ b/src/core/machines/machine_table.h
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "core/leadership/leadership_lease.h"
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 #include "core/model/shards.h"
 
 namespace scheduler {
@@ -116,6 +116,8 @@
     double free_ram() const;
     double free_slots() const { return type.gpus > 0 ? free_gpus() : free_cpus(); }
     bool has_image(const std::string& image) const;
+    // Seconds until the image could be used here: 0 if the machine has it.
+    double fetch_s(const std::string& image, double image_gb) const;
     // Does a task run here that was not placed by this leader?
     bool has_unexpected() const;
     bool has_unknown_resources() const;
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -516,7 +516,7 @@
     borrower_.sync_due_peers(now);
 }
 
-// ---- What the parts of this owner ask of it ----
+// ---- Delegates of the classes that it wires ----
 
 void PartitionLeader::on_remote_exit(Time now, const TaskId& task, ExitReason why,
                                      const std::string& zone) {
@@ -603,8 +603,8 @@
     send_commands(now);
 }
 
-// A task that ended here would be run again if the machine went before its job's owner has heard of
-// the end, which takes no longer than a call or two. A silent machine is not waited for.
+// A task that ended here would be run again if the machine went before its job's leader has heard
+// of the end, which takes no longer than a peer sync or two. A silent machine is not waited for.
 bool PartitionLeader::has_unacked_exits(Time now, const Machine& machine) const {
     return machine.reporting && now - machine.last_heartbeat < 2 * settings_.heartbeat_interval_s &&
            machine.empty() && lender_.has_unacked_exits(machine);
@@ -719,7 +719,7 @@
 
 // ---- Figures ----
 
-// Where this part's slots are, and what waits: one line now and then.
+// Where this partition's slots are, and what is pending: a line every few heartbeats.
 void PartitionLeader::log_stats(Time now) {
     double total = 0;
     double running = 0;
--- a/src/core/scheduling/gang_tracker.h
+++ b/src/core/scheduling/gang_tracker.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "core/jobs/job_store.h"
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 #include "core/quotas/quota_ledger.h"
 
 namespace scheduler {
--- a/src/core/scheduling/pending_queue.h
+++ b/src/core/scheduling/pending_queue.h
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "core/jobs/job_store.h"
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 #include "core/quotas/quota_ledger.h"
 
 namespace scheduler {
--- a/src/core/scheduling/preemptor.cpp
+++ b/src/core/scheduling/preemptor.cpp
@@ -8,7 +8,6 @@
 namespace scheduler {
 
 namespace {
-constexpr double kMinFetchGbPerS = 1e-3; // keeps the time to fetch finite
 
 struct Victim { // a task that may be stopped; in the order in which they are
     double run_s = 0;
@@ -60,9 +59,7 @@
 std::vector<PreemptionOption> options_on(Machine& machine, const JobSpec& spec,
                                          const std::vector<Victim>& victims, std::size_t most) {
     Resources free{machine.free_cpus(), machine.free_gpus(), machine.free_ram()};
-    double fetch_s = machine.has_image(spec.image)
-                         ? 0
-                         : spec.image_gb / std::max(kMinFetchGbPerS, machine.type.fetch_gb_per_s);
+    double fetch_s = machine.fetch_s(spec.image, spec.image_gb);
     std::vector<PreemptionOption> options;
     PreemptionOption option{fetch_s, &machine, {}};
     auto next = victims.begin();
--- a/src/core/scheduling/task_scheduler.cpp
+++ b/src/core/scheduling/task_scheduler.cpp
@@ -4,10 +4,6 @@
 
 namespace scheduler {
 
-namespace {
-constexpr double kMinFetchGbPerS = 1e-3; // keeps the time to fetch finite
-} // namespace
-
 TaskScheduler::TaskScheduler(const Dependencies& dependencies, const Delegate& delegate)
     : leadership_(dependencies.leadership), policy_(dependencies.policy),
       machines_(dependencies.machines), quotas_(dependencies.quotas), slots_(dependencies.slots),
@@ -142,10 +138,7 @@
             !fits_machine(now, machine, candidate)) {
             continue;
         }
-        double fetch_s =
-            machine.has_image(candidate.image())
-                ? 0
-                : candidate.image_gb() / std::max(kMinFetchGbPerS, machine.type.fetch_gb_per_s);
+        double fetch_s = machine.fetch_s(candidate.image(), candidate.image_gb());
         Time due = candidate.due + policy_.warm_image_patience * fetch_s;
         if (!best || due < best_due) {
             best = &candidate;
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 #include "net/thread_pool.h"
 
 namespace scheduler::net {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -4,7 +4,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 
 namespace scheduler::wire {
 
--- a/tests/simulation/call_router.h
+++ b/tests/simulation/call_router.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <string>
 
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 #include "simulation/cloud_model.h"
 #include "simulation/controller_model.h"
 #include "simulation/event_queue.h"
--- a/tests/simulation/call_transport.h
+++ b/tests/simulation/call_transport.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 #include "simulation/call_router.h"
 #include "simulation/controller_model.h"
 #include "simulation/event_queue.h"
--- a/tests/simulation/judge.h
+++ b/tests/simulation/judge.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 
 namespace scheduler::test {
 
--- a/tests/simulation/pending_requests.h
+++ b/tests/simulation/pending_requests.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <optional>
 
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 
 namespace scheduler::test {
 
--- a/tests/simulation/reply_channel.h
+++ b/tests/simulation/reply_channel.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 #include "simulation/controller_model.h"
 #include "simulation/event_queue.h"
 #include "simulation/network_model.h"
--- a/tests/simulation/report_sender.h
+++ b/tests/simulation/report_sender.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 #include "simulation/controller_model.h"
 #include "simulation/event_queue.h"
 #include "simulation/network_model.h"
--- a/tests/simulation/user_model.h
+++ b/tests/simulation/user_model.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 #include "simulation/controller_model.h"
 #include "simulation/event_queue.h"
 #include "simulation/judge.h"
--- a/tests/simulation/worker_model.h
+++ b/tests/simulation/worker_model.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/model/messages.h"
+#include "core/messaging/messages.h"
 #include "simulation/event_queue.h"
 #include "simulation/gang_model.h"
 #include "simulation/judge.h"
