--- a/src/core/task_set.h
+++ b/src/core/task_set.h
@@ -4,7 +4,7 @@
 
 #include <roaring/roaring.hh>
 
-namespace orchidlanding {
+namespace scheduler {
 
 class TaskSet {
   public:
@@ -26,4 +26,4 @@
     std::size_t size_ = 0; // the bitmap would count it anew each time
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/team_config.cpp
+++ b/src/core/team_config.cpp
@@ -5,14 +5,14 @@
 
 #include "core/freshness.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr double kAgain = 1.0 / 6; // report times after a read or watch that failed
 constexpr std::size_t kLongestName = 180;
 } // namespace
 
-std::string team_fault(const TeamFacts& settings, const TeamFacts& changed) {
+std::string invalid_quota_reason(const TeamQuota& settings, const TeamQuota& changed) {
     struct Measure {
         const char* key;
         double guarantee;
@@ -26,10 +26,10 @@
     if (!name) {
         return "team: its name cannot be part of a key";
     }
-    for (const Measure& m : {Measure{"cpus", changed.cpus, changed.cpus_max, settings.states_cpus(),
-                                     changed.states_cpus()},
-                             Measure{"gpus", changed.gpus, changed.gpus_max, settings.states_gpus(),
-                                     changed.states_gpus()}}) {
+    for (const Measure& m : {Measure{"cpus", changed.guaranteed_cpus, changed.max_cpus,
+                                     settings.limits_cpus(), changed.limits_cpus()},
+                             Measure{"gpus", changed.guaranteed_gpus, changed.max_gpus,
+                                     settings.limits_gpus(), changed.limits_gpus()}}) {
         std::string key = m.key;
         if (!std::isfinite(m.guarantee) || m.guarantee < 0) {
             return key + ": not a number of 0 or more";
@@ -49,61 +49,63 @@
     return "";
 }
 
-TeamConfig::TeamConfig(const Facts& facts, Calls& calls, InForce in_force)
-    : calls_(calls), in_force_(std::move(in_force)), bound_s_(Freshness::bound_s(facts)),
-      watch_s_(Freshness::watch_s(facts)), again_s_(kAgain * facts.report_s) {
-    for (const auto& t : facts.teams) {
-        Team& team = teams_[t.name];
-        team.settings = t;
-        team.facts = t;
+QuotaConfig::QuotaConfig(const ClusterSettings& settings, OutboundRequests& requests,
+                         OnEffective in_force)
+    : requests_(requests), on_effective_(std::move(in_force)),
+      bound_s_(StalenessBound::bound_s(settings)), watch_s_(StalenessBound::max_watch_s(settings)),
+      retry_s_(kAgain * settings.heartbeat_interval_s) {
+    for (const auto& quota : settings.teams) {
+        Team& team = quotas_[quota.name];
+        team.settings = quota;
+        team.quota = quota;
     }
 }
 
-bool TeamConfig::known(Time now, Time claimed) const {
-    return complete_to_ >= claimed && now - complete_to_ < bound_s_;
+bool QuotaConfig::is_known(Time now, Time claimed) const {
+    return known_until_ >= claimed && now - known_until_ < bound_s_;
 }
 
-const TeamFacts* TeamConfig::team(const std::string& name) const {
-    auto it = teams_.find(name);
-    return it == teams_.end() ? nullptr : &it->second.facts;
+const TeamQuota* QuotaConfig::team(const std::string& name) const {
+    auto it = quotas_.find(name);
+    return it == quotas_.end() ? nullptr : &it->second.quota;
 }
 
-const TeamFacts* TeamConfig::settings(const std::string& name) const {
-    auto it = teams_.find(name);
-    return it == teams_.end() ? nullptr : &it->second.settings;
+const TeamQuota* QuotaConfig::settings(const std::string& name) const {
+    auto it = quotas_.find(name);
+    return it == quotas_.end() ? nullptr : &it->second.settings;
 }
 
-bool TeamConfig::held(const std::string& name) const {
-    auto it = teams_.find(name);
-    return it != teams_.end() && it->second.held;
+bool QuotaConfig::is_blocked(const std::string& name) const {
+    auto it = quotas_.find(name);
+    return it != quotas_.end() && it->second.blocked;
 }
 
-std::vector<TeamChange> TeamConfig::since(std::uint64_t revision) const {
-    std::vector<TeamChange> out;
-    for (const auto& [name, t] : teams_) {
-        if (t.in_force > revision) {
-            out.push_back({name, t.facts, t.in_force});
+std::vector<QuotaChange> QuotaConfig::changes_since(std::uint64_t revision) const {
+    std::vector<QuotaChange> out;
+    for (const auto& [name, t] : quotas_) {
+        if (t.effective_revision > revision) {
+            out.push_back({name, t.quota, t.effective_revision});
         }
     }
     return out;
 }
 
-TeamStanding TeamConfig::standing(Time now, const std::string& name) const {
-    TeamStanding out;
+QuotaStatus QuotaConfig::status(Time now, const std::string& name) const {
+    QuotaStatus out;
     out.revision = revision_;
-    out.age_s = std::max(0.0, now - complete_to_);
-    if (auto it = teams_.find(name); it != teams_.end()) {
-        out.facts = it->second.facts;
-        out.in_force = it->second.in_force;
-        out.since_s = std::max(0.0, now - it->second.since);
-        out.held = it->second.held;
+    out.age_s = std::max(0.0, now - known_until_);
+    if (auto it = quotas_.find(name); it != quotas_.end()) {
+        out.quota = it->second.quota;
+        out.effective_revision = it->second.effective_revision;
+        out.effective_for_s = std::max(0.0, now - it->second.effective_since);
+        out.blocked = it->second.blocked;
     }
     return out;
 }
 
-void TeamConfig::take(Time now, const TeamChange& change) {
-    auto it = teams_.find(change.team);
-    if (it == teams_.end()) {
+void QuotaConfig::apply(Time now, const QuotaChange& change) {
+    auto it = quotas_.find(change.team);
+    if (it == quotas_.end()) {
         return; // no team of our settings: those are the ones that may change
     }
     Team& t = it->second;
@@ -111,141 +113,144 @@
         return;
     }
     t.revision = change.revision;
-    std::string fault =
-        change.facts ? team_fault(t.settings, *change.facts) : std::string("cannot be read");
+    std::string fault = change.quota ? invalid_quota_reason(t.settings, *change.quota)
+                                     : std::string("cannot be read");
     if (!fault.empty()) {
         // The last good one stays in force; where none is known, nothing of the team is started.
-        t.held = t.in_force == 0 && !has_read_;
-        calls_.log(Level::error, "event=unreadable_record key=" + std::string(kTeamConfig) +
-                                     change.team + " why=\"" + fault + "\"");
-        if (t.held) {
-            in_force_(now, t.facts);
+        t.blocked = t.effective_revision == 0 && !loaded_;
+        requests_.log(LogLevel::error,
+                      "event=record_unreadable key=" + std::string(kQuotaConfigPrefix) +
+                          change.team + " reason=\"" + fault + "\"");
+        if (t.blocked) {
+            on_effective_(now, t.quota);
         }
         return;
     }
-    t.facts = *change.facts;
-    t.facts.name = change.team;
-    t.in_force = change.revision;
-    t.since = now;
-    t.held = false;
-    calls_.log(Level::info, "event=team_configured team=" + change.team +
-                                " revision=" + std::to_string(change.revision) +
-                                " cpus=" + std::to_string(t.facts.cpus) +
-                                " cpus_max=" + std::to_string(t.facts.cpus_max) +
-                                " gpus=" + std::to_string(t.facts.gpus) +
-                                " gpus_max=" + std::to_string(t.facts.gpus_max));
-    in_force_(now, t.facts);
-}
-
-void TeamConfig::take(Time now, const KeyedRecord& item) {
-    TeamChange change;
-    change.team = item.key.substr(sizeof(kTeamConfig) - 1);
+    t.quota = *change.quota;
+    t.quota.name = change.team;
+    t.effective_revision = change.revision;
+    t.effective_since = now;
+    t.blocked = false;
+    requests_.log(LogLevel::info, "event=quota_updated team=" + change.team +
+                                      " revision=" + std::to_string(change.revision) +
+                                      " cpus=" + std::to_string(t.quota.guaranteed_cpus) +
+                                      " cpus_max=" + std::to_string(t.quota.max_cpus) +
+                                      " gpus=" + std::to_string(t.quota.guaranteed_gpus) +
+                                      " gpus_max=" + std::to_string(t.quota.max_gpus));
+    on_effective_(now, t.quota);
+}
+
+void QuotaConfig::apply(Time now, const KeyedRecord& item) {
+    QuotaChange change;
+    change.team = item.key.substr(sizeof(kQuotaConfigPrefix) - 1);
     change.revision = item.version;
-    if (const auto* record = std::get_if<TeamRecord>(&item.record)) {
-        change.facts = record->facts;
+    if (const auto* record = std::get_if<QuotaRecord>(&item.record)) {
+        change.quota = record->quota;
     }
-    take(now, change);
+    apply(now, change);
 }
 
-void TeamConfig::take_items(Time now, const CallReply& reply) {
-    for (const auto& item : reply.items) {
-        take(now, item);
+void QuotaConfig::apply_entries(Time now, const OutboundResponse& response) {
+    for (const auto& item : response.entries) {
+        apply(now, item);
     }
 }
 
 // A key that a read lacks was there no more at its revision: the team is as the settings say.
-void TeamConfig::take_absent(Time now, const CallReply& reply, const std::string& after) {
+void QuotaConfig::apply_absent(Time now, const OutboundResponse& response,
+                               const std::string& after) {
     std::map<std::string, bool> there;
-    for (const auto& item : reply.items) {
+    for (const auto& item : response.entries) {
         there[item.key] = true;
     }
-    for (const auto& [name, t] : teams_) {
-        std::string key = kTeamConfig + name;
-        bool within = key > after && (!reply.more || key <= reply.items.back().key);
-        if (within && !there.contains(key) && t.revision > 0 && t.revision < reply.revision) {
-            take(now, {name, t.settings, reply.revision});
+    for (const auto& [name, t] : quotas_) {
+        std::string key = kQuotaConfigPrefix + name;
+        bool within = key > after && (!response.more || key <= response.entries.back().key);
+        if (within && !there.contains(key) && t.revision > 0 && t.revision < response.revision) {
+            apply(now, {name, t.settings, response.revision});
         }
     }
 }
 
-void TeamConfig::tick(Time now) {
+void QuotaConfig::tick(Time now) {
     if (reading_ || watching_ || now < next_) {
         return;
     }
-    if (read_again_ || !has_read_) {
+    if (reload_requested_ || !loaded_) {
         read(now, "", now);
     } else {
         watch(now);
     }
 }
 
-void TeamConfig::read_anew(Time now) {
-    read_again_ = true;
+void QuotaConfig::reload(Time now) {
+    reload_requested_ = true;
     if (!reading_) {
         read(now, "", now);
     }
 }
 
-void TeamConfig::read(Time now, const std::string& after, Time begun) {
+void QuotaConfig::read(Time now, const std::string& after, Time begun) {
     if (after.empty()) {
-        read_again_ = false;
-    }
-    next_ = now + again_s_;
-    reading_ =
-        calls_.send_state(now, StateBudget::Use::user, Range{kTeamConfig, after},
-                          [this, after, begun](Time at, CallReply& reply) {
-                              reading_ = false;
-                              if (reply.status != 200 || (reply.more && reply.items.empty())) {
-                                  read_again_ = true;
-                                  next_ = at + again_s_;
-                                  return;
-                              }
-                              if (after.empty()) {
-                                  reading_revision_ = reply.revision; // later changes come by watch
-                              }
-                              take_items(at, reply);
-                              take_absent(at, reply, after);
-                              if (reply.more) {
-                                  read(at, reply.items.back().key, begun);
-                                  if (!reading_) { // the budget has none left
-                                      read_again_ = true;
-                                  }
-                                  return;
-                              }
-                              has_read_ = true;
-                              revision_ = std::max(revision_, reading_revision_);
-                              complete(begun);
-                              next_ = at;
-                              tick(at);
-                          });
+        reload_requested_ = false;
+    }
+    next_ = now + retry_s_;
+    reading_ = requests_.send_to_store(
+        now, StoreRateLimiter::Use::user, StoreRange{kQuotaConfigPrefix, after},
+        [this, after, begun](Time at, OutboundResponse& response) {
+            reading_ = false;
+            if (response.status != 200 || (response.more && response.entries.empty())) {
+                reload_requested_ = true;
+                next_ = at + retry_s_;
+                return;
+            }
+            if (after.empty()) {
+                reading_revision_ = response.revision; // later changes come by watch
+            }
+            apply_entries(at, response);
+            apply_absent(at, response, after);
+            if (response.more) {
+                read(at, response.entries.back().key, begun);
+                if (!reading_) { // the budget has none left
+                    reload_requested_ = true;
+                }
+                return;
+            }
+            loaded_ = true;
+            revision_ = std::max(revision_, reading_revision_);
+            advance(begun);
+            next_ = at;
+            tick(at);
+        });
     if (!reading_) {
-        read_again_ = true;
+        reload_requested_ = true;
     }
 }
 
-void TeamConfig::watch(Time now) {
-    next_ = now + again_s_;
-    watching_ = calls_.send_state(
-        now, StateBudget::Use::user, Watch{kTeamConfig, revision_, watch_s_},
-        [this, sent = now](Time at, CallReply& reply) {
+void QuotaConfig::watch(Time now) {
+    next_ = now + retry_s_;
+    watching_ = requests_.send_to_store(
+        now, StoreRateLimiter::Use::user, StoreWatch{kQuotaConfigPrefix, revision_, watch_s_},
+        [this, sent = now](Time at, OutboundResponse& response) {
             watching_ = false;
-            if (reply.status != 200) {
-                read_again_ = true; // what it missed comes at once, not with the end of the next
-                next_ = at + again_s_;
+            if (response.status != 200) {
+                reload_requested_ =
+                    true; // what it missed comes at once, not with the end of the next
+                next_ = at + retry_s_;
                 return;
             }
-            take_items(at, reply);
-            for (const auto& key : reply.deleted) {
-                std::string name = key.substr(sizeof(kTeamConfig) - 1);
-                if (auto it = teams_.find(name); it != teams_.end()) {
-                    take(at, {name, it->second.settings, reply.revision});
+            apply_entries(at, response);
+            for (const auto& key : response.deleted) {
+                std::string name = key.substr(sizeof(kQuotaConfigPrefix) - 1);
+                if (auto it = quotas_.find(name); it != quotas_.end()) {
+                    apply(at, {name, it->second.settings, response.revision});
                 }
             }
-            revision_ = std::max(revision_, reply.revision);
-            complete(sent); // not to when the answer came: it may have waited through a refusal
+            revision_ = std::max(revision_, response.revision);
+            advance(sent); // not to when the answer came: it may have waited through a refusal
             next_ = at;
             tick(at);
         });
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/teams.cpp
+++ b/src/core/teams.cpp
@@ -3,103 +3,105 @@
 #include <algorithm>
 #include <limits>
 
-namespace orchidlanding {
+namespace scheduler {
 
 namespace {
 constexpr double kRounding = 1e-6;
 }
 
-bool TeamFacts::allows(double used_cpus, double used_gpus) const {
-    return (cpus_max <= 0 || used_cpus <= cpus_max + kRounding) &&
-           (gpus_max <= 0 || used_gpus <= gpus_max + kRounding);
+bool TeamQuota::allows(double used_cpus, double used_gpus) const {
+    return (max_cpus <= 0 || used_cpus <= max_cpus + kRounding) &&
+           (max_gpus <= 0 || used_gpus <= max_gpus + kRounding);
 }
 
-bool TeamFacts::guarantees(double used_cpus, double used_gpus) const {
-    return (!states_cpus() || used_cpus <= cpus + kRounding) &&
-           (!states_gpus() || used_gpus <= gpus + kRounding);
+bool TeamQuota::guarantees(double used_cpus, double used_gpus) const {
+    return (!limits_cpus() || used_cpus <= guaranteed_cpus + kRounding) &&
+           (!limits_gpus() || used_gpus <= guaranteed_gpus + kRounding);
 }
 
-double TeamFacts::limit() const {
-    double most = states_gpus() ? gpus_max : cpus_max;
+double TeamQuota::limit() const {
+    double most = limits_gpus() ? max_gpus : max_cpus;
     return most > 0 ? most : std::numeric_limits<double>::infinity();
 }
 
-Teams::Teams(const std::vector<TeamFacts>& facts) {
+QuotaLedger::QuotaLedger(const std::vector<TeamQuota>& facts) {
     for (const auto& f : facts) {
-        teams_[f.name].facts = f;
+        quotas_[f.name].quota = f;
     }
 }
 
-const TeamFacts* Teams::facts(const std::string& team) const {
-    auto it = teams_.find(team);
-    return it == teams_.end() ? nullptr : &it->second.facts;
+const TeamQuota* QuotaLedger::quota(const std::string& team) const {
+    auto it = quotas_.find(team);
+    return it == quotas_.end() ? nullptr : &it->second.quota;
 }
 
-void Teams::configure(const TeamFacts& facts, bool held) {
-    Team& team = teams_[facts.name];
-    team.facts = facts;
-    team.held = held;
+void QuotaLedger::configure(const TeamQuota& quota, bool held) {
+    Team& team = quotas_[quota.name];
+    team.quota = quota;
+    team.blocked = held;
 }
 
-double Teams::guarantees() const {
+double QuotaLedger::total_guarantee() const {
     double sum = 0;
-    for (const auto& [name, t] : teams_) {
-        sum += t.facts.amount(t.facts.cpus, t.facts.gpus);
+    for (const auto& [name, t] : quotas_) {
+        sum += t.quota.amount(t.quota.guaranteed_cpus, t.quota.guaranteed_gpus);
     }
     return sum;
 }
 
-std::pair<double, double> Teams::over(const std::string& team) const {
-    auto it = teams_.find(team);
-    if (it == teams_.end()) {
+std::pair<double, double> QuotaLedger::excess(const std::string& team) const {
+    auto it = quotas_.find(team);
+    if (it == quotas_.end()) {
         return {0, 0};
     }
     const Team& t = it->second;
     auto beyond = [](double used, double most) {
         return most > 0 && used > most + kRounding ? used - most : 0;
     };
-    return {beyond(t.cpus, t.facts.cpus_max), beyond(t.gpus, t.facts.gpus_max)};
+    return {beyond(t.cpus, t.quota.max_cpus), beyond(t.gpus, t.quota.max_gpus)};
 }
 
-std::vector<std::string> Teams::over() const {
+std::vector<std::string> QuotaLedger::excess() const {
     std::vector<std::string> out;
-    for (const auto& [name, t] : teams_) {
-        if (over(name) != std::pair(0.0, 0.0)) {
+    for (const auto& [name, t] : quotas_) {
+        if (excess(name) != std::pair(0.0, 0.0)) {
             out.push_back(name);
         }
     }
     return out;
 }
 
-bool Teams::fits(const std::string& team, double cpus, double gpus) const {
-    auto it = teams_.find(team);
-    if (it == teams_.end() || !known_ || it->second.held) {
+bool QuotaLedger::fits(const std::string& team, double cpus, double gpus) const {
+    auto it = quotas_.find(team);
+    if (it == quotas_.end() || !known_ || it->second.blocked) {
         return false;
     }
     const Team& t = it->second;
-    return t.facts.allows(t.cpus + t.doubtful_cpus + cpus, t.gpus + t.doubtful_gpus + gpus);
+    return t.quota.allows(t.cpus + t.doubtful_cpus + cpus, t.gpus + t.doubtful_gpus + gpus);
 }
 
-bool Teams::within_guarantee(const std::string& team, double cpus, double gpus) const {
-    auto it = teams_.find(team);
-    if (it == teams_.end()) {
+bool QuotaLedger::within_guarantee(const std::string& team, double cpus, double gpus) const {
+    auto it = quotas_.find(team);
+    if (it == quotas_.end()) {
         return false;
     }
     const Team& t = it->second;
-    return t.facts.guarantees(t.cpus + cpus, t.gpus + gpus);
+    return t.quota.guarantees(t.cpus + cpus, t.gpus + gpus);
 }
 
-double Teams::expected(const std::string& team) const {
-    auto it = teams_.find(team);
-    if (it == teams_.end()) {
+double QuotaLedger::entitled_amount(const std::string& team) const {
+    auto it = quotas_.find(team);
+    if (it == quotas_.end()) {
         return 0;
     }
     const Team& t = it->second;
-    return std::max(t.facts.amount(t.cpus, t.gpus), t.facts.amount(t.facts.cpus, t.facts.gpus));
+    return std::max(t.quota.amount(t.cpus, t.gpus),
+                    t.quota.amount(t.quota.guaranteed_cpus, t.quota.guaranteed_gpus));
 }
 
-void Teams::doubt(const std::map<std::string, std::pair<double, double>>& cpus_and_gpus) {
-    for (auto& [name, t] : teams_) {
+void QuotaLedger::set_doubtful(
+    const std::map<std::string, std::pair<double, double>>& cpus_and_gpus) {
+    for (auto& [name, t] : quotas_) {
         auto it = cpus_and_gpus.find(name);
         bool known = it == cpus_and_gpus.end();
         t.doubtful_cpus = known ? 0 : it->second.first;
@@ -107,14 +109,14 @@
     }
 }
 
-void Teams::use(const std::string& team, double cpus, double gpus) {
-    teams_[team].cpus += cpus;
-    teams_[team].gpus += gpus;
+void QuotaLedger::add_usage(const std::string& team, double cpus, double gpus) {
+    quotas_[team].cpus += cpus;
+    quotas_[team].gpus += gpus;
 }
 
-void Teams::free(const std::string& team, double cpus, double gpus) {
-    teams_[team].cpus -= cpus;
-    teams_[team].gpus -= gpus;
+void QuotaLedger::remove_usage(const std::string& team, double cpus, double gpus) {
+    quotas_[team].cpus -= cpus;
+    quotas_[team].gpus -= gpus;
 }
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/teams.h
+++ b/src/core/teams.h
@@ -3,45 +3,45 @@
 
 #include "core/types.h"
 
-namespace orchidlanding {
+namespace scheduler {
 
-class Teams {
+class QuotaLedger {
   public:
-    explicit Teams(const std::vector<TeamFacts>& facts);
+    explicit QuotaLedger(const std::vector<TeamQuota>& facts);
 
-    const TeamFacts* facts(const std::string& team) const;
+    const TeamQuota* quota(const std::string& team) const;
     // Its guarantee and limit from now on. `held`: none is known, nothing of it fits.
-    void configure(const TeamFacts& facts, bool held);
+    void configure(const TeamQuota& quota, bool held);
     // Of all teams, each in its own measure.
-    double guarantees() const;
+    double total_guarantee() const;
     // Whether the limits are known at all: nothing fits while they are not.
-    void know(bool known) { known_ = known; }
+    void set_known(bool known) { known_ = known; }
     // What the team's known tasks use beyond its limit: CPUs and GPUs; 0: nothing. Doubtful ones
     // are left out: all unfinished tasks of older jobs are in doubt after a takeover, far more than
     // ran.
-    std::pair<double, double> over(const std::string& team) const;
+    std::pair<double, double> excess(const std::string& team) const;
     // Teams that use more than their limit.
-    std::vector<std::string> over() const;
+    std::vector<std::string> excess() const;
     bool fits(const std::string& team, double cpus, double gpus) const;
     bool within_guarantee(const std::string& team, double cpus, double gpus) const;
     // What the team can count on, in its own measure: its guarantee, or what it has beyond that.
-    double expected(const std::string& team) const;
+    double entitled_amount(const std::string& team) const;
     // Tasks that may be running somewhere count for the limit until they are accounted for.
-    void doubt(const std::map<std::string, std::pair<double, double>>& cpus_and_gpus);
-    void use(const std::string& team, double cpus, double gpus);
-    void free(const std::string& team, double cpus, double gpus);
+    void set_doubtful(const std::map<std::string, std::pair<double, double>>& cpus_and_gpus);
+    void add_usage(const std::string& team, double cpus, double gpus);
+    void remove_usage(const std::string& team, double cpus, double gpus);
 
   private:
     struct Team {
-        TeamFacts facts;
+        TeamQuota quota;
         double cpus = 0;
         double gpus = 0;
         double doubtful_cpus = 0;
         double doubtful_gpus = 0;
-        bool held = false;
+        bool blocked = false;
     };
-    std::map<std::string, Team> teams_;
+    std::map<std::string, Team> quotas_;
     bool known_ = true;
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-namespace orchidlanding {
+namespace scheduler {
 
 // Seconds of the steady clock.
 using Time = double;
@@ -47,74 +47,84 @@
     }
 };
 
-struct TaskRef {
+struct TaskId {
     std::string job;
     std::uint32_t index = 0;
-    auto operator<=>(const TaskRef&) const = default;
+    auto operator<=>(const TaskId&) const = default;
 };
 
-struct StartId { // see start_id in parts.h
+struct LaunchId { // see start_id in parts.h
     std::uint64_t attempt = 0;
     std::uint32_t index = 0;
-    auto operator<=>(const StartId&) const = default;
+    auto operator<=>(const LaunchId&) const = default;
 };
 
 enum class TaskStage { fetching, waiting, running, saving, exited };
-enum class ExitWhy { none, done, stopped, peers, alone, error, no_room, busy, unknown };
+enum class ExitReason {
+    none,
+    done,
+    stopped,
+    gang_member_lost,
+    gang_incomplete,
+    error,
+    insufficient_capacity,
+    busy,
+    unknown
+};
 
-struct ListedTask {
-    TaskRef task;
+struct TaskStatus {
+    TaskId task;
     std::uint64_t attempt = 0;
     TaskStage stage = TaskStage::running;
-    ExitWhy why = ExitWhy::none;
+    ExitReason exit_reason = ExitReason::none;
 };
 
-struct Report {
+struct Heartbeat {
     std::string machine;
     std::string endpoint;
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint64_t session = 0;
-    std::uint64_t tick = 0;
-    std::uint64_t token = 0;
-    std::optional<double> notice_s;
-    std::vector<ListedTask> tasks;
+    std::uint64_t agent_epoch = 0;
+    std::uint64_t sequence = 0;
+    std::uint64_t fencing_token = 0;
+    std::optional<double> preemption_notice_s;
+    std::vector<TaskStatus> tasks;
 };
 
-enum class Op { start, stop, clear };
+enum class CommandType { start, stop, clear };
 
-struct Command {
-    Op op = Op::start;
-    TaskRef task;
+struct WorkerCommand {
+    CommandType type = CommandType::start;
+    TaskId task;
     std::uint64_t attempt = 0;
     double grace_s = 0;
 };
 
 // A share of machines, see shares.h.
-struct ShareId {
-    int home = 0; // the part that holds it where there is no map
+struct ShardId {
+    int home_partition = 0; // the part that holds it where there is no map
     int number = 0;
-    auto operator<=>(const ShareId&) const = default;
+    auto operator<=>(const ShardId&) const = default;
 };
 
 // What the holder of a share says of a machine's task to the owner of its job, and of the share.
-struct HeldTask {
-    ListedTask listed;
+struct RemoteTaskStatus {
+    TaskStatus status;
     std::string machine;
     std::string zone;
-    bool shape_unknown = false;
-    bool draining = false; // its machine is to go ...
-    bool notice = false;   // ... and the cloud has said so
+    bool resources_unknown = false;
+    bool draining = false;          // its machine is to go ...
+    bool preemption_notice = false; // ... and the cloud has said so
 };
-struct ShareListing { // what a reply says of a share that its sender holds
-    ShareId share;
+struct ShardInventory { // what a reply says of a share that its sender holds
+    ShardId shard;
     std::uint64_t term = 0;
-    bool accounted = false; // each of its machines is
-    bool whole = false;     // all of them are listed, not only those of `machines`
+    bool reconciled = false; // each of its machines is
+    bool complete = false;   // all of them are listed, not only those of `machines`
 };
 
-struct MachineType {
+struct InstanceType {
     std::string name;
     double cpus = 0;
     double gpus = 0;
@@ -132,15 +142,15 @@
     double price_of(bool spot_kind) const { return spot_kind ? spot_price : price; }
 };
 
-enum class HostStage { booting, running, failed };
+enum class InstanceState { booting, running, failed };
 
-struct Host {
+struct Instance {
     std::string name;
     std::string endpoint;
     std::string type;
     std::string zone;
     bool spot = false;
-    HostStage stage = HostStage::booting;
+    InstanceState state = InstanceState::booting;
     double age_s = 0;
 };
 
@@ -152,11 +162,11 @@
 struct ProgressRecord { // done/<id>/<chunk>
     std::vector<bool> done;
 };
-struct PartRecord { // part/<p>, and part/<p>/home
+struct PartitionRecord { // part/<p>, and part/<p>/home
     std::string node;
-    bool knows_shares = false; // the owner follows the map of shares
+    bool supports_sharding = false; // the owner follows the map of shares
 };
-struct ShareRecord { // part/<home>/shares: see shares.h
+struct ShardHoldersRecord { // part/<home>/shares: see shares.h
     std::vector<int> holders;
 };
 struct MachineRecord { // machine/<part>/<name>
@@ -166,70 +176,71 @@
     bool spot = false;
 };
 struct CatalogRecord { // catalog: as the cloud last gave it, for a start while the cloud is down
-    std::vector<MachineType> types;
+    std::vector<InstanceType> types;
 };
 // account/<part>/<holder>/<page>: what a holder of shares lists for a new owner of the part who
 // does not reach it, see postbox.h. Pages of one listing have the same terms and version.
-struct AccountRecord {
+struct InventoryRecord {
     std::uint64_t for_term = 0; // of the claim that it is for
     std::uint64_t term = 0;     // of the holder's claim
     std::uint64_t version = 0;  // of its listing
     std::uint32_t pages = 0;
-    std::vector<ShareListing> shares;
-    std::vector<HeldTask> held;
-    std::vector<StartId> open;
+    std::vector<ShardInventory> shards;
+    std::vector<RemoteTaskStatus> tasks;
+    std::vector<LaunchId> pending_launches;
 };
-struct TeamFacts {
+struct TeamQuota {
     std::string name;
-    double cpus = 0;
-    double cpus_max = 0;
-    double gpus = 0;
-    double gpus_max = 0;
+    double guaranteed_cpus = 0;
+    double max_cpus = 0;
+    double guaranteed_gpus = 0;
+    double max_gpus = 0;
 
     // A 0 in the settings means none: what a team states neither of is not its measure, and a limit
     // of 0 is no limit.
-    bool states_cpus() const { return cpus > 0 || cpus_max > 0; }
-    bool states_gpus() const { return gpus > 0 || gpus_max > 0; }
+    bool limits_cpus() const { return guaranteed_cpus > 0 || max_cpus > 0; }
+    bool limits_gpus() const { return guaranteed_gpus > 0 || max_gpus > 0; }
     bool allows(double used_cpus, double used_gpus) const;
     bool guarantees(double used_cpus, double used_gpus) const;
     // What the team's work is reckoned in: GPUs where it states some, else CPUs.
     double amount(double of_cpus, double of_gpus) const {
-        return states_gpus() ? of_gpus : of_cpus;
+        return limits_gpus() ? of_gpus : of_cpus;
     }
     double limit() const; // of that amount
 };
 
-struct TeamRecord { // config/team/<name>; the team's name is the key's
-    TeamFacts facts;
+struct QuotaRecord { // config/team/<name>; the team's name is the key's
+    TeamQuota quota;
 };
-struct Unreadable {};
-using Record = std::variant<Unreadable, JobRecord, ProgressRecord, PartRecord, ShareRecord,
-                            MachineRecord, CatalogRecord, AccountRecord, TeamRecord>;
+struct UnreadableRecord {};
+using StoredRecord =
+    std::variant<UnreadableRecord, JobRecord, ProgressRecord, PartitionRecord, ShardHoldersRecord,
+                 MachineRecord, CatalogRecord, InventoryRecord, QuotaRecord>;
 
 struct KeyedRecord {
     std::string key;
-    Record record;
+    StoredRecord record;
     std::uint64_t version = 0;
 };
 
 // A team's guarantee and limit as they stood at a revision of the state service.
-struct TeamChange {
+struct QuotaChange {
     std::string team;
-    std::optional<TeamFacts> facts; // none: its record cannot be read
+    std::optional<TeamQuota> quota; // none: its record cannot be read
     std::uint64_t revision = 0;
 };
 // What a node says of a team's configuration; times in seconds before its answer.
-struct TeamStanding {
+struct QuotaStatus {
     std::uint64_t revision = 0; // every change up to it is in force ...
     double age_s = 0;           // ... and every one that was written so long ago
-    TeamFacts facts;            // in force; without a name: not a team of the node's settings
-    std::uint64_t in_force = 0; // the revision of that change, 0: as in the settings
-    double since_s = 0;
-    bool held = false; // no good value is known, nothing of the team is started
+    TeamQuota quota;            // in force; without a name: not a team of the node's settings
+    std::uint64_t effective_revision = 0; // the revision of that change, 0: as in the settings
+    double effective_for_s = 0;
+    bool blocked = false; // no good value is known, nothing of the team is started
 };
 
 // What is expected for a class of jobs.
-struct Objective {
+struct ServiceLevelObjective {
     enum class Kind { finished, wait, deadline };
     Kind kind = Kind::finished;
     std::string job_class;
@@ -238,48 +249,49 @@
 };
 
 // One part for each configured node, in the order of the nodes' names.
-struct PartFacts {
+struct PartitionSettings {
     std::string node;
     std::string zone;
 };
 
 // The platform's settings, as far as the core needs them.
-struct Facts {
+struct ClusterSettings {
     std::string node;
-    int home = 0; // this node's own part
-    std::vector<PartFacts> parts;
+    int home_partition = 0; // this node's own part
+    std::vector<PartitionSettings> partitions;
     std::vector<std::string> zones;
-    std::vector<TeamFacts> teams;
-    std::vector<Objective> objectives;
-    double report_s = 0;
-    double lease_s = 0;
+    std::vector<TeamQuota> teams;
+    std::vector<ServiceLevelObjective> objectives;
+    double heartbeat_interval_s = 0;
+    double worker_lease_s = 0;
     double cancel_s = 0;
-    double gang_wait_s = 0;
-    double gang_peer_s = 0;
-    double state_rps = 0;
-    double state_write_rps = 0;
-    double value_kb = 0;
-    int txn_ops = 0;
-    double cloud_rps = 0;
+    double gang_start_timeout_s = 0;
+    double gang_stop_timeout_s = 0;
+    double store_requests_per_s = 0;
+    double store_writes_per_s = 0;
+    double store_value_limit_kb = 0;
+    int store_transaction_limit = 0;
+    double cloud_requests_per_s = 0;
     double list_lag_s = 0;
     // Direct commands to workers that may be under way at once: each takes a socket and a thread.
-    int orders_at_once = 16;
+    int max_concurrent_commands = 16;
 };
 
 // Ratios that operators may set; the defaults stand in policy/defaults.
-struct Policy {
-    double part_lease_s = 0;
-    double idle_return_s = 0;
-    double rent_horizon_s = 0;
-    double demand_fade_s = 0;
-    double spare_share = 0;
-    double boot_limit_s = 0;
+struct SchedulingPolicy {
+    double leadership_lease_s = 0;
+    double idle_scale_in_boots = 0;
+    double scale_out_horizon_boots = 0;
+    double demand_decay_boots = 0;
+    double spare_capacity_ratio = 0;
+    double boot_timeout_boots = 0;
     double capacity_backoff_s = 0;
-    double sick_errors = 0;
-    double steal_batch = 0;
-    double exchange_s = 0;
-    double warm_patience = 0;
-    double begin_s = 0; // a job that has waited so long for its first task is to get it
+    double quarantine_errors = 0;
+    double initial_steal_batch = 0;
+    double peer_sync_interval_s = 0;
+    double warm_image_patience = 0;
+    double first_task_deadline_s =
+        0; // a job that has waited so long for its first task is to get it
 };
 
-} // namespace orchidlanding
+} // namespace scheduler
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -7,7 +7,7 @@
 
 #include "wire/codec.h"
 
-namespace orchidlanding::net {
+namespace scheduler::net {
 
 namespace {
 // Threads of each pool. A call whose answer is lost holds its thread until its time is up.
@@ -27,67 +27,69 @@
 } // namespace
 
 namespace {
-CallReply perform_on(httplib::Client& client, const Call& call, const wire::HttpCall& http,
-                     double timeout_s) {
+OutboundResponse perform_on(httplib::Client& client, const OutboundRequest& call,
+                            const wire::HttpRequest& http, double timeout_s) {
     client.set_read_timeout(std::chrono::milliseconds(int((timeout_s + http.wait_s) * 1000)));
     httplib::Result result = http.method == "GET"
                                  ? client.Get(http.path)
                                  : client.Post(http.path, http.body, wire::kContentType);
-    return result ? wire::decode_reply(call.id, call.body, result->status, result->body)
-                  : wire::decode_reply(call.id, call.body, 0, "");
+    return result ? wire::decode_response(call.id, call.body, result->status, result->body)
+                  : wire::decode_response(call.id, call.body, 0, "");
 }
 } // namespace
 
-CallReply call_once(const std::string& address, const CallBody& call, double timeout_s) {
-    return perform_on(*connect(address, timeout_s), Call{0, call}, wire::encode_call(call),
-                      timeout_s);
+OutboundResponse send_once(const std::string& address, const OutboundBody& call, double timeout_s) {
+    return perform_on(*connect(address, timeout_s), OutboundRequest{0, call},
+                      wire::encode_request(call), timeout_s);
 }
 
 Clients::Clients(Endpoints endpoints, Deliver deliver)
     : endpoints_(std::move(endpoints)), deliver_(std::move(deliver)),
       // The budget lets a second's worth of requests go at once.
-      state_(static_cast<std::size_t>(endpoints_.state_threads), 10 * endpoints_.report_s,
+      store_(static_cast<std::size_t>(endpoints_.store_threads),
+             10 * endpoints_.heartbeat_interval_s,
              static_cast<std::size_t>(
-                 std::max<double>(4 * endpoints_.state_threads, endpoints_.state_rps))),
-      cloud_(kCloudThreads, 2 * endpoints_.report_s),
-      workers_(static_cast<std::size_t>(endpoints_.worker_threads), 2 * endpoints_.report_s),
+                 std::max<double>(4 * endpoints_.store_threads, endpoints_.store_requests_per_s))),
+      cloud_(kCloudThreads, 2 * endpoints_.heartbeat_interval_s),
+      workers_(static_cast<std::size_t>(endpoints_.worker_threads),
+               2 * endpoints_.heartbeat_interval_s),
       peers_(kPeerThreads * std::max<std::size_t>(2, endpoints_.peers.size()),
-             2 * endpoints_.report_s) {}
+             2 * endpoints_.heartbeat_interval_s) {}
 
-void Clients::send(const Call& call) {
-    bool orders = std::holds_alternative<Orders>(call.body);
-    bool cloud = std::holds_alternative<Catalog>(call.body) ||
-                 std::holds_alternative<ListHosts>(call.body) ||
-                 std::holds_alternative<Rent>(call.body) ||
-                 std::holds_alternative<Release>(call.body);
-    bool peer = std::holds_alternative<PeerCall>(call.body) ||
-                std::holds_alternative<PromiseCall>(call.body) ||
-                std::holds_alternative<CancelledCall>(call.body);
-    ThreadPool& pool = peer ? peers_ : orders ? workers_ : cloud ? cloud_ : state_;
+void Clients::send(const OutboundRequest& call) {
+    bool orders = std::holds_alternative<WorkerCommands>(call.body);
+    bool cloud = std::holds_alternative<ListInstanceTypes>(call.body) ||
+                 std::holds_alternative<ListInstances>(call.body) ||
+                 std::holds_alternative<ScaleOut>(call.body) ||
+                 std::holds_alternative<ScaleIn>(call.body);
+    bool peer = std::holds_alternative<PeerSyncCall>(call.body) ||
+                std::holds_alternative<LeaseExtensionCall>(call.body) ||
+                std::holds_alternative<CancellationCall>(call.body);
+    ThreadPool& pool = peer ? peers_ : orders ? workers_ : cloud ? cloud_ : store_;
     if (!pool.enqueue([this, call] { perform(call); })) {
-        CallReply none;
-        none.call = call.id;
-        none.unsent = true;
+        OutboundResponse none;
+        none.request_id = call.id;
+        none.never_sent = true;
         deliver_(none);
     }
 }
 
 void Clients::stop() {
-    state_.stop();
+    store_.stop();
     cloud_.stop();
     workers_.stop();
     peers_.stop();
 }
 
-void Clients::perform(const Call& call) {
-    wire::HttpCall http = wire::encode_call(call.body);
+void Clients::perform(const OutboundRequest& call) {
+    wire::HttpRequest http = wire::encode_request(call.body);
     // A thread keeps one connection to the state service and one to the cloud.
     static thread_local std::unique_ptr<httplib::Client> kept;
     std::unique_ptr<httplib::Client> once;
     httplib::Client* client = nullptr;
-    double timeout_s = endpoints_.report_s / 2;
+    double timeout_s = endpoints_.heartbeat_interval_s / 2;
     if (http.service == wire::Service::worker) {
-        timeout_s = endpoints_.report_s / 4;
+        timeout_s = endpoints_.heartbeat_interval_s / 4;
     }
     if (http.service == wire::Service::worker || http.service == wire::Service::peer) {
         std::string address = http.endpoint;
@@ -99,11 +101,11 @@
         client = once.get();
     } else {
         if (http.service == wire::Service::cloud) {
-            timeout_s = endpoints_.report_s * 2;
+            timeout_s = endpoints_.heartbeat_interval_s * 2;
         }
         if (!kept) {
             kept =
-                connect(http.service == wire::Service::state ? endpoints_.state : endpoints_.cloud,
+                connect(http.service == wire::Service::store ? endpoints_.store : endpoints_.cloud,
                         timeout_s);
         }
         client = kept.get();
@@ -111,4 +113,4 @@
     deliver_(perform_on(*client, call, http, timeout_s));
 }
 
-} // namespace orchidlanding::net
+} // namespace scheduler::net
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -9,38 +9,38 @@
 #include "core/io.h"
 #include "net/thread_pool.h"
 
-namespace orchidlanding::net {
+namespace scheduler::net {
 
 struct Endpoints {
-    std::string state;
+    std::string store;
     std::string cloud;
     std::map<std::string, std::string> peers; // by node
-    double report_s = 0;                      // the measure of all timeouts
+    double heartbeat_interval_s = 0;          // the measure of all timeouts
     int worker_threads = 0;                   // calls to workers at once
-    double state_rps = 0;                     // of the state service, for all nodes
-    int state_threads = 0;                    // calls to the state service at once
+    double store_requests_per_s = 0;          // of the state service, for all nodes
+    int store_threads = 0;                    // calls to the state service at once
 };
 
 // One call on a connection of its own, for commands: to the state service, or to a controller's
 // address for the others.
-CallReply call_once(const std::string& address, const CallBody& call, double timeout_s);
+OutboundResponse send_once(const std::string& address, const OutboundBody& call, double timeout_s);
 
 class Clients {
   public:
-    using Deliver = std::function<void(CallReply)>;
+    using Deliver = std::function<void(OutboundResponse)>;
     Clients(Endpoints endpoints, Deliver deliver);
-    void send(const Call& call);
+    void send(const OutboundRequest& call);
     void stop();
 
   private:
-    void perform(const Call& call);
+    void perform(const OutboundRequest& call);
 
     Endpoints endpoints_;
     Deliver deliver_;
-    ThreadPool state_;
+    ThreadPool store_;
     ThreadPool cloud_;
     ThreadPool workers_;
     ThreadPool peers_;
 };
 
-} // namespace orchidlanding::net
+} // namespace scheduler::net
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -11,7 +11,7 @@
 #include "net/thread_pool.h"
 #include "wire/codec.h"
 
-namespace orchidlanding::net {
+namespace scheduler::net {
 
 namespace {
 constexpr int kLongestPath = 256;
@@ -58,10 +58,10 @@
     if (retry_after_s > 0) {
         res.set_header("Retry-After", std::to_string(retry_after_s));
     }
-    res.set_content(wire::encode_answer(Plain{why}), wire::kContentType);
+    res.set_content(wire::encode_response(TextBody{why}), wire::kContentType);
 }
 
-void reply(httplib::Response& res, const std::optional<Answer>& answer) {
+void reply(httplib::Response& res, const std::optional<Response>& answer) {
     if (!answer) {
         refuse(res, 503, "no answer in time", 1);
         return;
@@ -71,7 +71,7 @@
         res.set_header("Retry-After",
                        std::to_string(static_cast<int>(std::ceil(answer->retry_after_s))));
     }
-    res.set_content(wire::encode_answer(answer->body), wire::kContentType);
+    res.set_content(wire::encode_response(answer->body), wire::kContentType);
 }
 } // namespace
 
@@ -97,7 +97,7 @@
     // a second, more than these machines can spare for every worker and user, so a connection
     // serves one request and is closed with its answer.
     std::size_t threads = std::clamp(limits.sockets / 8, 16, 96);
-    double linger_s = limits.report_s * 4;
+    double linger_s = limits.heartbeat_interval_s * 4;
     http_->new_task_queue = [threads, linger_s] { return new Queue(threads, linger_s); };
     // The port of a process that has just ended can be had at once, that of one that lives cannot:
     // httplib's own option would let two processes share it, each with a part of the connections.
@@ -106,9 +106,9 @@
         ::setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
     });
     http_->set_keep_alive_max_count(1);
-    http_->set_keep_alive_timeout(std::max(1, static_cast<int>(limits.report_s)));
-    http_->set_read_timeout(std::chrono::milliseconds(int(limits.report_s * 700)));
-    http_->set_write_timeout(std::chrono::milliseconds(int(limits.report_s * 700)));
+    http_->set_keep_alive_timeout(std::max(1, static_cast<int>(limits.heartbeat_interval_s)));
+    http_->set_read_timeout(std::chrono::milliseconds(int(limits.heartbeat_interval_s * 700)));
+    http_->set_write_timeout(std::chrono::milliseconds(int(limits.heartbeat_interval_s * 700)));
     http_->set_tcp_nodelay(true);
     http_->set_payload_max_length(wire::kBodyLimit);
     // The routes are regular expressions, whose matcher recurses by the length of the path.
@@ -125,7 +125,7 @@
         }
     });
     // Users give up on a submission after 5 s and on a poll after 2 s, workers after 4 s.
-    double timeout_s = limits.report_s;
+    double timeout_s = limits.heartbeat_interval_s;
     using Req = const httplib::Request&;
     using Res = httplib::Response&;
     // A message from the body of a request, put to the core.
@@ -133,31 +133,35 @@
         http_->Post(path, unless_overloaded([ask](Req req, Res res) {
                         try {
                             reply(res, ask(req.body));
-                        } catch (const wire::BadMessage& bad) {
+                        } catch (const wire::MessageError& bad) {
                             refuse(res, 400, bad.what());
                         }
                     }));
     };
     if (side == Side::back) {
-        post(wire::kPeerPath, [this, timeout_s](const std::string& body) {
-            return loop_.ask(PeerExchange{0, wire::parse_exchange(body)}, timeout_s);
+        post(wire::kPeerSyncPath, [this, timeout_s](const std::string& body) {
+            return loop_.submit(PeerSyncReceived{0, wire::parse_peer_sync_request(body)},
+                                timeout_s);
         });
-        post(wire::kPromisePath, [this, timeout_s](const std::string& body) {
-            return loop_.ask(PeerPromise{0, wire::parse_promise_ask(body)}, timeout_s);
+        post(wire::kLeaseExtensionPath, [this, timeout_s](const std::string& body) {
+            return loop_.submit(
+                LeaseExtensionReceived{0, wire::parse_lease_extension_request(body)}, timeout_s);
         });
-        post(wire::kStandingPath, [this, timeout_s](const std::string& body) {
-            return loop_.ask(PeerStanding{0, wire::parse_standing_ask(body)}, timeout_s);
+        post(wire::kQuotaStatusPath, [this, timeout_s](const std::string& body) {
+            return loop_.submit(QuotaStatusQuery{0, wire::parse_quota_status_query(body)},
+                                timeout_s);
         });
-        post(wire::kCancelledPath, [this, timeout_s](const std::string& body) {
-            return loop_.ask(PeerCancelled{0, wire::parse_cancelled(body)}, timeout_s);
+        post(wire::kCancellationsPath, [this, timeout_s](const std::string& body) {
+            return loop_.submit(CancellationsReceived{0, wire::parse_cancellations(body)},
+                                timeout_s);
         });
         return;
     }
     post(wire::kJobsPath, [this, timeout_s](const std::string& body) {
-        return loop_.ask(Submit{0, wire::parse_job(body)}, timeout_s);
+        return loop_.submit(SubmitJob{0, wire::parse_job(body)}, timeout_s);
     });
-    post(wire::kReportPath, [this, timeout_s](const std::string& body) {
-        return loop_.ask(WorkerReport{0, wire::parse_report(body)}, timeout_s);
+    post(wire::kHeartbeatPath, [this, timeout_s](const std::string& body) {
+        return loop_.submit(HeartbeatReceived{0, wire::parse_heartbeat(body)}, timeout_s);
     });
     // What the path names a job for.
     auto of_job = [](auto ask) {
@@ -171,13 +175,13 @@
         });
     };
     http_->Get(R"(/work/([^/]+))", of_job([this, timeout_s](const std::string& id) {
-                   return loop_.ask(Poll{0, id}, timeout_s / 2);
+                   return loop_.submit(PollJob{0, id}, timeout_s / 2);
                }));
     http_->Post(R"(/work/([^/]+)/withdraw)", of_job([this, timeout_s](const std::string& id) {
-                    return loop_.ask(Cancel{0, id}, timeout_s);
+                    return loop_.submit(CancelJob{0, id}, timeout_s);
                 }));
     http_->Get(wire::kReadyPath, unless_overloaded([this](Req, Res res) {
-                   reply(res, loop_.ask(ReadyProbe{0}, 1));
+                   reply(res, loop_.submit(ReadinessProbe{0}, 1));
                }));
 }
 
@@ -212,4 +216,4 @@
 
 void Server::stop() { http_->stop(); }
 
-} // namespace orchidlanding::net
+} // namespace scheduler::net
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -6,11 +6,11 @@
 
 #include "net/event_loop.h"
 
-namespace orchidlanding::net {
+namespace scheduler::net {
 
 struct ServerLimits {
     int sockets = 0;
-    double report_s = 0;
+    double heartbeat_interval_s = 0;
 };
 
 class Server {
@@ -34,4 +34,4 @@
     int port_ = 0;
 };
 
-} // namespace orchidlanding::net
+} // namespace scheduler::net
--- a/src/net/thread_pool.cpp
+++ b/src/net/thread_pool.cpp
@@ -4,7 +4,7 @@
 #include <system_error>
 #include <thread>
 
-namespace orchidlanding::net {
+namespace scheduler::net {
 
 bool ThreadPool::enqueue(std::function<void()> work) {
     std::unique_lock lock(mutex_);
@@ -63,4 +63,4 @@
     ended_.wait(lock, [this] { return threads_ == 0; });
 }
 
-} // namespace orchidlanding::net
+} // namespace scheduler::net
--- a/src/net/thread_pool.h
+++ b/src/net/thread_pool.h
@@ -6,7 +6,7 @@
 #include <functional>
 #include <mutex>
 
-namespace orchidlanding::net {
+namespace scheduler::net {
 
 class ThreadPool {
   public:
@@ -37,4 +37,4 @@
     bool stopping_ = false;
 };
 
-} // namespace orchidlanding::net
+} // namespace scheduler::net
--- a/src/scale/checker.cpp
+++ b/src/scale/checker.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 namespace {
 constexpr double kRounding = 1e-6;
@@ -12,7 +12,7 @@
     : setting_(std::move(setting)), judge_(setting_.cancel_s, setting_.teams, {setting_.type}) {
     judge_.troubles_over(0); // it judges from the first moment how long a job is unanswered
     for (const auto& t : setting_.teams) {
-        limits_[t.name] = {t.cpus_max, t.cpus_max, 0};
+        limits_[t.name] = {t.max_cpus, t.max_cpus, 0};
     }
 }
 
@@ -32,11 +32,11 @@
     case Kind::poll: judge_.asked(e.time, e.request, Ask::poll, e.task.job); break;
     case Kind::cancel: judge_.asked(e.time, e.request, Ask::cancel, e.task.job); break;
     case Kind::answered: {
-        Answer a;
-        a.request = e.request;
+        Response a;
+        a.request_id = e.request;
         a.status = e.status;
         if (!e.stage.empty()) {
-            a.body = JobAnswer{e.task.job, e.stage, {}, {}};
+            a.body = JobStatusBody{e.task.job, e.stage, {}, {}};
         }
         judge_.answered(e.time, a);
         break;
@@ -112,4 +112,4 @@
     }
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/checker.h
+++ b/src/scale/checker.h
@@ -9,13 +9,13 @@
 #include "judge.h"
 #include "scale/history.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 class Checker {
   public:
     struct Setting {
-        std::vector<TeamFacts> teams;
-        MachineType type;
+        std::vector<TeamQuota> teams;
+        InstanceType type;
         double cancel_s = 0;
         // Seconds from the writing of a lower limit during which the one before may still be used.
         double lowering_s = 0;
@@ -49,10 +49,10 @@
 
     Setting setting_;
     test::Judge judge_;
-    std::map<TaskRef, Place> there_;
+    std::map<TaskId, Place> there_;
     std::map<std::string, std::map<std::string, std::uint32_t>> zones_; // of a job's tasks
     std::map<std::string, double> used_;                                // CPUs, by team
     std::map<std::string, Limit> limits_;                               // that were written
 };
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/history.cpp
+++ b/src/scale/history.cpp
@@ -5,7 +5,7 @@
 
 #include "scale/options.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 namespace {
 constexpr char kNothing[] = "-"; // fields are separated by blanks and never empty
@@ -59,4 +59,4 @@
     return out;
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/history.h
+++ b/src/scale/history.h
@@ -7,7 +7,7 @@
 
 #include "core/types.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 struct Event {
     enum class Kind {
@@ -26,7 +26,7 @@
     std::string machine;
     std::string zone;
     bool spot = false;
-    TaskRef task;
+    TaskId task;
     std::uint64_t request = 0;
     int status = 0;
     std::string stage; // answered; limit, in_force: the team
@@ -49,4 +49,4 @@
 // Throws CannotPlay.
 std::vector<Event> read_history(const std::string& file);
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/hollow_worker.cpp
+++ b/src/scale/hollow_worker.cpp
@@ -3,31 +3,31 @@
 #include <algorithm>
 #include <utility>
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
-HollowWorker::HollowWorker(Time now, Identity identity, const MachineType& type, double lease_s,
+HollowWorker::HollowWorker(Time now, Identity identity, const InstanceType& type, double lease_s,
                            const Surroundings& surroundings)
     : identity_(std::move(identity)), type_(type), lease_s_(lease_s), around_(surroundings),
       lease_from_(now) {}
 
-Report HollowWorker::report(Time now, bool sent) {
+Heartbeat HollowWorker::report(Time now, bool sent) {
     advance(now);
     if (sent) {
         changed_ = false;
     }
-    Report r;
-    r.machine = identity_.name;
-    r.endpoint = identity_.endpoint;
-    r.type = type_.name;
-    r.zone = identity_.zone;
-    r.spot = identity_.spot;
-    r.session = session_;
-    r.tick = ++tick_;
-    r.token = token_;
+    Heartbeat heartbeat;
+    heartbeat.machine = identity_.name;
+    heartbeat.endpoint = identity_.endpoint;
+    heartbeat.type = type_.name;
+    heartbeat.zone = identity_.zone;
+    heartbeat.spot = identity_.spot;
+    heartbeat.agent_epoch = session_;
+    heartbeat.sequence = ++tick_;
+    heartbeat.fencing_token = token_;
     for (const auto& [key, t] : tasks_) {
-        r.tasks.push_back({key.first, key.second, t.stage, t.why});
+        heartbeat.tasks.push_back({key.first, key.second, t.stage, t.why});
     }
-    return r;
+    return heartbeat;
 }
 
 bool HollowWorker::answered(Time now, std::uint64_t session, Time sent, const ReportReply& reply) {
@@ -61,16 +61,16 @@
     return 200;
 }
 
-void HollowWorker::execute(Time now, const std::vector<Command>& commands) {
-    for (const auto& c : commands) {
-        auto it = tasks_.find({c.task, c.attempt});
-        if (c.op == Op::start) {
+void HollowWorker::execute(Time now, const std::vector<WorkerCommand>& commands) {
+    for (const auto& command : commands) {
+        auto it = tasks_.find({command.task, command.attempt});
+        if (command.type == CommandType::start) {
             if (it == tasks_.end()) {
-                start(now, c);
+                start(now, command);
             }
-        } else if (it != tasks_.end() && c.op == Op::stop) {
+        } else if (it != tasks_.end() && command.type == CommandType::stop) {
             if (it->second.stage != TaskStage::exited) {
-                exit(now, c.task, it->second, ExitWhy::stopped); // none of them saves
+                exit(now, command.task, it->second, ExitReason::stopped); // none of them saves
             }
         } else if (it != tasks_.end() && it->second.stage == TaskStage::exited) {
             tasks_.erase(it);
@@ -80,7 +80,7 @@
 }
 
 // With another attempt, and not exited.
-bool HollowWorker::occupied(const TaskRef& task) const {
+bool HollowWorker::occupied(const TaskId& task) const {
     for (auto it = tasks_.lower_bound({task, 0}); it != tasks_.end() && it->first.first == task;
          ++it) {
         if (it->second.stage != TaskStage::exited) {
@@ -90,15 +90,15 @@
     return false;
 }
 
-void HollowWorker::start(Time now, const Command& c) {
+void HollowWorker::start(Time now, const WorkerCommand& command) {
     Task t;
-    auto spec = around_.job(c.task.job);
-    if (!spec || c.task.index >= spec->tasks) {
-        t.why = ExitWhy::unknown;
-    } else if (occupied(c.task)) {
-        t.why = ExitWhy::busy;
+    auto spec = around_.job(command.task.job);
+    if (!spec || command.task.index >= spec->tasks) {
+        t.why = ExitReason::unknown;
+    } else if (occupied(command.task)) {
+        t.why = ExitReason::busy;
     } else if (cpus_ + spec->cpus > type_.cpus || ram_gb_ + spec->ram_gb > type_.ram_gb) {
-        t.why = ExitWhy::no_room;
+        t.why = ExitReason::insufficient_capacity;
     } else {
         t.cpus = spec->cpus;
         t.ram_gb = spec->ram_gb;
@@ -107,17 +107,17 @@
         ram_gb_ += t.ram_gb;
         t.until = now + (images_.contains(t.image) ? 0 : spec->image_gb / type_.fetch_gb_per_s);
     }
-    if (t.why != ExitWhy::none) {
+    if (t.why != ExitReason::none) {
         t.stage = TaskStage::exited;
     }
-    tasks_[{c.task, c.attempt}] = std::move(t);
+    tasks_[{command.task, command.attempt}] = std::move(t);
     changed_ = true;
     advance(now);
 }
 
-void HollowWorker::exit(Time now, const TaskRef& ref, Task& t, ExitWhy why) {
+void HollowWorker::exit(Time now, const TaskId& ref, Task& t, ExitReason why) {
     if (t.stage == TaskStage::running) {
-        around_.went(now, identity_.name, ref, why == ExitWhy::done);
+        around_.went(now, identity_.name, ref, why == ExitReason::done);
     }
     t.stage = TaskStage::exited;
     t.why = why;
@@ -135,7 +135,7 @@
         return;
     }
     for (auto& [key, t] : tasks_) {
-        const TaskRef& ref = key.first;
+        const TaskId& ref = key.first;
         if (t.stage == TaskStage::fetching && now >= t.until) {
             images_.insert(t.image);
             t.stage = TaskStage::running;
@@ -144,7 +144,7 @@
             t.until = around_.completed(ref) ? now : now + around_.run_s(ref);
         }
         if (t.stage == TaskStage::running && now >= t.until) {
-            exit(now, ref, t, ExitWhy::done);
+            exit(now, ref, t, ExitReason::done);
         }
     }
 }
@@ -172,4 +172,4 @@
 
 void HollowWorker::die(Time now) { drop_all(now); }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/hollow_worker.h
+++ b/src/scale/hollow_worker.h
@@ -7,17 +7,17 @@
 
 #include "scale/messages.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 class HollowWorker {
   public:
     struct Surroundings {
         std::function<std::optional<JobSpec>(const std::string& job)> job;
-        std::function<double(const TaskRef&)> run_s;
-        std::function<bool(const TaskRef&)> completed; // on whatever machine, before
+        std::function<double(const TaskId&)> run_s;
+        std::function<bool(const TaskId&)> completed; // on whatever machine, before
         // The task has its image: it is on the machine from now on. It is not any more.
-        std::function<void(Time, const std::string& machine, const TaskRef&)> came;
-        std::function<void(Time, const std::string& machine, const TaskRef&, bool done)> went;
+        std::function<void(Time, const std::string& machine, const TaskId&)> came;
+        std::function<void(Time, const std::string& machine, const TaskId&, bool done)> went;
     };
     struct Identity {
         std::string name;
@@ -25,7 +25,7 @@
         std::string zone;
         bool spot = false;
     };
-    HollowWorker(Time now, Identity identity, const MachineType& type, double lease_s,
+    HollowWorker(Time now, Identity identity, const InstanceType& type, double lease_s,
                  const Surroundings& surroundings);
 
     const std::string& name() const { return identity_.name; }
@@ -35,7 +35,7 @@
     std::size_t tasks() const { return tasks_.size(); }
 
     // For the next report, or the answer to a direct command. `sent`: it counts as a report.
-    Report report(Time now, bool sent);
+    Heartbeat report(Time now, bool sent);
     // Answered with 200. False: dropped, by its token or its session.
     bool answered(Time now, std::uint64_t session, Time sent, const ReportReply& reply);
     // The status of a direct command.
@@ -48,23 +48,23 @@
     void die(Time now);
 
   private:
-    using Key = std::pair<TaskRef, std::uint64_t>; // with the attempt
+    using Key = std::pair<TaskId, std::uint64_t>; // with the attempt
     struct Task {
         TaskStage stage = TaskStage::fetching;
-        ExitWhy why = ExitWhy::none;
+        ExitReason why = ExitReason::none;
         Time until = 0; // of the fetch, then of the run
         double cpus = 0;
         double ram_gb = 0;
         std::string image;
     };
-    void execute(Time now, const std::vector<Command>& commands);
-    void start(Time now, const Command& command);
-    bool occupied(const TaskRef& task) const;
-    void exit(Time now, const TaskRef& ref, Task& task, ExitWhy why);
+    void execute(Time now, const std::vector<WorkerCommand>& commands);
+    void start(Time now, const WorkerCommand& command);
+    bool occupied(const TaskId& task) const;
+    void exit(Time now, const TaskId& ref, Task& task, ExitReason why);
     void drop_all(Time now);
 
     Identity identity_;
-    MachineType type_;
+    InstanceType type_;
     double lease_s_;
     const Surroundings& around_;
     std::map<Key, Task> tasks_;
@@ -79,4 +79,4 @@
     bool changed_ = true;
 };
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/http.cpp
+++ b/src/scale/http.cpp
@@ -12,7 +12,7 @@
 
 #include "scale/options.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 namespace {
 constexpr int kIdle_s = 120;
@@ -218,4 +218,4 @@
     }
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/http.h
+++ b/src/scale/http.h
@@ -12,7 +12,7 @@
 
 #include "core/types.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 Time now(); // of the clock that all processes of the machine share
 
@@ -88,4 +88,4 @@
 };
 void call(Loop& loop, const HttpCall& what, std::function<void(HttpAnswer)> then);
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/main.cpp
+++ b/src/scale/main.cpp
@@ -6,7 +6,7 @@
 #include "scale/run.h"
 
 int main(int argc, char** argv) {
-    using namespace orchidlanding::scale;
+    using namespace scheduler::scale;
     CLI::App app{
         "plays real controllers beside hollow workers, judges the rules, measures each role"};
     app.require_subcommand(1);
--- a/src/scale/measure.cpp
+++ b/src/scale/measure.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 namespace {
 double cpu_of(const std::string& stat) {
@@ -71,8 +71,8 @@
     most_ = std::max(most_, seconds);
 }
 
-double Times::quantile(double share) const {
-    double sought = share * double(count_);
+double Times::quantile(double shard) const {
+    double sought = shard * double(count_);
     double seen = 0;
     for (const auto& cell : boost::histogram::indexed(histogram_)) {
         seen += *cell;
@@ -83,4 +83,4 @@
     return most_;
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/measure.h
+++ b/src/scale/measure.h
@@ -6,7 +6,7 @@
 #include <boost/histogram.hpp>
 #include <string>
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 struct ProcessUse {
     double cpu_s = 0;      // so far, all threads
@@ -25,7 +25,7 @@
     void add(double seconds);
     std::size_t count() const { return count_; }
     // 0 if there is none.
-    double quantile(double share) const;
+    double quantile(double shard) const;
     double most() const { return most_; }
 
   private:
@@ -36,4 +36,4 @@
     double most_ = 0;
 };
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/messages.cpp
+++ b/src/scale/messages.cpp
@@ -5,7 +5,7 @@
 
 #include "core/parts.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 namespace {
 constexpr std::array<const char*, 5> kStages{"pulling", "waiting", "running", "flushing", "exited"};
@@ -15,19 +15,21 @@
 constexpr std::array<const char*, 4> kPriorities{"prod", "high", "standard", "idle"};
 constexpr std::array<const char*, 3> kHostStages{"booting", "running", "failed"};
 
-std::vector<Command> commands_of(const Json& list) {
-    std::vector<Command> out;
+std::vector<WorkerCommand> commands_of(const Json& list) {
+    std::vector<WorkerCommand> out;
     for (const Json& item : list) {
-        Command c;
+        WorkerCommand command;
         const auto& op = item.at("chore").get_ref<const std::string&>();
-        c.op = op == "launch" ? Op::start : op == "stop" ? Op::stop : Op::clear;
+        command.type = op == "launch" ? CommandType::start
+                       : op == "stop" ? CommandType::stop
+                                      : CommandType::clear;
         const auto& task = item.at("petal").get_ref<const std::string&>();
         auto slash = task.find('/');
-        c.task = {task.substr(0, slash),
-                  std::uint32_t(std::strtoul(task.c_str() + slash + 1, nullptr, 10))};
-        c.attempt = item.at("sowing").get<std::uint64_t>();
-        c.grace_s = item.value("wither_s", 0.0);
-        out.push_back(std::move(c));
+        command.task = {task.substr(0, slash),
+                        std::uint32_t(std::strtoul(task.c_str() + slash + 1, nullptr, 10))};
+        command.attempt = item.at("sowing").get<std::uint64_t>();
+        command.grace_s = item.value("wither_s", 0.0);
+        out.push_back(std::move(command));
     }
     return out;
 }
@@ -41,25 +43,25 @@
     return out;
 }
 
-std::string pack_report(const Report& r) {
+std::string pack_report(const Heartbeat& heartbeat) {
     Json tasks = Json::array();
-    for (const auto& t : r.tasks) {
-        Json item{{"petal", t.task.job + "/" + std::to_string(t.task.index)},
-                  {"sowing", t.attempt},
-                  {"stage", kStages[std::size_t(t.stage)]}};
-        if (t.stage == TaskStage::exited) {
-            item["wilt"] = kWhys[std::size_t(t.why)];
+    for (const auto& status : heartbeat.tasks) {
+        Json item{{"petal", status.task.job + "/" + std::to_string(status.task.index)},
+                  {"sowing", status.attempt},
+                  {"stage", kStages[std::size_t(status.stage)]}};
+        if (status.stage == TaskStage::exited) {
+            item["wilt"] = kWhys[std::size_t(status.exit_reason)];
         }
         tasks.push_back(std::move(item));
     }
-    return pack({{"pot", r.machine},
-                 {"endpoint", r.endpoint},
-                 {"bench", r.type},
-                 {"house", r.zone},
-                 {"cuttings", r.spot},
-                 {"season", r.session},
-                 {"tick", r.tick},
-                 {"warrant", r.token},
+    return pack({{"pot", heartbeat.machine},
+                 {"endpoint", heartbeat.endpoint},
+                 {"bench", heartbeat.type},
+                 {"house", heartbeat.zone},
+                 {"cuttings", heartbeat.spot},
+                 {"season", heartbeat.agent_epoch},
+                 {"tick", heartbeat.sequence},
+                 {"warrant", heartbeat.fencing_token},
                  {"frost_s", nullptr},
                  {"petals", std::move(tasks)}});
 }
@@ -82,27 +84,27 @@
             commands_of(j.at("tending"))};
 }
 
-std::string pack_job(const JobSpec& s) {
-    return pack({{"uid", s.id},
-                 {"bloom", s.job_class},
-                 {"grower", s.team},
-                 {"habit", kKinds[std::size_t(s.kind)]},
-                 {"rank", kPriorities[std::size_t(s.priority)]},
-                 {"petals", s.tasks},
-                 {"cpus", s.cpus},
-                 {"cards", s.gpus},
-                 {"ram_gb", s.ram_gb},
-                 {"bulb", s.image},
-                 {"pull_gb", s.image_gb},
-                 {"benches", s.types ? Json(*s.types) : Json()},
-                 {"house", s.zone ? Json(*s.zone) : Json()},
-                 {"one_zone", s.one_zone},
-                 {"spread", s.spread},
-                 {"cuttings", s.spot},
-                 {"bloom_s", s.estimate_s},
-                 {"pot_s", s.checkpoint_s},
-                 {"repot_s", s.save_s},
-                 {"show_s", s.deadline_s ? Json(*s.deadline_s) : Json()}});
+std::string pack_job(const JobSpec& spec) {
+    return pack({{"uid", spec.id},
+                 {"bloom", spec.job_class},
+                 {"grower", spec.team},
+                 {"habit", kKinds[std::size_t(spec.kind)]},
+                 {"rank", kPriorities[std::size_t(spec.priority)]},
+                 {"petals", spec.tasks},
+                 {"cpus", spec.cpus},
+                 {"cards", spec.gpus},
+                 {"ram_gb", spec.ram_gb},
+                 {"bulb", spec.image},
+                 {"pull_gb", spec.image_gb},
+                 {"benches", spec.types ? Json(*spec.types) : Json()},
+                 {"house", spec.zone ? Json(*spec.zone) : Json()},
+                 {"one_zone", spec.one_zone},
+                 {"spread", spec.spread},
+                 {"cuttings", spec.spot},
+                 {"bloom_s", spec.estimate_s},
+                 {"pot_s", spec.checkpoint_s},
+                 {"repot_s", spec.save_s},
+                 {"show_s", spec.deadline_s ? Json(*spec.deadline_s) : Json()}});
 }
 
 std::string parse_stage(const std::string& body) {
@@ -110,16 +112,16 @@
     return stage == "aborted" ? "cancelled" : stage;
 }
 
-std::string pack_team_change(const TeamFacts& t) {
+std::string pack_team_change(const TeamQuota& quota) {
     return pack({{"when", Json::array()},
                  {"then",
-                  {{{"set", kTeamConfig + t.name},
+                  {{{"set", kQuotaConfigPrefix + quota.name},
                     {"data",
                      {{"format", 1},
-                      {"cpus", t.cpus},
-                      {"cpus_max", t.cpus_max},
-                      {"gpus", t.gpus},
-                      {"gpus_max", t.gpus_max}}}}}}});
+                      {"cpus", quota.guaranteed_cpus},
+                      {"cpus_max", quota.max_cpus},
+                      {"gpus", quota.guaranteed_gpus},
+                      {"gpus_max", quota.max_gpus}}}}}}});
 }
 
 std::string pack_standing_ask(const std::string& team) { return pack({{"team", team}}); }
@@ -132,19 +134,19 @@
     return unpack(body).at("ring").get<std::uint64_t>();
 }
 
-Json json_of(const MachineType& t) {
-    return {{"sku", t.name},          {"cpus", t.cpus},
-            {"cards", t.gpus},        {"ram_gb", t.ram_gb},
-            {"cache_gb", t.cache_gb}, {"pull_gb_per_s", t.fetch_gb_per_s},
-            {"rate", t.price},        {"market_price", t.spot_price},
-            {"startup_s", t.boot_s},  {"houses", t.zones}};
+Json json_of(const InstanceType& type) {
+    return {{"sku", type.name},          {"cpus", type.cpus},
+            {"cards", type.gpus},        {"ram_gb", type.ram_gb},
+            {"cache_gb", type.cache_gb}, {"pull_gb_per_s", type.fetch_gb_per_s},
+            {"rate", type.price},        {"market_price", type.spot_price},
+            {"startup_s", type.boot_s},  {"houses", type.zones}};
 }
 
-Json json_of(const Host& h) {
-    return {{"uid", h.name},      {"endpoint", h.endpoint},
-            {"bench", h.type},    {"house", h.zone},
-            {"cuttings", h.spot}, {"stage", kHostStages[std::size_t(h.stage)]},
-            {"held_s", h.age_s}};
+Json json_of(const Instance& instance) {
+    return {{"uid", instance.name},      {"endpoint", instance.endpoint},
+            {"bench", instance.type},    {"house", instance.zone},
+            {"cuttings", instance.spot}, {"stage", kHostStages[std::size_t(instance.state)]},
+            {"held_s", instance.age_s}};
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/options.h
+++ b/src/scale/options.h
@@ -6,7 +6,7 @@
 
 #include "core/types.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 // The run cannot be played: option, file or key, and why.
 struct CannotPlay : std::runtime_error {
@@ -50,4 +50,4 @@
 // Bytes of memory that this machine has.
 double machine_memory();
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/plan.cpp
+++ b/src/scale/plan.cpp
@@ -6,7 +6,7 @@
 
 #include "core/parts.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 namespace {
 constexpr char kMachineType[] = "hollow";
@@ -38,26 +38,26 @@
     return "zone-" + std::to_string(region_) + std::string(1, static_cast<char>('a' + number));
 }
 
-MachineType Plan::machine_type() const {
-    MachineType t;
-    t.name = kMachineType;
-    t.cpus = std::max(1.0, std::ceil(kSpare * tasks() / workers()));
-    t.ram_gb = 4 * t.cpus;
-    t.cache_gb = 50;
-    t.fetch_gb_per_s = 1;
-    t.price = 1;
-    t.spot_price = 0.4;
-    t.boot_s = 40;
+InstanceType Plan::machine_type() const {
+    InstanceType type;
+    type.name = kMachineType;
+    type.cpus = std::max(1.0, std::ceil(kSpare * tasks() / workers()));
+    type.ram_gb = 4 * type.cpus;
+    type.cache_gb = 50;
+    type.fetch_gb_per_s = 1;
+    type.price = 1;
+    type.spot_price = 0.4;
+    type.boot_s = 40;
     for (int z = 0; z < kZones; ++z) {
-        t.zones.push_back(zone(z));
+        type.zones.push_back(zone(z));
     }
-    return t;
+    return type;
 }
 
 // Each has an even part; its limit is above it, and lets the largest job run.
-std::vector<TeamFacts> Plan::teams() const {
+std::vector<TeamQuota> Plan::teams() const {
     double slots = machine_type().cpus * workers();
-    std::vector<TeamFacts> out;
+    std::vector<TeamQuota> out;
     for (int t = 0; t < options_.teams; ++t) {
         double most = std::max(slots / std::sqrt(options_.teams), 2.0 * job_tasks());
         out.push_back({"team-" + std::to_string(t), slots / options_.teams, most, 0, 0});
@@ -89,8 +89,8 @@
     }
     s << "]\n";
     for (const auto& t : teams()) {
-        s << "[[facts.teams]]\nname = \"" << t.name << "\"\ncpus = " << t.cpus
-          << "\ncpus_max = " << t.cpus_max << "\ngpus = 0.0\ngpus_max = 0.0\n";
+        s << "[[facts.teams]]\nname = \"" << t.name << "\"\ncpus = " << t.guaranteed_cpus
+          << "\ncpus_max = " << t.max_cpus << "\ngpus = 0.0\ngpus_max = 0.0\n";
     }
     s << "[facts.workers]\nreport_s = " << kReport_s << "\nlease_s = " << kLease_s
       << "\ncancel_s = " << kCancel_s << "\ngang_wait_s = 30.0\ngang_peer_s = 5.0\n"
@@ -139,46 +139,47 @@
     if (kind == Kind::nobody || job_id(kind, number) != id) {
         return std::nullopt;
     }
-    JobSpec s;
-    s.id = id;
-    s.team = "team-" + std::to_string(number % options_.teams);
-    s.tasks = std::uint32_t(job_tasks());
-    s.cpus = 1;
-    s.ram_gb = 2;
-    s.image = "img-" + std::to_string(number % 4);
-    s.image_gb = kImageGb;
-    s.spot = number % 4 == 1;
-    s.estimate_s = usual_run_s();
+    JobSpec spec;
+    spec.id = id;
+    spec.team = "team-" + std::to_string(number % options_.teams);
+    spec.tasks = std::uint32_t(job_tasks());
+    spec.cpus = 1;
+    spec.ram_gb = 2;
+    spec.image = "img-" + std::to_string(number % 4);
+    spec.image_gb = kImageGb;
+    spec.spot = number % 4 == 1;
+    spec.estimate_s = usual_run_s();
     if (number % 5 == 3) {
-        s.zone = zone(number % kZones);
+        spec.zone = zone(number % kZones);
     }
     switch (kind) {
     case Kind::urgent:
-        s.job_class = "urgent";
-        s.priority = Priority::high;
-        s.tasks = kUrgentTasks;
-        s.spot = true;
-        s.zone.reset();
+        spec.job_class = "urgent";
+        spec.priority = Priority::high;
+        spec.tasks = kUrgentTasks;
+        spec.spot = true;
+        spec.zone.reset();
         break;
     case Kind::waiting:
-        s.job_class = "waiting";
-        s.team = kQueueTeam;
-        s.tasks = 1;
-        s.estimate_s = 1000;
+        spec.job_class = "waiting";
+        spec.team = kQueueTeam;
+        spec.tasks = 1;
+        spec.estimate_s = 1000;
         break;
-    default: s.job_class = kind == Kind::fill ? "fill" : "ordinary"; break;
+    default: spec.job_class = kind == Kind::fill ? "fill" : "ordinary"; break;
     }
-    return s;
+    return spec;
 }
 
 // Tasks of the first jobs end evenly over a run time, so that from then on as many end as start.
-double Plan::run_s(const TaskRef& task) const {
+double Plan::run_s(const TaskId& task) const {
     auto [kind, number] = kind_of(task.job);
     if (kind == Kind::waiting) {
         return 1000;
     }
-    double drawn = double(hash_of(task.job + "/" + std::to_string(task.index)) % 100000) / 100000;
+    double drawn =
+        double(stable_hash(task.job + "/" + std::to_string(task.index)) % 100000) / 100000;
     return kind == Kind::fill ? usual_run_s() * drawn : usual_run_s() * (0.9 + 0.2 * drawn);
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/plan.h
+++ b/src/scale/plan.h
@@ -6,7 +6,7 @@
 
 #include "scale/options.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 class Plan {
   public:
@@ -32,8 +32,8 @@
     static constexpr double kLease_s = 17;
     static constexpr double kCancel_s = 42;
     static constexpr int kZones = 3;
-    std::vector<TeamFacts> teams() const;
-    MachineType machine_type() const;
+    std::vector<TeamQuota> teams() const;
+    InstanceType machine_type() const;
     std::string zone(int number) const;
     // A controller's settings file.
     std::string settings(int node) const;
@@ -58,7 +58,7 @@
     int job_tasks() const;
     double job_every_s() const { return job_tasks() / starts(); }
     // A task's run time, seconds.
-    double run_s(const TaskRef& task) const;
+    double run_s(const TaskId& task) const;
 
   private:
     double usual_run_s() const { return tasks() / starts(); }
@@ -67,4 +67,4 @@
     int region_;
 };
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/processes.h
+++ b/src/scale/processes.h
@@ -8,7 +8,7 @@
 
 #include "scale/plan.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 // In memory that all processes of the run share; one a region. Bytes are those of HTTP, headers
 // included, TCP's and IP's not.
@@ -64,4 +64,4 @@
 void run_workers(const Plan& plan, Counters& counters, const std::string& history);
 void run_users(const Plan& plan, Counters& counters, const std::string& history);
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/run.cpp
+++ b/src/scale/run.cpp
@@ -21,7 +21,7 @@
 #include "scale/messages.h"
 #include "scale/processes.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 namespace {
 namespace fs = std::filesystem;
@@ -473,7 +473,7 @@
             std::erase_if(events, [&](const Event& e) { return e.time > ended_; });
             std::map<std::string, Time> submitted;
             std::map<std::uint64_t, const Event*> asked;
-            std::set<TaskRef> begun;
+            std::set<TaskId> begun;
             std::map<std::string, std::map<std::uint64_t, Time>> written; // not in force at a node
             for (const Event& e : events) {
                 checker.take(e);
@@ -497,7 +497,7 @@
     }
 
     void measure(const Event& e, std::map<std::string, Time>& submitted,
-                 std::map<std::uint64_t, const Event*>& asked, std::set<TaskRef>& begun) {
+                 std::map<std::uint64_t, const Event*>& asked, std::set<TaskId>& begun) {
         using Kind = Event::Kind;
         bool in_window = e.time >= window_from_ && e.time < window_from_ + window_s_;
         if (e.kind == Kind::submit) {
@@ -729,4 +729,4 @@
     return Run(options).play();
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/run.h
+++ b/src/scale/run.h
@@ -3,10 +3,10 @@
 
 #include "scale/options.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 enum class Verdict { kept = 0, broken = 1 };
 // Throws CannotPlay.
 Verdict run(const Options& options);
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/stand_ins.cpp
+++ b/src/scale/stand_ins.cpp
@@ -9,7 +9,7 @@
 #include "scale/processes.h"
 #include "scale/state_store.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 namespace {
 constexpr double kLeaseLook_s = 0.05;
@@ -251,4 +251,4 @@
     loop.run();
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/state_store.cpp
+++ b/src/scale/state_store.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 Json StateStore::item(const std::string& key, const Entry& entry) {
     Json out{{"key", key}, {"data", entry.data}, {"graft", entry.version}};
@@ -160,4 +160,4 @@
     return Answer{200, {{"ring", revision_}, {"events", std::move(events)}}};
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/state_store.h
+++ b/src/scale/state_store.h
@@ -9,7 +9,7 @@
 
 #include "scale/messages.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 class StateStore {
   public:
@@ -64,4 +64,4 @@
     std::uint64_t next_lease_ = 1;
 };
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/users.cpp
+++ b/src/scale/users.cpp
@@ -8,7 +8,7 @@
 #include "scale/messages.h"
 #include "scale/processes.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 namespace {
 constexpr double kLook_s = 0.02;
@@ -37,8 +37,8 @@
         loop_.every(kProbe_s, [this] { probe(); });
         loop_.every(kLook_s, [this] { look(); });
         if (plan_.options().changes > 0) {
-            teams_ = plan_.teams();
-            first_ = teams_;
+            quotas_ = plan_.teams();
+            first_ = quotas_;
             loop_.every(1 / plan_.options().changes, [this] { change(); });
             loop_.every(kStanding_s, [this] { ask_standing(); });
         }
@@ -88,24 +88,24 @@
         if (!filled_) {
             return;
         }
-        std::size_t n = std::size_t(changed_++) % teams_.size();
-        TeamFacts& team = teams_[n];
-        bool lower = team.cpus_max == first_[n].cpus_max;
-        double lowered = first_[n].cpus_max / (n % 4 == 0 ? 8 : 2);
-        team.cpus_max = lower ? std::max(team.cpus, lowered) : first_[n].cpus_max;
+        std::size_t n = std::size_t(changed_++) % quotas_.size();
+        TeamQuota& quota = quotas_[n];
+        bool lower = quota.max_cpus == first_[n].max_cpus;
+        double lowered = first_[n].max_cpus / (n % 4 == 0 ? 8 : 2);
+        quota.max_cpus = lower ? std::max(quota.guaranteed_cpus, lowered) : first_[n].max_cpus;
         HttpCall c;
         c.host = plan_.host_of_stand_ins();
         c.port = plan_.state_port();
         c.path = "/txn";
-        c.body = pack_team_change(team);
+        c.body = pack_team_change(quota);
         Event e;
         e.kind = Event::Kind::limit;
         e.time = now();
-        e.stage = team.name;
-        e.amount = team.cpus_max;
+        e.stage = quota.name;
+        e.amount = quota.max_cpus;
         call(loop_, c, [this, e, n, lower](const HttpAnswer& a) mutable {
             if (a.status != 200) { // not written, for all that we know: it is tried again
-                teams_[n].cpus_max = lower ? first_[n].cpus_max : teams_[n].cpus_max;
+                quotas_[n].max_cpus = lower ? first_[n].max_cpus : quotas_[n].max_cpus;
                 return;
             }
             ++counters_.changes;
@@ -122,7 +122,7 @@
             c.host = plan_.node_host(n);
             c.port = plan_.back_port();
             c.path = "/config";
-            c.body = pack_standing_ask(teams_[0].name);
+            c.body = pack_standing_ask(quotas_[0].name);
             c.timeout_s = kProbeTimeout_s;
             call(loop_, c, [this, n](const HttpAnswer& a) {
                 if (a.status != 200) {
@@ -326,8 +326,8 @@
     Loop loop_;
     std::vector<Node> nodes_;
     std::map<std::string, Job> jobs_;
-    std::vector<TeamFacts> teams_; // as last written
-    std::vector<TeamFacts> first_;
+    std::vector<TeamQuota> quotas_; // as last written
+    std::vector<TeamQuota> first_;
     int changed_ = 0;
     std::map<int, std::uint64_t> in_force_; // by node
     std::uint64_t request_ = 0;
@@ -347,4 +347,4 @@
     Users(plan, counters, history).run();
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/scale/workers.cpp
+++ b/src/scale/workers.cpp
@@ -9,7 +9,7 @@
 #include "scale/http.h"
 #include "scale/processes.h"
 
-namespace orchidlanding::scale {
+namespace scheduler::scale {
 
 namespace {
 constexpr double kLook_s = 0.01;
@@ -26,14 +26,14 @@
           orders_(loop_, [this](const HttpRequest& r, Responder to) { on_direct(r, to); }),
           control_(loop_, [this](const HttpRequest& r, Responder to) { on_control(r, to); }) {
         around_.job = [this](const std::string& id) { return plan_.job(id); };
-        around_.run_s = [this](const TaskRef& task) { return plan_.run_s(task); };
-        around_.completed = [this](const TaskRef& task) { return completed_.contains(task); };
-        around_.came = [this](Time at, const std::string& machine, const TaskRef& task) {
+        around_.run_s = [this](const TaskId& task) { return plan_.run_s(task); };
+        around_.completed = [this](const TaskId& task) { return completed_.contains(task); };
+        around_.came = [this](Time at, const std::string& machine, const TaskId& task) {
             ++counters_.running;
             ++counters_.starts;
             write(at, Event::Kind::came, machine, task);
         };
-        around_.went = [this](Time at, const std::string& machine, const TaskRef& task, bool done) {
+        around_.went = [this](Time at, const std::string& machine, const TaskId& task, bool done) {
             --counters_.running;
             ++counters_.ends;
             if (done) {
@@ -69,7 +69,7 @@
         return std::uniform_real_distribution<>(from, to)(random_);
     }
 
-    void write(Time at, Event::Kind kind, const std::string& machine, const TaskRef& task) {
+    void write(Time at, Event::Kind kind, const std::string& machine, const TaskId& task) {
         int number = plan_.worker_of(machine);
         Event e;
         e.kind = kind;
@@ -270,12 +270,12 @@
     Counters& counters_;
     HistoryWriter history_;
     std::mt19937_64 random_;
-    MachineType type_;
+    InstanceType type_;
     Loop loop_;
     HollowWorker::Surroundings around_;
     std::map<int, Slot> slots_;
     std::map<std::string, int> by_host_;
-    std::set<TaskRef> completed_;
+    std::set<TaskId> completed_;
     using Due = std::pair<Time, int>;
     std::priority_queue<Due, std::vector<Due>, std::greater<>> queue_;
     HttpServer orders_;
@@ -287,4 +287,4 @@
     Workers(plan, counters, history).run();
 }
 
-} // namespace orchidlanding::scale
+} // namespace scheduler::scale
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -11,7 +11,7 @@
 
 #include "wire/codec.h"
 
-namespace orchidlanding::wire {
+namespace scheduler::wire {
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
@@ -32,7 +32,7 @@
 E enum_of(std::string_view text, const std::array<std::string_view, N>& names, const char* field) {
     auto it = std::find(names.begin(), names.end(), text);
     if (it == names.end()) {
-        throw BadMessage(std::string(field) + ": unknown value");
+        throw MessageError(std::string(field) + ": unknown value");
     }
     return static_cast<E>(it - names.begin());
 }
@@ -47,7 +47,7 @@
   public:
     explicit Fields(const msgpack::object& object) {
         if (object.type != msgpack::type::MAP) {
-            throw BadMessage("not a map");
+            throw MessageError("not a map");
         }
         map_ = object.via.map;
     }
@@ -66,7 +66,7 @@
     const msgpack::object& need(const char* name) const {
         const auto* value = get(name);
         if (!value) {
-            throw BadMessage(std::string(name) + ": missing");
+            throw MessageError(std::string(name) + ": missing");
         }
         return *value;
     }
@@ -76,7 +76,7 @@
     bool flag(const char* name) const {
         const auto& v = need(name);
         if (v.type != msgpack::type::BOOLEAN) {
-            throw BadMessage(std::string(name) + ": not a boolean");
+            throw MessageError(std::string(name) + ": not a boolean");
         }
         return v.via.boolean;
     }
@@ -94,13 +94,13 @@
 
     static std::string text_of(const msgpack::object& v, const char* name) {
         if (v.type != msgpack::type::STR) {
-            throw BadMessage(std::string(name) + ": not text");
+            throw MessageError(std::string(name) + ": not text");
         }
         return {v.via.str.ptr, v.via.str.size};
     }
     static std::uint64_t integer_of(const msgpack::object& v, const char* name) {
         if (v.type != msgpack::type::POSITIVE_INTEGER) {
-            throw BadMessage(std::string(name) + ": not a count");
+            throw MessageError(std::string(name) + ": not a count");
         }
         return v.via.u64;
     }
@@ -111,16 +111,16 @@
         } else if (v.type == msgpack::type::POSITIVE_INTEGER) {
             d = static_cast<double>(v.via.u64);
         } else {
-            throw BadMessage(std::string(name) + ": not an amount");
+            throw MessageError(std::string(name) + ": not an amount");
         }
         if (!std::isfinite(d) || d < 0) {
-            throw BadMessage(std::string(name) + ": out of range");
+            throw MessageError(std::string(name) + ": out of range");
         }
         return d;
     }
     static std::vector<const msgpack::object*> list_of(const msgpack::object& v, const char* name) {
         if (v.type != msgpack::type::ARRAY) {
-            throw BadMessage(std::string(name) + ": not a list");
+            throw MessageError(std::string(name) + ": not a list");
         }
         std::vector<const msgpack::object*> out;
         for (std::uint32_t i = 0; i < v.via.array.size; ++i) {
@@ -141,38 +141,38 @@
             msgpack::unpack(body.data(), body.size(), used, nullptr, nullptr,
                             msgpack::unpack_limit(1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20, 32));
         if (used != body.size()) {
-            throw BadMessage("not MessagePack: more than one value");
+            throw MessageError("not MessagePack: more than one value");
         }
         return handle;
     } catch (const msgpack::unpack_error&) {
-        throw BadMessage("not MessagePack");
+        throw MessageError("not MessagePack");
     }
 }
 
 inline std::string short_text(const Fields& f, const char* name) {
     std::string s = f.text(name);
     if (s.empty() || s.size() > kMostText) {
-        throw BadMessage(std::string(name) + ": empty or too long");
+        throw MessageError(std::string(name) + ": empty or too long");
     }
     return s;
 }
 
-inline TaskRef task_of(const std::string& text) {
+inline TaskId task_of(const std::string& text) {
     auto slash = text.find('/');
-    TaskRef ref;
+    TaskId ref;
     if (slash == std::string::npos || !valid_job_id(text.substr(0, slash))) {
-        throw BadMessage("petal: not a task id");
+        throw MessageError("petal: not a task id");
     }
     ref.job = text.substr(0, slash);
     const char* end = text.data() + text.size();
     auto [stop, error] = std::from_chars(text.data() + slash + 1, end, ref.index);
     if (error != std::errc() || stop != end) {
-        throw BadMessage("petal: not a task id");
+        throw MessageError("petal: not a task id");
     }
     return ref;
 }
 
-inline std::string text_of(const TaskRef& task) {
+inline std::string to_string(const TaskId& task) {
     return task.job + "/" + std::to_string(task.index);
 }
 
@@ -187,21 +187,21 @@
 JobSpec job_of(const Fields& f);
 void pack_job(Packer& p, const JobSpec& spec);
 // What the state service keeps, and the catalog (records.cpp).
-void pack_record(Packer& p, const Record& record);
-Record record_of(const std::string& key, const msgpack::object& value);
-std::vector<MachineType> types_of(const Fields& f);
-TeamFacts team_of(const Fields& f);
+void pack_record(Packer& p, const StoredRecord& record);
+StoredRecord record_of(const std::string& key, const msgpack::object& value);
+std::vector<InstanceType> instance_types_of(const Fields& f);
+TeamQuota quota_of(const Fields& f);
 // Between controllers (exchange.cpp).
-void pack_exchange(Packer& p, const Exchange& e);
-void pack_exchange_reply(Packer& p, const ExchangeReply& r);
-void pack_promise_ask(Packer& p, const PromiseAsk& a);
-void pack_promise_reply(Packer& p, const PromiseReply& r);
-PromiseReply promise_reply_of(const Fields& f);
-void pack_standing(Packer& p, const TeamStanding& s);
-TeamStanding standing_of(const Fields& f);
-void pack_cancelled(Packer& p, const std::vector<std::string>& jobs);
-ExchangeReply exchange_reply_of(const Fields& f);
-void pack_account(Packer& p, const AccountRecord& a);
-AccountRecord account_of(const Fields& f);
-
-} // namespace orchidlanding::wire
+void pack_peer_sync_request(Packer& p, const PeerSyncRequest& request);
+void pack_peer_sync_response(Packer& p, const PeerSyncResponse& response);
+void pack_lease_extension_request(Packer& p, const LeaseExtensionRequest& request);
+void pack_lease_extension_response(Packer& p, const LeaseExtensionResponse& response);
+LeaseExtensionResponse lease_extension_response_of(const Fields& f);
+void pack_quota_status(Packer& p, const QuotaStatus& s);
+QuotaStatus quota_status_of(const Fields& f);
+void pack_cancellations(Packer& p, const std::vector<std::string>& jobs);
+PeerSyncResponse peer_sync_response_of(const Fields& f);
+void pack_inventory(Packer& p, const InventoryRecord& a);
+InventoryRecord inventory_of(const Fields& f);
+
+} // namespace scheduler::wire
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -2,7 +2,7 @@
 #include "core/parts.h"
 #include "wire/fields.h"
 
-namespace orchidlanding::wire {
+namespace scheduler::wire {
 
 namespace {
 // Bits as hex text, four tasks a character: values may not be binary.
@@ -28,7 +28,7 @@
         } else if (c >= 'a' && c <= 'f') {
             nibble = c - 'a' + 10;
         } else {
-            throw BadMessage("bits: not hex");
+            throw MessageError("bits: not hex");
         }
         for (int j = 0; j < 4; ++j) {
             bits.push_back((nibble >> j) & 1);
@@ -39,81 +39,81 @@
 
 constexpr std::uint64_t kShareFormat = 1;
 
-ShareRecord shares_of(const Fields& f) {
+ShardHoldersRecord shares_of(const Fields& f) {
     if (f.integer("format") != kShareFormat) {
-        throw BadMessage("shares: unknown format");
+        throw MessageError("shares: unknown format");
     }
-    ShareRecord r;
+    ShardHoldersRecord r;
     for (const auto* holder : f.list("holders")) {
         r.holders.push_back(static_cast<int>(
-            std::min<std::uint64_t>(Fields::integer_of(*holder, "holders"), kMostParts)));
+            std::min<std::uint64_t>(Fields::integer_of(*holder, "holders"), kMaxPartitions)));
     }
     return r;
 }
 
-MachineType type_of(const Fields& f) {
-    MachineType t;
-    t.name = f.text("sku");
-    t.cpus = f.amount("cpus");
-    t.gpus = f.amount("cards");
-    t.ram_gb = f.amount("ram_gb");
-    t.cache_gb = f.amount("cache_gb");
-    t.fetch_gb_per_s = f.amount("pull_gb_per_s");
-    t.price = f.amount("rate");
-    t.spot_price = f.maybe_amount("market_price").value_or(t.price);
-    t.boot_s = f.amount("startup_s");
+InstanceType type_of(const Fields& f) {
+    InstanceType type;
+    type.name = f.text("sku");
+    type.cpus = f.amount("cpus");
+    type.gpus = f.amount("cards");
+    type.ram_gb = f.amount("ram_gb");
+    type.cache_gb = f.amount("cache_gb");
+    type.fetch_gb_per_s = f.amount("pull_gb_per_s");
+    type.price = f.amount("rate");
+    type.spot_price = f.maybe_amount("market_price").value_or(type.price);
+    type.boot_s = f.amount("startup_s");
     for (const auto* z : f.list("houses")) {
-        t.zones.push_back(Fields::text_of(*z, "houses"));
+        type.zones.push_back(Fields::text_of(*z, "houses"));
     }
-    if (t.cpus <= 0 || t.ram_gb <= 0) {
-        throw BadMessage("catalog: empty machine type");
+    if (type.cpus <= 0 || type.ram_gb <= 0) {
+        throw MessageError("catalog: empty machine type");
     }
-    return t;
+    return type;
 }
 
 constexpr std::uint64_t kTeamFormat = 1;
 
-void pack_types(Packer& p, const std::vector<MachineType>& types) {
+void pack_types(Packer& p, const std::vector<InstanceType>& types) {
     p.pack_map(1);
     key(p, "benches");
     p.pack_array(static_cast<std::uint32_t>(types.size()));
-    for (const auto& t : types) {
+    for (const auto& type : types) {
         p.pack_map(10);
-        field(p, "sku", t.name);
-        field(p, "cpus", t.cpus);
-        field(p, "cards", t.gpus);
-        field(p, "ram_gb", t.ram_gb);
-        field(p, "cache_gb", t.cache_gb);
-        field(p, "pull_gb_per_s", t.fetch_gb_per_s);
-        field(p, "rate", t.price);
-        field(p, "market_price", t.spot_price);
-        field(p, "startup_s", t.boot_s);
-        field(p, "houses", t.zones);
+        field(p, "sku", type.name);
+        field(p, "cpus", type.cpus);
+        field(p, "cards", type.gpus);
+        field(p, "ram_gb", type.ram_gb);
+        field(p, "cache_gb", type.cache_gb);
+        field(p, "pull_gb_per_s", type.fetch_gb_per_s);
+        field(p, "rate", type.price);
+        field(p, "market_price", type.spot_price);
+        field(p, "startup_s", type.boot_s);
+        field(p, "houses", type.zones);
     }
 }
 } // namespace
 
-std::vector<MachineType> types_of(const Fields& f) {
-    std::vector<MachineType> types;
+std::vector<InstanceType> instance_types_of(const Fields& f) {
+    std::vector<InstanceType> types;
     for (const auto* item : f.list("benches")) {
         types.push_back(type_of(Fields(*item)));
     }
     return types;
 }
 
-TeamFacts team_of(const Fields& f) {
+TeamQuota quota_of(const Fields& f) {
     if (f.integer("format") != kTeamFormat) {
-        throw BadMessage("team: unknown format");
+        throw MessageError("team: unknown format");
     }
-    TeamFacts t;
-    t.cpus = f.amount("cpus");
-    t.cpus_max = f.amount("cpus_max");
-    t.gpus = f.amount("gpus");
-    t.gpus_max = f.amount("gpus_max");
-    return t;
+    TeamQuota quota;
+    quota.guaranteed_cpus = f.amount("cpus");
+    quota.max_cpus = f.amount("cpus_max");
+    quota.guaranteed_gpus = f.amount("gpus");
+    quota.max_gpus = f.amount("gpus_max");
+    return quota;
 }
 
-void pack_record(Packer& p, const Record& record) {
+void pack_record(Packer& p, const StoredRecord& record) {
     if (const auto* job = std::get_if<JobRecord>(&record)) {
         p.pack_map(job->spec ? 2 : 1);
         field(p, "outcome", name_of(job->outcome, kOutcomes));
@@ -124,37 +124,37 @@
     } else if (const auto* progress = std::get_if<ProgressRecord>(&record)) {
         p.pack_map(1);
         field(p, "bits", hex_of(progress->done));
-    } else if (const auto* part = std::get_if<PartRecord>(&record)) {
+    } else if (const auto* partition = std::get_if<PartitionRecord>(&record)) {
         p.pack_map(2);
-        field(p, "node", part->node);
-        field(p, "knows_shares", part->knows_shares);
-    } else if (const auto* shares = std::get_if<ShareRecord>(&record)) {
+        field(p, "node", partition->node);
+        field(p, "knows_shares", partition->supports_sharding);
+    } else if (const auto* shards = std::get_if<ShardHoldersRecord>(&record)) {
         p.pack_map(2);
         field(p, "format", kShareFormat);
-        field(p, "holders", shares->holders);
+        field(p, "holders", shards->holders);
     } else if (const auto* machine = std::get_if<MachineRecord>(&record)) {
         p.pack_map(4);
         field(p, "endpoint", machine->endpoint);
         field(p, "type", machine->type);
         field(p, "zone", machine->zone);
         field(p, "spot", machine->spot);
-    } else if (const auto* account = std::get_if<AccountRecord>(&record)) {
-        pack_account(p, *account);
+    } else if (const auto* account = std::get_if<InventoryRecord>(&record)) {
+        pack_inventory(p, *account);
     } else if (const auto* catalog = std::get_if<CatalogRecord>(&record)) {
         pack_types(p, catalog->types);
-    } else if (const auto* team = std::get_if<TeamRecord>(&record)) {
+    } else if (const auto* team = std::get_if<QuotaRecord>(&record)) {
         p.pack_map(5);
         field(p, "format", kTeamFormat);
-        field(p, "cpus", team->facts.cpus);
-        field(p, "cpus_max", team->facts.cpus_max);
-        field(p, "gpus", team->facts.gpus);
-        field(p, "gpus_max", team->facts.gpus_max);
+        field(p, "cpus", team->quota.guaranteed_cpus);
+        field(p, "cpus_max", team->quota.max_cpus);
+        field(p, "gpus", team->quota.guaranteed_gpus);
+        field(p, "gpus_max", team->quota.max_gpus);
     } else {
         p.pack_nil();
     }
 }
 
-Record record_of(const std::string& key, const msgpack::object& value) {
+StoredRecord record_of(const std::string& key, const msgpack::object& value) {
     try {
         Fields f(value);
         if (key.starts_with("job/")) {
@@ -164,7 +164,7 @@
                 r.spec = job_of(Fields(*job));
             }
             if (!r.spec && r.outcome == Outcome::none) {
-                return Unreadable{};
+                return UnreadableRecord{};
             }
             return r;
         }
@@ -176,25 +176,25 @@
                 return shares_of(f);
             }
             // A node of the version before does not say that it knows shares.
-            return PartRecord{f.text("node"), f.get("knows_shares") && f.flag("knows_shares")};
+            return PartitionRecord{f.text("node"), f.get("knows_shares") && f.flag("knows_shares")};
         }
-        if (key.starts_with(kTeamConfig)) {
-            return TeamRecord{team_of(f)};
+        if (key.starts_with(kQuotaConfigPrefix)) {
+            return QuotaRecord{quota_of(f)};
         }
         if (key == "catalog") {
-            return CatalogRecord{types_of(f)};
+            return CatalogRecord{instance_types_of(f)};
         }
         if (key.starts_with("account/")) {
-            return account_of(f);
+            return inventory_of(f);
         }
         if (key.starts_with("machine/")) {
             return MachineRecord{f.text("endpoint"), f.text("type"), f.text("zone"),
                                  f.flag("spot")};
         }
-    } catch (const BadMessage&) {
-        return Unreadable{};
+    } catch (const MessageError&) {
+        return UnreadableRecord{};
     }
-    return Unreadable{};
+    return UnreadableRecord{};
 }
 
-} // namespace orchidlanding::wire
+} // namespace scheduler::wire
