--- a/src/core/jobs/job_persistence.cpp
+++ b/src/core/jobs/job_persistence.cpp
@@ -92,7 +92,7 @@
     double changes_per_s = kProgressShare * settings_.store_writes_per_s;
     next_progress_at_ =
         now + std::max(settings_.heartbeat_interval_s / 3, changes * partitions / changes_per_s);
-    if (leadership_.committed(requests_, response, "progress")) {
+    if (leadership_.check_committed(requests_, response, "progress")) {
         for (const auto& chunk : chunks) {
             jobs_.on_chunk_saved(chunk, response.revision);
         }
@@ -148,7 +148,7 @@
         job->finish_in_flight = false;
         job->finish_retry_at = now + settings_.heartbeat_interval_s / 6;
     }
-    if (leadership_.committed(requests_, response, "outcome")) {
+    if (leadership_.check_committed(requests_, response, "outcome")) {
         requests_.log(LogLevel::info, "event=job_completed job=" + id);
         job_cache_.observe_outcome(now, id, Outcome::done);
         delegate_.on_completion_durable(id);
--- a/src/core/leadership/leadership.cpp
+++ b/src/core/leadership/leadership.cpp
@@ -4,24 +4,24 @@
 
 namespace {
 // When no more than these attempt numbers are left in a term, the leader campaigns for a later one.
-constexpr std::uint64_t kAttemptsLeft = 4096;
+constexpr std::uint64_t kMinAttemptsLeft = 4096;
 } // namespace
 
-bool Leadership::committed(OutboundRequests& requests, const OutboundResponse& response,
-                           const char* what) {
+bool Leadership::check_committed(OutboundRequests& requests, const OutboundResponse& response,
+                                 const char* write_name) {
     if (response.status == 200) {
         return true;
     }
     if (response.failed_on(partition_key(partition_))) {
         deposed_ = true;
     }
-    requests.log(LogLevel::info, std::string("event=store_write_failed write=") + what +
+    requests.log(LogLevel::info, std::string("event=store_write_failed write=") + write_name +
                                      " status=" + std::to_string(response.status));
     return false;
 }
 
 std::uint64_t Leadership::next_attempt(int partition, bool gang) {
-    if (next_attempt_ + kAttemptsLeft >= 1ULL << kCounterBits) {
+    if (next_attempt_ + kMinAttemptsLeft >= 1ULL << kCounterBits) {
         deposed_ = true;
     }
     return make_attempt(term_, next_attempt_++, partition, gang);
--- a/src/core/leadership/leadership.h
+++ b/src/core/leadership/leadership.h
@@ -26,9 +26,10 @@
     StoreTransaction guarded_transaction() const {
         return StoreTransaction{{{partition_key(partition_), term_}}, {}};
     }
-    // Whether the write took effect; a failure is logged, `what` naming the write. Also notices
+    // Whether the write took effect; a failure is logged, named by `write_name`. Also notices
     // when the store refused it because another leadership has begun.
-    bool committed(OutboundRequests& requests, const OutboundResponse& response, const char* what);
+    bool check_committed(OutboundRequests& requests, const OutboundResponse& response,
+                         const char* write_name);
     // An attempt number for tasks of jobs of `partition`, never issued before.
     std::uint64_t next_attempt(int partition, bool gang);
     // Whether the attempt belongs to a job of this partition.
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -74,7 +74,7 @@
 // Machines that the registry has recorded durably may run tasks from now on.
 void PartitionLeader::on_machines_registered(Time now, const OutboundResponse& response,
                                              const std::vector<std::string>& names) {
-    leadership_.committed(requests_, response, "roster");
+    leadership_.check_committed(requests_, response, "roster");
     for (const auto& name : names) {
         if (Machine* machine = machines_.find(name)) {
             machine->registered = true;
@@ -792,11 +792,11 @@
     quota_evictor_.evict_over_quota(now);
     expire_leases(now);
     lender_.fence_lent_slots(now);
-    reconciliation_.probe_due();
+    reconciliation_.send_due_probes();
     reconciliation_.release_missing(now);
     try_reconcile(now);
     if (!failover_.reconciled()) {
-        failover_.count_doubtful_usage();
+        failover_.count_unreconciled_usage();
     }
     gang_scheduler_.supervise(now);
     preemptor_.expire_reservations(now);
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -152,9 +152,7 @@
     bool reconciled() const override { return failover_.reconciled(); }
     void on_peer_response(Time now) override;
     void on_slot_requests(Time now) override;
-    void request_inventory(const std::string& machine) override {
-        reconciliation_.probe_due(machine);
-    }
+    void request_inventory(const std::string& machine) override { reconciliation_.probe(machine); }
     void expect_machine(Time now, const ProvisionedMachine& machine) override {
         autoscaler_.expect_machine(now, machine);
     }
--- a/src/core/recovery/failover.cpp
+++ b/src/core/recovery/failover.cpp
@@ -12,7 +12,7 @@
 constexpr double kRewatchAfterErrorS = 0.5;
 } // namespace
 
-Failover::Failover(const Partition& partition, const FailoverState& state,
+Failover::Failover(const PartitionContext& partition, const FailoverState& state,
                    OutboundRequests& requests, Delegate& delegate)
     : partition_(partition), state_(state), requests_(requests), delegate_(delegate) {}
 
@@ -124,7 +124,7 @@
                       " shares=" + std::to_string(partition_.owned_shards.all().size()) +
                       " machines=" + std::to_string(state_.machines.all().size()));
     delegate_.on_partition_loaded(now);
-    count_doubtful_usage();
+    count_unreconciled_usage();
     try_reconcile(now);
 }
 
@@ -209,7 +209,7 @@
     if (Machine* machine = state_.machines.find(name)) { // it has reported while we were reading
         machine->registered = true;
         if (!machine->fenced) {
-            state_.reconciliation.expect(*machine);
+            state_.reconciliation.expect_inventory(*machine);
         }
         delegate_.update_slot_lists(*machine);
         return;
@@ -224,7 +224,7 @@
     if (!type) {
         report_unreadable(item);
         // Fenced off: its lease bound is waited out.
-        state_.reconciliation.expect(shard, name);
+        state_.reconciliation.expect_inventory(shard, name);
         return;
     }
     Machine& machine =
@@ -232,7 +232,7 @@
     machine.endpoint = record->endpoint;
     machine.registered = true;
     machine.last_heartbeat = now;
-    state_.reconciliation.expect(machine);
+    state_.reconciliation.expect_inventory(machine);
 }
 
 void Failover::report_unreadable(const KeyedRecord& item) {
@@ -290,7 +290,7 @@
         return;
     }
     advance_to(Phase::serving);
-    count_doubtful_usage();
+    count_unreconciled_usage();
     const Leadership& leadership = partition_.leadership;
     requests_.log(LogLevel::info,
                   "event=partition_reconciled partition=" + std::to_string(leadership.partition()) +
@@ -318,7 +318,7 @@
                        });
 }
 
-void Failover::count_doubtful_usage() {
+void Failover::count_unreconciled_usage() {
     std::map<std::string, QuotaLedger::DoubtfulUsage> doubtful;
     if (!reconciled()) {
         for (const auto& [id, job] : state_.jobs.all()) {
--- a/src/core/recovery/failover.h
+++ b/src/core/recovery/failover.h
@@ -47,7 +47,7 @@
         virtual void on_jobs_changed(Time now) = 0;
     };
     // What the partition is: fixed, or changed only by others.
-    struct Partition {
+    struct PartitionContext {
         const Leadership& leadership;
         const ClusterSettings& settings;
         const std::vector<ShardId>& all_shards; // of all partitions
@@ -55,8 +55,8 @@
         const OwnedShards& owned_shards;
         const InstanceTypeCatalog& instance_types;
     };
-    Failover(const Partition& partition, const FailoverState& state, OutboundRequests& requests,
-             Delegate& delegate);
+    Failover(const PartitionContext& partition, const FailoverState& state,
+             OutboundRequests& requests, Delegate& delegate);
 
     // Begins to read the partition's records.
     void start(Time now);
@@ -70,7 +70,7 @@
     void try_reconcile(Time now);
     // Counts for the quotas the tasks of older jobs that no inventory has shown yet: they may be
     // running all the same.
-    void count_doubtful_usage();
+    void count_unreconciled_usage();
 
     // All that is durable has been read.
     bool loaded() const { return phase_ >= Phase::reconciling; }
@@ -106,7 +106,7 @@
     void on_shard_reconciled(Time now, const ShardId& shard);
     bool all_shards_reconciled() const;
 
-    const Partition partition_;
+    const PartitionContext partition_;
     const FailoverState state_;
     OutboundRequests& requests_;
     Delegate& delegate_;
--- a/src/core/recovery/inventory_relay.cpp
+++ b/src/core/recovery/inventory_relay.cpp
@@ -152,7 +152,8 @@
         [this, partition, term = posted.term, end](Time, OutboundResponse& response) {
             writing_ = false;
             PostedInventory& written = posted_[partition];
-            if (!leadership_.committed(requests_, response, "account") || written.term != term) {
+            if (!leadership_.check_committed(requests_, response, "account") ||
+                written.term != term) {
                 return; // sent again at the next tick, or obsolete
             }
             written.pages_written = end;
--- a/src/core/recovery/reconciliation.cpp
+++ b/src/core/recovery/reconciliation.cpp
@@ -33,7 +33,7 @@
     for (const auto& name : shard.unreconciled) {
         pending_probes_.push_back({name, kProbeAttempts});
     }
-    probe_due();
+    send_due_probes();
 }
 
 std::vector<ShardId> Reconciliation::newly_reconciled(Time now) {
@@ -131,14 +131,14 @@
     return missing;
 }
 
-void Reconciliation::probe_due(const std::string& machine) {
+void Reconciliation::probe(const std::string& machine) {
     pending_probes_.push_back({machine, 1});
-    probe_due();
+    send_due_probes();
 }
 
 // Never sends more probes than may be in flight at once: a probe that has to wait in this process
 // would look as if the machine did not respond.
-void Reconciliation::probe_due() {
+void Reconciliation::send_due_probes() {
     while (probes_in_flight_ < settings_.max_concurrent_commands && !pending_probes_.empty()) {
         Probe probe = std::move(pending_probes_.front());
         pending_probes_.pop_front();
@@ -184,7 +184,7 @@
     if (probe.attempts_left > 1) {
         pending_probes_.push_back({probe.machine, probe.attempts_left - 1});
     }
-    probe_due();
+    send_due_probes();
 }
 
 } // namespace scheduler
--- a/src/core/recovery/reconciliation.h
+++ b/src/core/recovery/reconciliation.h
@@ -33,16 +33,16 @@
                    MachineTable& machines, OutboundRequests& requests, Delegate& delegate);
 
     // Starts the reconciliation of a shard that was gained at `now`.
-    void begin(Time now, const ShardId& shard) { shards_[shard] = {now, false, false, {}}; }
+    void add_shard(Time now, const ShardId& shard) { shards_[shard] = {now, false, false, {}}; }
     // Forgets a shard that is no longer owned.
-    void end(const ShardId& shard) { shards_.erase(shard); }
+    void remove_shard(const ShardId& shard) { shards_.erase(shard); }
     // The machine may run unknown tasks. Its shard must have begun; otherwise throws
     // std::out_of_range, as do the functions below that take an owned shard.
-    void expect(const Machine& machine) {
+    void expect_inventory(const Machine& machine) {
         shards_.at(machine.shard).unreconciled.insert(machine.name);
     }
     // As above, for a machine of the shard of which only the name is known.
-    void expect(const ShardId& shard, const std::string& name) {
+    void expect_inventory(const ShardId& shard, const std::string& name) {
         shards_.at(shard).unreconciled.insert(name);
     }
     // The machine's inventories are complete from now on, or the machine is gone.
@@ -50,9 +50,9 @@
     // The shard's machine registry has been read: its unreconciled machines are probed.
     void on_registry_read(const ShardId& shard);
     // Sends pending probes, as many as may be in flight at once.
-    void probe_due();
+    void send_due_probes();
     // Queues one probe of a machine whose inventory is awaited, and sends pending probes.
-    void probe_due(const std::string& machine);
+    void probe(const std::string& machine);
     bool is_registry_read(const ShardId& shard) const { return shards_.at(shard).registry_read; }
     // Marks and returns the shards that have become reconciled since the last call.
     std::vector<ShardId> newly_reconciled(Time now);
--- a/src/core/sharding/owned_shards.cpp
+++ b/src/core/sharding/owned_shards.cpp
@@ -40,7 +40,7 @@
 
 bool OwnedShards::may_serve(const ShardId& shard_id) const {
     const Shard* shard = find(shard_id);
-    return shard && shard->state != State::in_doubt;
+    return shard && shard->state != State::transfer_pending;
 }
 
 bool OwnedShards::may_lend(const ShardId& shard_id) const {
@@ -48,7 +48,7 @@
     return shard && shard->state == State::owned;
 }
 
-void OwnedShards::migrated_out(const ShardId& shard, std::uint64_t revision) {
+void OwnedShards::on_migrated_out(const ShardId& shard, std::uint64_t revision) {
     shards_.erase(shard);
     migrated_out_at_[shard] = revision;
     min_map_revision_ = std::max(min_map_revision_, revision);
--- a/src/core/sharding/owned_shards.h
+++ b/src/core/sharding/owned_shards.h
@@ -13,8 +13,9 @@
   public:
     enum class State {
         owned,
-        migrating, // none of its slots is given any more: it is about to migrate out
-        in_doubt   // a transaction that reassigns it is in flight: nothing may be answered for it
+        migrating,       // none of its slots is given any more: it is about to migrate out
+        transfer_pending // a transaction that reassigns it is in flight: nothing may be answered
+                         // for it
     };
     struct Shard {
         std::uint64_t term = 0; // the revision of the first read that showed this ownership
@@ -50,7 +51,7 @@
 
     void set_state(const ShardId& shard, State state) { shards_.at(shard).state = state; }
     // The shard is another partition's since this revision: maps read before it are ignored.
-    void migrated_out(const ShardId& shard, std::uint64_t revision);
+    void on_migrated_out(const ShardId& shard, std::uint64_t revision);
     // The previous owner announces that it transferred the shard to this partition at a revision.
     // That is as good as a read of that revision, as nobody but this partition can have reassigned
     // the shard since. Returns false if the announcement is outdated.
--- a/src/core/sharding/shard_balancer.cpp
+++ b/src/core/sharding/shard_balancer.cpp
@@ -79,9 +79,9 @@
     moves_left_at_ = now;
 }
 
-ShardBalancer::Pair
+ShardBalancer::LoadPair
 ShardBalancer::own_and_least_loaded(int self, const std::vector<PartitionLoad>& partitions) {
-    Pair pair;
+    LoadPair pair;
     for (const auto& partition : partitions) {
         if (partition.partition == self) {
             pair.own = &partition;
@@ -112,10 +112,10 @@
     return best;
 }
 
-std::optional<ShardMove> ShardBalancer::choose(Time now, int self,
-                                               const std::vector<PartitionLoad>& partitions,
-                                               const std::vector<ShardLoad>& shards,
-                                               double machine_slots) {
+std::optional<ShardMove> ShardBalancer::choose_move(Time now, int self,
+                                                    const std::vector<PartitionLoad>& partitions,
+                                                    const std::vector<ShardLoad>& shards,
+                                                    double machine_slots) {
     refill_moves(now);
     double total_slots = 0;
     for (const auto& partition : partitions) {
--- a/src/core/sharding/shard_balancer.h
+++ b/src/core/sharding/shard_balancer.h
@@ -58,19 +58,20 @@
     explicit ShardBalancer(const ClusterSettings& settings);
     // The migration that partition `self` should begin now, if any. `machine_slots`: the slots of
     // the largest instance type.
-    std::optional<ShardMove> choose(Time now, int self,
-                                    const std::vector<PartitionLoad>& partitions,
-                                    const std::vector<ShardLoad>& shards, double machine_slots);
+    std::optional<ShardMove> choose_move(Time now, int self,
+                                         const std::vector<PartitionLoad>& partitions,
+                                         const std::vector<ShardLoad>& shards,
+                                         double machine_slots);
     // The chosen migration has begun.
     void on_migration_started(Time now);
 
   private:
-    struct Pair {
+    struct LoadPair {
         const PartitionLoad* own = nullptr;
         const PartitionLoad* least_loaded = nullptr; // of those that accept shards
     };
     void refill_moves(Time now);
-    static Pair own_and_least_loaded(int self, const std::vector<PartitionLoad>& partitions);
+    static LoadPair own_and_least_loaded(int self, const std::vector<PartitionLoad>& partitions);
     static const ShardLoad* best_shard(const PartitionLoad& from, const PartitionLoad& to,
                                        const std::vector<ShardLoad>& shards);
 
--- a/src/core/sharding/shard_manager.cpp
+++ b/src/core/sharding/shard_manager.cpp
@@ -38,7 +38,7 @@
 // What runs on the shard's machines is not known yet: this partition's own tasks among it stay
 // recorded as borrowed until the machines have listed them.
 void ShardManager::on_shard_gained(Time now, const ShardId& shard) {
-    state_.reconciliation.begin(now, shard);
+    state_.reconciliation.add_shard(now, shard);
     state_.borrower.migrated_in(shard, owned_shards_.term(shard));
     if (owned_shards_.find(shard)->since > leadership_.since()) {
         requests_.log(LogLevel::info, "event=shard_acquired shard=" + to_string(shard) +
@@ -71,7 +71,7 @@
 }
 
 void ShardManager::on_migrated(Time now, const ShardId& shard, int to_partition) {
-    state_.reconciliation.end(shard);
+    state_.reconciliation.remove_shard(shard);
     state_.lender.unpublish_shard(shard);
     for (const auto& name : machine_names(shard)) {
         remove_machine(now, name, to_partition);
@@ -193,13 +193,13 @@
 void ShardManager::balance(Time now) {
     // Before this partition is reconciled, and its peers have been heard from, the loads are not
     // known well enough.
-    if (migration_.busy() || !delegate_.reconciled() ||
+    if (migration_.in_progress() || !delegate_.reconciled() ||
         now - leadership_.since() < settings_.worker_lease_s || types_.empty()) {
         return;
     }
-    auto move = balancer_.choose(now, leadership_.partition(), partition_loads(now),
-                                 shard_loads(now), max_slots_per_machine());
-    if (move && migration_.begin(now, move->shard, move->to_partition)) {
+    auto move = balancer_.choose_move(now, leadership_.partition(), partition_loads(now),
+                                      shard_loads(now), max_slots_per_machine());
+    if (move && migration_.start(now, move->shard, move->to_partition)) {
         balancer_.on_migration_started(now);
     }
 }
--- a/src/core/sharding/shard_manager.h
+++ b/src/core/sharding/shard_manager.h
@@ -51,7 +51,7 @@
     void accept_transfer(Time now, const ShardTransfer& transfer);
     // Begins to migrate the shard to another partition. Returns false if that is not possible now.
     bool migrate(Time now, const ShardId& shard, int to_partition) {
-        return migration_.begin(now, shard, to_partition);
+        return migration_.start(now, shard, to_partition);
     }
     // Advances the migration in progress. Called by the partition leader's timer.
     void tick(Time now) { migration_.tick(now); }
--- a/src/core/sharding/shard_migration.cpp
+++ b/src/core/sharding/shard_migration.cpp
@@ -19,7 +19,7 @@
     : leadership_(leadership), settings_(settings), partition_map_(partition_map),
       owned_shards_(owned_shards), requests_(requests), delegate_(delegate) {}
 
-bool ShardMigration::begin(Time now, const ShardId& shard, int to_partition) {
+bool ShardMigration::start(Time now, const ShardId& shard, int to_partition) {
     if (migration_ || to_partition == leadership_.partition() || !owned_shards_.may_lend(shard) ||
         !partition_map_.is_readable(shard.home_partition) ||
         !partition_map_.can_reassign(settings_.store_transaction_limit) ||
@@ -87,8 +87,8 @@
             }
         });
     if (migration.in_flight) {
-        owned_shards_.set_state(migration.shard, OwnedShards::State::in_doubt);
-    } else if (!migration.in_doubt) {
+        owned_shards_.set_state(migration.shard, OwnedShards::State::transfer_pending);
+    } else if (!migration.outcome_unknown) {
         migration.transaction.reset(); // held back by the rate limiter: rebuilt at the next try
         if (now - migration.since > kSendHeartbeats * settings_.heartbeat_interval_s) {
             abort("budget");
@@ -103,8 +103,8 @@
     if (response.status == 200) {
         complete(now, response.revision);
     } else if (response.status == 0) {
-        migration.in_doubt = true; // sent again until there is a response
-    } else if (!migration.in_doubt) {
+        migration.outcome_unknown = true; // sent again until there is a response
+    } else if (!migration.outcome_unknown) {
         abort(response.status == 409 ? "refused" : "unavailable"); // it was not executed
     } else if (response.status == 409) {
         // No copy can take effect from now on. Whether an earlier one has, the map will show.
@@ -124,7 +124,7 @@
                                       " to=" + std::to_string(to_partition) +
                                       " took_s=" + std::to_string(now - migration_->since));
     migration_.reset();
-    owned_shards_.migrated_out(shard, revision);
+    owned_shards_.on_migrated_out(shard, revision);
     delegate_.on_migrated(now, shard, to_partition);
     delegate_.announce_transfer(to_partition, {shard, revision, term});
 }
@@ -133,10 +133,10 @@
     ShardId shard = migration_->shard;
     migration_.reset();
     if (owned_shards_.find(shard)) {
-        bool was_in_doubt = !owned_shards_.may_serve(shard);
+        bool was_transfer_pending = !owned_shards_.may_serve(shard);
         owned_shards_.set_state(shard, OwnedShards::State::owned);
         delegate_.update_slot_lists(shard);
-        if (was_in_doubt) {
+        if (was_transfer_pending) {
             delegate_.republish_inventory(shard);
         }
     }
--- a/src/core/sharding/shard_migration.h
+++ b/src/core/sharding/shard_migration.h
@@ -27,10 +27,10 @@
                    const PartitionMap& partition_map, OwnedShards& owned_shards,
                    OutboundRequests& requests, Delegate& delegate);
 
-    bool busy() const { return migration_.has_value(); }
+    bool in_progress() const { return migration_.has_value(); }
     // Begins to migrate the shard. Returns false if it cannot be reassigned now, or if the other
     // partition has no leader to take it.
-    bool begin(Time now, const ShardId& shard, int to_partition);
+    bool start(Time now, const ShardId& shard, int to_partition);
     // Advances the migration. Called by the partition leader's timer and after map updates.
     void tick(Time now);
     // The partition map assigns the shard to another partition: its migration is over.
@@ -43,7 +43,7 @@
         Time since = 0;
         std::optional<StoreTransaction> transaction; // as it was first sent
         bool in_flight = false;
-        bool in_doubt = false;              // a copy of the transaction may still take effect
+        bool outcome_unknown = false;       // a copy of the transaction may still take effect
         std::uint64_t min_map_revision = 0; // a map of this revision or later decides; 0: none
         Time next = 0;                      // no retry before this
     };
--- a/src/core/stealing/slot_lender.cpp
+++ b/src/core/stealing/slot_lender.cpp
@@ -198,7 +198,7 @@
     response.reconciled = true;
     response.shards.emplace();
     for (const auto& [id, shard] : owned_shards_.all()) {
-        if (shard.state == OwnedShards::State::in_doubt) {
+        if (shard.state == OwnedShards::State::transfer_pending) {
             continue;
         }
         auto published = published_shards_.find(id);
--- a/tests/borrowing_test.cpp
+++ b/tests/borrowing_test.cpp
@@ -261,7 +261,7 @@
     o.reply(1, 2, all, response);
     const PeerSyncRequest* second = o.call_to(2, all, 2);
     EXPECT_EQ(second->acked_version, 0u); // so nothing has been taken in for good
-    o.holdings->migrated_out({0, 0}, 39);
+    o.holdings->on_migrated_out({0, 0}, 39);
     o.reply(2, 2, all, response);
     EXPECT_EQ(o.call_to(2, all, 3)->acked_version, 3u);
     EXPECT_TRUE(o.borrowing->is_inventoried({0, 0}));
--- a/tests/share_test.cpp
+++ b/tests/share_test.cpp
@@ -76,12 +76,12 @@
         for (int n = 0; n < 10; ++n) {
             shards.push_back({{0, n}, mine / 10, true});
         }
-        return balance.choose(now, 0,
-                              {{0, mine, capacity, false},
-                               {1, theirs, 1, true},
-                               {2, theirs * 2, 1, true},
-                               {3, 0, 1, false}}, // not heard of lately
-                              shards, 8);
+        return balance.choose_move(now, 0,
+                                   {{0, mine, capacity, false},
+                                    {1, theirs, 1, true},
+                                    {2, theirs * 2, 1, true},
+                                    {3, 0, 1, false}}, // not heard of lately
+                                   shards, 8);
     };
     EXPECT_FALSE(choose(100, 1000, 900)); // near enough
     auto move = choose(100, 1000, 500);
@@ -102,7 +102,7 @@
     int moves = 0;
     for (Time now = 0; now < 3600; now += 1) {
         std::vector<ShardLoad> shards{{{0, 1}, 10, true}};
-        if (balance.choose(now, 0, {{0, 1000, 1, false}, {1, 10, 1, true}}, shards, 8)) {
+        if (balance.choose_move(now, 0, {{0, 1000, 1, false}, {1, 10, 1, true}}, shards, 8)) {
             balance.on_migration_started(now);
             ++moves;
         }
@@ -291,7 +291,7 @@
     EXPECT_TRUE(h.read_map(28, others, 7).lost.empty()); // read before it was given
     EXPECT_TRUE(h.read_map(31, h.at_home(2), 30).gained.empty());
     EXPECT_EQ(h.holdings->term({2, 0}), 30u);
-    h.holdings->migrated_out({2, 0}, 40);
+    h.holdings->on_migrated_out({2, 0}, 40);
     EXPECT_FALSE(h.holdings->accept_transfer(0, {{2, 0}, 30, 20})); // the same word, late
     EXPECT_EQ(h.holdings->find({2, 0}), nullptr);
 }
@@ -334,8 +334,8 @@
 TEST(ShareMover, GivesNoSlotFromTheStartAndNoAnswerFromTheTransactionOn) {
     Moving m;
     m.quiet = false;
-    ASSERT_TRUE(m.mover->begin(100, {2, 0}, 3));
-    EXPECT_FALSE(m.mover->begin(100, {2, 1}, 3)); // one at a time
+    ASSERT_TRUE(m.mover->start(100, {2, 0}, 3));
+    EXPECT_FALSE(m.mover->start(100, {2, 1}, 3)); // one at a time
     EXPECT_FALSE(m.holdings->may_lend({2, 0}));
     EXPECT_TRUE(m.holdings->may_serve({2, 0}));
     m.mover->tick(100.1);
@@ -359,7 +359,7 @@
 TEST(ShareMover, WhatDoesNotSettleGoesAllTheSameAfterTwoReports) {
     Moving m;
     m.quiet = false;
-    ASSERT_TRUE(m.mover->begin(100, {2, 0}, 3));
+    ASSERT_TRUE(m.mover->start(100, {2, 0}, 3));
     m.mover->tick(100 + 2 * m.facts.heartbeat_interval_s);
     EXPECT_TRUE(m.sent().empty());
     m.mover->tick(100.1 + 2 * m.facts.heartbeat_interval_s);
@@ -369,10 +369,10 @@
 TEST(ShareMover, KeepsTheShareWhenTheTransactionWasNotExecuted) {
     for (int status : {409, 429, 503}) {
         Moving m;
-        ASSERT_TRUE(m.mover->begin(100, {2, 0}, 3));
+        ASSERT_TRUE(m.mover->start(100, {2, 0}, 3));
         m.mover->tick(100);
         m.reply(100.1, m.sent().at(0), status, 30);
-        EXPECT_FALSE(m.mover->busy());
+        EXPECT_FALSE(m.mover->in_progress());
         EXPECT_TRUE(m.holdings->may_lend({2, 0}));
         EXPECT_EQ(m.listed_again, 1); // listings have left it out
     }
@@ -381,7 +381,7 @@
 TEST(ShareMover, WithoutAnAnswerSendsTheSameAgainAndLetsTheMapDecide) {
     for (bool took_effect : {false, true}) {
         Moving m;
-        ASSERT_TRUE(m.mover->begin(100, {2, 0}, 3));
+        ASSERT_TRUE(m.mover->start(100, {2, 0}, 3));
         m.mover->tick(100);
         auto first = m.sent().at(0);
         m.reply(101, first, 0);
@@ -392,10 +392,11 @@
         EXPECT_EQ(std::get<StoreTransaction>(second.body).conditions.back().version,
                   std::get<StoreTransaction>(first.body).conditions.back().version);
         m.reply(102.1, second, 503); // not executed, but the first may be yet
-        EXPECT_EQ(m.state(), OwnedShards::State::in_doubt);
+        EXPECT_EQ(m.state(), OwnedShards::State::transfer_pending);
         m.mover->tick(103);
         m.reply(103.1, m.sent().at(0), 409, 40);
-        EXPECT_EQ(m.state(), OwnedShards::State::in_doubt); // the map as it was read says nothing
+        EXPECT_EQ(m.state(),
+                  OwnedShards::State::transfer_pending); // the map as it was read says nothing
         m.mover->tick(104);
         EXPECT_TRUE(m.sent().empty());
         auto holders = m.at_home(2);
@@ -405,7 +406,7 @@
             m.mover->on_shard_lost(shard);
         }
         m.mover->tick(105);
-        EXPECT_FALSE(m.mover->busy());
+        EXPECT_FALSE(m.mover->in_progress());
         EXPECT_EQ(m.holdings->find({2, 0}) == nullptr, took_effect);
         EXPECT_EQ(m.listed_again, took_effect ? 0 : 1);
     }
@@ -413,17 +414,17 @@
 
 TEST(ShareMover, MovesNothingToNobodyNorAFencedMap) {
     Moving m;
-    EXPECT_FALSE(m.mover->begin(100, {1, 0}, 3)); // not ours
-    EXPECT_FALSE(m.mover->begin(100, {2, 0}, 2)); // to ourselves
+    EXPECT_FALSE(m.mover->start(100, {1, 0}, 3)); // not ours
+    EXPECT_FALSE(m.mover->start(100, {2, 0}, 2)); // to ourselves
     OutboundResponse r = m.read();
     std::erase_if(r.entries, [](const auto& i) { return i.key == "part/3"; });
     r.revision = 50;
     ASSERT_TRUE(m.table.load(r, m.calls));
-    EXPECT_FALSE(m.mover->begin(100, {2, 0}, 3)); // its owner is gone
+    EXPECT_FALSE(m.mover->start(100, {2, 0}, 3)); // its owner is gone
     r = m.read({{PartitionMap::shards_key(2), UnreadableRecord{}, 51}});
     r.revision = 51;
     ASSERT_TRUE(m.table.load(r, m.calls));
-    EXPECT_FALSE(m.mover->begin(100, {2, 0}, 3));
+    EXPECT_FALSE(m.mover->start(100, {2, 0}, 3));
 }
 
 // ---- Several machines and failures ----
