--- a/src/core/leadership/leader_election.cpp
+++ b/src/core/leadership/leader_election.cpp
@@ -73,7 +73,7 @@
     }
     watching_map_ = requests_.send_to_store(
         now, StoreRateLimiter::Use::poll,
-        StoreWatch{PartitionMap::kPrefix, watch_from_, settings_.worker_lease_s},
+        StoreWatch{PartitionMap::kPrefix, watch_revision_, settings_.worker_lease_s},
         [this](Time at, OutboundResponse& response) {
             watching_map_ = false;
             on_watch_response(at, response);
@@ -82,11 +82,11 @@
 
 void LeaderElection::on_watch_response(Time now, const OutboundResponse& response) {
     if (response.status != 200) {
-        watch_from_ = response.status == 410 ? 0 : watch_from_;
+        watch_revision_ = response.status == 410 ? 0 : watch_revision_;
         next_watch_ = now + settings_.heartbeat_interval_s / 3;
         return;
     }
-    watch_from_ = std::max(watch_from_, response.revision);
+    watch_revision_ = std::max(watch_revision_, response.revision);
     if (!response.entries.empty() || !response.deleted.empty()) {
         reread_partition_map(now);
     }
@@ -166,9 +166,10 @@
 
 std::vector<int> LeaderElection::partitions_led_from_home() const {
     std::vector<int> partitions;
-    for (int p = 0; p < partition_map_.count(); ++p) {
-        if (partition_map_.at(p).leader == settings_.partitions[static_cast<std::size_t>(p)].node) {
-            partitions.push_back(p);
+    for (int partition = 0; partition < partition_map_.count(); ++partition) {
+        if (partition_map_.at(partition).leader ==
+            settings_.partitions[static_cast<std::size_t>(partition)].node) {
+            partitions.push_back(partition);
         }
     }
     return partitions;
@@ -183,7 +184,8 @@
         return;
     }
     ShardHolders readable = partition_map_.holders();
-    std::erase_if(readable, [&](const auto& h) { return !partition_map_.is_readable(h.first); });
+    std::erase_if(readable,
+                  [&](const auto& home) { return !partition_map_.is_readable(home.first); });
     auto max_writes =
         static_cast<std::size_t>(std::max(0, settings_.store_transaction_limit - kReservedWrites));
     ShardHolders next =
--- a/src/core/leadership/leader_election.h
+++ b/src/core/leadership/leader_election.h
@@ -78,7 +78,7 @@
     bool reading_map_ = false;
     bool watching_map_ = false;
     bool reclaiming_home_ = false;
-    std::uint64_t watch_from_ = 0; // store revision; 0: none is known
+    std::uint64_t watch_revision_ = 0; // store revision; 0: none is known
     Time next_read_ = 0;
     Time next_watch_ = 0;
     Time next_reclaim_ = 0;
--- a/src/core/leadership/lease_extender.cpp
+++ b/src/core/leadership/lease_extender.cpp
@@ -16,11 +16,11 @@
 
 LeaseExtender::LeaseExtender(const ClusterSettings& settings, double max_extension_s,
                              OutboundRequests& requests, LeadershipLease& lease,
-                             const JobRecordCache& job_cache, QuotaConfig& config)
+                             const JobRecordCache& job_cache, QuotaConfig& quota_config)
     : home_partition_(settings.home_partition),
-      heartbeat_interval_s_(settings.heartbeat_interval_s), lease_s_(settings.worker_lease_s),
-      max_extension_s_(max_extension_s), requests_(requests), lease_(lease), job_cache_(job_cache),
-      quotas_(config) {
+      heartbeat_interval_s_(settings.heartbeat_interval_s),
+      worker_lease_s_(settings.worker_lease_s), max_extension_s_(max_extension_s),
+      requests_(requests), lease_(lease), job_cache_(job_cache), quota_config_(quota_config) {
     for (const auto& partition : settings.partitions) {
         if (partition.node != settings.node) {
             peers_[partition.node];
@@ -55,7 +55,7 @@
     request.term = lease_.leads(home_partition_) ? lease_.term(home_partition_) : 0;
     request.duration_s = max_extension_s_;
     request.cancellations_age_s = std::max(0.0, now - known_until);
-    request.quota_revision = quotas_.revision();
+    request.quota_revision = quota_config_.revision();
     requests_.send(LeaseExtensionCall{node, request}, [this, node, request, cancelled, sent = now](
                                                           Time at, OutboundResponse& response) {
         Peer& peer = peers_.at(node);
@@ -71,7 +71,7 @@
                                 const LeaseExtensionResponse& response,
                                 const OnCancelled& cancelled) {
     for (const auto& change : response.quota_changes) { // granted or not
-        quotas_.apply(now, change);
+        quota_config_.apply(now, change);
     }
     peer.responded_at = now;
     peer.store_reachable = response.store_reachable;
@@ -79,7 +79,7 @@
                    lease_.term(home_partition_) == request.term;
     // The peer looked back by one worker lease more than it was asked to, for what came late; a
     // response that took longer than that may leave out a cancellation.
-    if (!response.granted || !current || now - sent > lease_s_) {
+    if (!response.granted || !current || now - sent > worker_lease_s_) {
         return;
     }
     for (const auto& job : response.cancelled_jobs) {
@@ -142,7 +142,7 @@
                                                      std::optional<Time> last_response) {
     LeaseExtensionResponse response;
     response.store_reachable = store_responsive(now, last_response);
-    response.quota_changes = quotas_.changes_since(request.quota_revision);
+    response.quota_changes = quota_config_.changes_since(request.quota_revision);
     if (request.term == 0 || response.store_reachable || leads_or_campaigns ||
         request.partition == home_partition_ || request.duration_s > max_extension_s_) {
         return response;
@@ -150,7 +150,7 @@
     // Every user that was told of a cancelled job was told by some controller; this one names all
     // that it has seen since the requester's knowledge was complete, and for one worker lease
     // before that, as the request may have arrived late.
-    Time since = now - request.cancellations_age_s - lease_s_;
+    Time since = now - request.cancellations_age_s - worker_lease_s_;
     auto cancelled = job_cache_.cancelled_since(since);
     if (started > since || !cancelled) {
         return response;
--- a/src/core/leadership/lease_extender.h
+++ b/src/core/leadership/lease_extender.h
@@ -25,7 +25,7 @@
     // `max_extension_s`: the duration that is requested, and the longest that is granted.
     LeaseExtender(const ClusterSettings& settings, double max_extension_s,
                   OutboundRequests& requests, LeadershipLease& lease,
-                  const JobRecordCache& job_cache, QuotaConfig& config);
+                  const JobRecordCache& job_cache, QuotaConfig& quota_config);
 
     // Whether the store, whose last response came at `last_response`, responded recently. Empty: it
     // has not responded to this process yet.
@@ -79,12 +79,12 @@
 
     int home_partition_;
     double heartbeat_interval_s_;
-    double lease_s_; // of workers
+    double worker_lease_s_; // of workers
     double max_extension_s_;
     OutboundRequests& requests_;
     LeadershipLease& lease_;
     const JobRecordCache& job_cache_;
-    QuotaConfig& quotas_;
+    QuotaConfig& quota_config_;
     std::map<std::string, Peer> peers_; // by node
     std::map<int, Time> granted_until_; // by partition
     Time next_request_ = 0;
--- a/src/core/leadership/partition_map.cpp
+++ b/src/core/leadership/partition_map.cpp
@@ -121,10 +121,10 @@
 }
 
 void PartitionMap::on_elected(int partition, const std::string& node, std::uint64_t version) {
-    Partition& p = partitions_[static_cast<std::size_t>(partition)];
-    p.leader = node;
-    p.version = version;
-    p.supports_sharding = true;
+    Partition& elected = partitions_[static_cast<std::size_t>(partition)];
+    elected.leader = node;
+    elected.version = version;
+    elected.supports_sharding = true;
 }
 
 void PartitionMap::on_shard_moved(const ShardId& shard, int to, std::uint64_t revision) {
@@ -143,15 +143,16 @@
 bool PartitionMap::can_reassign(int max_writes) const {
     bool fits = count() + max_writes <= kConditionsPerWrite * max_writes;
     return fits && revision_ > 0 &&
-           std::all_of(partitions_.begin(), partitions_.end(),
-                       [](const Partition& p) { return p.version == 0 || p.supports_sharding; });
+           std::all_of(partitions_.begin(), partitions_.end(), [](const Partition& partition) {
+               return partition.version == 0 || partition.supports_sharding;
+           });
 }
 
 std::vector<StoreCondition> PartitionMap::unchanged_conditions() const {
     std::vector<StoreCondition> all;
     all.reserve(partitions_.size());
-    for (int p = 0; p < count(); ++p) {
-        all.push_back({partition_key(p), at(p).version});
+    for (int partition = 0; partition < count(); ++partition) {
+        all.push_back({partition_key(partition), at(partition).version});
     }
     return all;
 }
--- a/src/core/recovery/failover.cpp
+++ b/src/core/recovery/failover.cpp
@@ -32,7 +32,7 @@
 
 void Failover::load_records(Time now, const StoreRange& range) {
     if (range.prefix == kJobPrefix && range.after.empty()) {
-        loading_since_ = now;
+        load_sent_at_ = now;
     }
     bool sent = requests_.send_to_store(
         now, StoreRateLimiter::Use::user, range,
@@ -48,7 +48,7 @@
         return;
     }
     if (range.prefix == kJobPrefix && range.after.empty()) {
-        watch_from_ = response.revision; // of the first page: later changes come by watch
+        watch_revision_ = response.revision; // of the first page: later changes come by watch
     }
     for (const auto& item : response.entries) {
         apply_record(now, item);
@@ -73,7 +73,7 @@
 
 void Failover::on_jobs_loaded(Time now) {
     // What changed since the first page was asked for is watched.
-    state_.staleness.advance(loading_since_);
+    state_.staleness.advance(load_sent_at_);
     if (loaded()) {
         return; // read again because the watch had fallen behind
     }
@@ -141,15 +141,15 @@
 }
 
 void Failover::apply_progress(const KeyedRecord& item) {
-    std::string rest = item.key.substr(sizeof(kProgressPrefix) - 1);
-    auto slash = rest.find('/');
+    std::string path = item.key.substr(sizeof(kProgressPrefix) - 1);
+    auto slash = path.find('/');
     const auto* record = std::get_if<ProgressRecord>(&item.record);
     if (!record || slash == std::string::npos) {
         report_unreadable(item);
         return;
     }
-    state_.jobs.load_progress(rest.substr(0, slash),
-                              static_cast<std::uint32_t>(std::atoi(rest.c_str() + slash + 1)),
+    state_.jobs.load_progress(path.substr(0, slash),
+                              static_cast<std::uint32_t>(std::atoi(path.c_str() + slash + 1)),
                               record->done, item.version);
 }
 
@@ -198,9 +198,9 @@
 }
 
 void Failover::apply_machine(Time now, const KeyedRecord& item) {
-    std::string rest = item.key.substr(sizeof(MachineRegistry::kPrefix) - 1);
-    std::string name = rest.substr(rest.find('/') + 1);
-    ShardId shard = shard_at_home(partition_.settings, std::atoi(rest.c_str()), name);
+    std::string path = item.key.substr(sizeof(MachineRegistry::kPrefix) - 1);
+    std::string name = path.substr(path.find('/') + 1);
+    ShardId shard = shard_at_home(partition_.settings, std::atoi(path.c_str()), name);
     const OwnedShards::Shard* own = partition_.owned_shards.find(shard);
     if (!own || state_.reconciliation.is_registry_read(shard)) {
         return; // another partition's, or known since it was read
@@ -247,7 +247,7 @@
     }
     watching_ = requests_.send_to_store(
         now, StoreRateLimiter::Use::user,
-        StoreWatch{kJobPrefix, watch_from_, StalenessBound::max_watch_s(partition_.settings)},
+        StoreWatch{kJobPrefix, watch_revision_, StalenessBound::max_watch_s(partition_.settings)},
         [this, sent = now](Time at, OutboundResponse& response) {
             watching_ = false;
             on_watch_response(at, sent, response);
@@ -259,7 +259,7 @@
         // Not to when the response came: it may have waited through a refusal, in which it heard
         // nothing.
         state_.staleness.advance(sent);
-        watch_from_ = std::max(watch_from_, response.revision);
+        watch_revision_ = std::max(watch_revision_, response.revision);
         for (const auto& item : response.entries) {
             apply_record(now, item);
         }
@@ -301,12 +301,12 @@
 void Failover::on_shard_reconciled(Time now, const ShardId& shard) {
     state_.lender.publish_shard(shard);
     state_.borrower.on_inventory_complete(now, shard);
-    Time since = partition_.owned_shards.find(shard)->since;
-    if (since > partition_.leadership.since()) {
+    Time gained_at = partition_.owned_shards.find(shard)->since;
+    if (gained_at > partition_.leadership.since()) {
         requests_.log(LogLevel::info,
                       "event=shard_reconciled shard=" + to_string(shard) +
                           " partition=" + std::to_string(partition_.leadership.partition()) +
-                          " took_s=" + std::to_string(now - since));
+                          " took_s=" + std::to_string(now - gained_at));
     }
 }
 
@@ -319,18 +319,18 @@
 }
 
 void Failover::count_unreconciled_usage() {
-    std::map<std::string, QuotaLedger::DoubtfulUsage> doubtful;
+    std::map<std::string, QuotaLedger::DoubtfulUsage> usage_by_team;
     if (!reconciled()) {
         for (const auto& [id, job] : state_.jobs.all()) {
             if (job->in_doubt) {
                 auto tasks = static_cast<double>(job->waiting.size());
-                QuotaLedger::DoubtfulUsage& usage = doubtful[job->spec.team];
+                QuotaLedger::DoubtfulUsage& usage = usage_by_team[job->spec.team];
                 usage.cpus += tasks * job->spec.cpus;
                 usage.gpus += tasks * job->spec.gpus;
             }
         }
     }
-    state_.quotas.set_doubtful(doubtful);
+    state_.quotas.set_doubtful(usage_by_team);
 }
 
 } // namespace scheduler
--- a/src/core/recovery/failover.h
+++ b/src/core/recovery/failover.h
@@ -114,8 +114,8 @@
     std::vector<StoreRange> failed_loads_; // sent again at the next tick
     // Reads under way, by key prefix: for which shards, owned under which terms.
     std::map<std::string, std::map<ShardId, std::uint64_t>> registry_reads_;
-    Time loading_since_ = 0;       // when the last read of all jobs was sent
-    std::uint64_t watch_from_ = 0; // revision from which on changes of jobs are watched
+    Time load_sent_at_ = 0;            // when the last read of all jobs was sent
+    std::uint64_t watch_revision_ = 0; // revision from which on changes of jobs are watched
     bool watching_ = false;
     Time next_watch_ = 0;
 };
--- a/src/core/recovery/inventory_relay.cpp
+++ b/src/core/recovery/inventory_relay.cpp
@@ -7,7 +7,7 @@
 namespace scheduler {
 
 namespace {
-constexpr char kPrefix[] = "account/";
+constexpr char kInventoryPrefix[] = "account/";
 // Heartbeat intervals that a new leader is given to call its peers; it calls at once when it can.
 constexpr double kCallGraceHeartbeats = 1;
 // Heartbeat intervals between two reads of what was posted for this partition.
@@ -53,24 +53,24 @@
       borrower_(borrower), requests_(requests), delegate_(delegate) {}
 
 std::string InventoryRelay::inventory_key(int partition, int holder, std::size_t page) {
-    return kPrefix + std::to_string(partition) + "/" + std::to_string(holder) + "/" +
+    return kInventoryPrefix + std::to_string(partition) + "/" + std::to_string(holder) + "/" +
            std::to_string(page);
 }
 
 void InventoryRelay::tick(Time now) {
-    post(now);
+    post_inventories(now);
     if (delegate_.awaits_inventories()) {
         if (now - leadership_.since() > kCallGraceHeartbeats * settings_.heartbeat_interval_s) {
-            read(now);
+            read_posted(now);
         }
     } else {
-        clear(now);
+        delete_read_pages(now);
     }
 }
 
 // ---- Posting, as the leader that owns shards ----
 
-void InventoryRelay::post(Time now) {
+void InventoryRelay::post_inventories(Time now) {
     for (int partition = 0; partition < partition_map_.count(); ++partition) {
         std::uint64_t term = partition_map_.at(partition).version;
         if (partition == leadership_.partition() || term == 0) {
@@ -80,9 +80,9 @@
         if (posted.term != term) {
             posted = {term, now, {}, 0, false};
         }
-        bool has_not_called = lender_.last_term_of(partition) < term || !posted.pages.empty();
-        if (posted.done || !has_not_called ||
-            now - posted.since < kCallGraceHeartbeats * settings_.heartbeat_interval_s) {
+        bool needs_post = lender_.last_term_of(partition) < term || !posted.pages.empty();
+        if (posted.done || !needs_post ||
+            now - posted.first_seen < kCallGraceHeartbeats * settings_.heartbeat_interval_s) {
             continue;
         }
         if (posted.pages.empty()) {
@@ -91,7 +91,7 @@
             }
         }
         if (!posted.pages.empty() && !writing_) {
-            writing_ = write(now, partition, posted);
+            writing_ = write_pages(now, partition, posted);
         }
     }
 }
@@ -139,7 +139,7 @@
 
 // Writes the next pages that are not written yet. A reader uses them only when all are there, so
 // the loss of some does no harm. Returns false if the rate limiter holds the write back.
-bool InventoryRelay::write(Time now, int partition, PostedInventory& posted) {
+bool InventoryRelay::write_pages(Time now, int partition, PostedInventory& posted) {
     StoreTransaction transaction = leadership_.guarded_transaction();
     transaction.conditions.push_back({partition_key(partition), posted.term});
     std::size_t end = std::min(posted.pages.size(), posted.pages_written + max_pages_per_write());
@@ -169,17 +169,17 @@
 
 // ---- Reading, as the new leader of a partition ----
 
-void InventoryRelay::read(Time now) {
+void InventoryRelay::read_posted(Time now) {
     if (reading_ || now < next_read_) {
         return;
     }
     next_read_ = now + kReadIntervalHeartbeats * settings_.heartbeat_interval_s;
-    std::string prefix = kPrefix + std::to_string(leadership_.partition()) + "/";
+    std::string prefix = kInventoryPrefix + std::to_string(leadership_.partition()) + "/";
     reading_ = requests_.send_to_store(now, StoreRateLimiter::Use::user, StoreRange{prefix, ""},
                                        [this](Time at, OutboundResponse& response) {
                                            reading_ = false;
                                            if (response.status == 200 && !response.more) {
-                                               apply(at, response.entries);
+                                               apply_inventories(at, response.entries);
                                            }
                                        });
 }
@@ -193,8 +193,8 @@
     for (const auto& entry : entries) {
         read_keys_.push_back(entry.key);
         const auto* page = std::get_if<InventoryRecord>(&entry.record);
-        std::string rest = entry.key.substr(sizeof(kPrefix) - 1);
-        int holder = std::atoi(rest.substr(rest.find('/') + 1).c_str());
+        std::string path = entry.key.substr(sizeof(kInventoryPrefix) - 1);
+        int holder = std::atoi(path.substr(path.find('/') + 1).c_str());
         if (!page || holder >= partition_map_.count()) {
             requests_.log(LogLevel::error, "event=record_unreadable key=" + entry.key);
         } else if (page->for_term == leadership_.term() &&
@@ -205,7 +205,7 @@
     return pages;
 }
 
-void InventoryRelay::apply(Time now, const std::vector<KeyedRecord>& entries) {
+void InventoryRelay::apply_inventories(Time now, const std::vector<KeyedRecord>& entries) {
     for (const auto& [holder, versions] : current_pages(entries)) {
         const auto& [version, pages] = *versions.rbegin();
         if (pages.size() != pages.front()->pages || applied_versions_[holder] == version) {
@@ -222,7 +222,7 @@
     }
 }
 
-void InventoryRelay::clear(Time now) {
+void InventoryRelay::delete_read_pages(Time now) {
     if (read_keys_.empty()) {
         return;
     }
--- a/src/core/recovery/inventory_relay.h
+++ b/src/core/recovery/inventory_relay.h
@@ -36,7 +36,7 @@
     // This partition's inventory as posted for the leader of one other partition.
     struct PostedInventory {
         std::uint64_t term = 0; // of that leader
-        Time since = 0;         // when that term was first seen
+        Time first_seen = 0;    // when that term was first seen
         std::vector<InventoryRecord> pages;
         std::size_t pages_written = 0;
         bool done = false;
@@ -46,15 +46,15 @@
     using PagesByHolder = std::map<int, std::map<std::uint64_t, PageList>>;
 
     static std::string inventory_key(int partition, int holder, std::size_t page);
-    void post(Time now);
-    bool write(Time now, int partition, PostedInventory& posted);
+    void post_inventories(Time now);
+    bool write_pages(Time now, int partition, PostedInventory& posted);
     std::size_t max_pages_per_write() const;
     std::vector<InventoryRecord> split_into_pages(const PeerSyncResponse& response,
                                                   std::uint64_t for_term) const;
-    void read(Time now);
-    void apply(Time now, const std::vector<KeyedRecord>& entries);
+    void read_posted(Time now);
+    void apply_inventories(Time now, const std::vector<KeyedRecord>& entries);
     PagesByHolder current_pages(const std::vector<KeyedRecord>& entries);
-    void clear(Time now);
+    void delete_read_pages(Time now);
 
     Leadership& leadership_;
     const ClusterSettings& settings_;
--- a/src/core/recovery/reconciliation.cpp
+++ b/src/core/recovery/reconciliation.cpp
@@ -43,7 +43,7 @@
             continue;
         }
         // Every lease that an earlier leader may have granted has expired by now.
-        if (now > shard.since + machines_.max_lease_s()) {
+        if (now > shard.gained_at + machines_.max_lease_s()) {
             shard.unreconciled.clear();
         }
         shard.reconciled = shard.unreconciled.empty();
@@ -100,11 +100,11 @@
 std::map<Time, Reconciliation::GainedGroup> Reconciliation::gained_groups() const {
     std::map<Time, GainedGroup> groups;
     for (const auto& [id, shard] : shards_) {
-        groups[shard.since].unreconciled += shard.unreconciled.size();
+        groups[shard.gained_at].unreconciled += shard.unreconciled.size();
     }
     for (const auto& [name, machine] : machines_.all()) {
         if (auto shard = shards_.find(machine.shard); shard != shards_.end()) {
-            ++groups[shard->second.since].total;
+            ++groups[shard->second.gained_at].total;
         }
     }
     return groups;
@@ -115,11 +115,11 @@
     double response_time_s = kResponseHeartbeats * settings_.heartbeat_interval_s;
     std::vector<std::string> missing;
     for (const auto& [id, shard] : shards_) {
-        const GainedGroup& group = groups[shard.since];
+        const GainedGroup& group = groups[shard.gained_at];
         if (2 * group.unreconciled > group.total) {
             continue;
         }
-        bool time_is_up = now - shard.since > response_time_s;
+        bool time_is_up = now - shard.gained_at > response_time_s;
         for (const auto& name : shard.unreconciled) {
             const Machine* machine = machines_.find(name);
             if (machine && !machine->reporting && !machine->releasing &&
--- a/src/core/recovery/reconciliation.h
+++ b/src/core/recovery/reconciliation.h
@@ -71,7 +71,7 @@
         int attempts_left = 0;
     };
     struct Shard {
-        Time since = 0; // when it was gained
+        Time gained_at = 0;
         bool registry_read = false;
         bool reconciled = false;
         std::set<std::string> unreconciled; // machine names
--- a/src/core/sharding/shard_balancer.cpp
+++ b/src/core/sharding/shard_balancer.cpp
@@ -37,10 +37,10 @@
     if (last_tick_ < 0) {
         last_tick_ = now;
         window_since_ = now;
-        raise_at_ = now + lease_s_;
+        next_raise_ = now + lease_s_;
         return;
     }
-    late_s_ += std::max(0.0, now - last_tick_ - tick_s_);
+    total_delay_s_ += std::max(0.0, now - last_tick_ - tick_s_);
     ++ticks_;
     last_tick_ = now;
     if (now - window_since_ >= heartbeat_interval_s_) {
@@ -49,15 +49,15 @@
 }
 
 void CpuHeadroom::end_window(Time now) {
-    if (late_s_ / ticks_ > kLateTickFraction * heartbeat_interval_s_) {
+    if (total_delay_s_ / ticks_ > kLateTickFraction * heartbeat_interval_s_) {
         value_ = std::max(kMinHeadroom, value_ * kHeadroomDecrease);
-        raise_at_ = now + lease_s_;
-    } else if (now >= raise_at_) {
+        next_raise_ = now + lease_s_;
+    } else if (now >= next_raise_) {
         value_ = std::min(1.0, value_ + kHeadroomIncrease);
-        raise_at_ = now + lease_s_;
+        next_raise_ = now + lease_s_;
     }
     window_since_ = now;
-    late_s_ = 0;
+    total_delay_s_ = 0;
     ticks_ = 0;
 }
 
@@ -69,7 +69,7 @@
 
 void ShardBalancer::on_migration_started(Time now) {
     moves_left_ -= 1;
-    next_ = now + kPauseHeartbeats * heartbeat_interval_s_;
+    next_move_ = now + kPauseHeartbeats * heartbeat_interval_s_;
 }
 
 // Adds the moves that the bound per hour has earned since the last call.
@@ -129,7 +129,7 @@
     }
     double max_ratio = rebalancing_ ? kEndLoadRatio : kBeginLoadRatio;
     rebalancing_ = load_of(*own) > max_ratio * load_of(*least_loaded);
-    if (!rebalancing_ || now < next_ || moves_left_ < 1) {
+    if (!rebalancing_ || now < next_move_ || moves_left_ < 1) {
         return std::nullopt;
     }
     const ShardLoad* best = best_shard(*own, *least_loaded, shards);
--- a/src/core/sharding/shard_balancer.h
+++ b/src/core/sharding/shard_balancer.h
@@ -26,9 +26,9 @@
     double value_ = 1;
     Time last_tick_ = -1; // below 0: none yet
     Time window_since_ = 0;
-    double late_s_ = 0; // total delay of the ticks in this window
-    int ticks_ = 0;     // in this window
-    Time raise_at_ = 0;
+    double total_delay_s_ = 0; // total delay of the ticks in this window
+    int ticks_ = 0;            // in this window
+    Time next_raise_ = 0;
 };
 
 // What a leader knows of the machines of a partition, its own included.
@@ -79,7 +79,7 @@
     double max_moves_per_hour_;
     double moves_left_; // that the bound per hour leaves
     Time moves_left_at_ = 0;
-    Time next_ = 0;            // no migration before this
+    Time next_move_ = 0;       // no migration before this
     bool rebalancing_ = false; // the difference has been large, and is not small yet
 };
 
--- a/src/core/sharding/shard_migration.cpp
+++ b/src/core/sharding/shard_migration.cpp
@@ -36,7 +36,7 @@
 }
 
 void ShardMigration::tick(Time now) {
-    if (!migration_ || migration_->in_flight || now < migration_->next) {
+    if (!migration_ || migration_->in_flight || now < migration_->next_try) {
         return;
     }
     if (migration_->min_map_revision > 0) {
@@ -46,7 +46,7 @@
         return;
     }
     if (migration_->transaction || delegate_.is_quiescent(migration_->shard) ||
-        now - migration_->since > kQuiescenceHeartbeats * settings_.heartbeat_interval_s) {
+        now - migration_->started_at > kQuiescenceHeartbeats * settings_.heartbeat_interval_s) {
         send(now);
     }
 }
@@ -80,9 +80,9 @@
     // From here on the shard may become the other partition's at any moment.
     migration.in_flight = requests_.send_to_store(
         now, StoreRateLimiter::Use::progress, *migration.transaction,
-        [this, shard = migration.shard, since = migration.since](Time at,
-                                                                 OutboundResponse& response) {
-            if (migration_ && migration_->shard == shard && migration_->since == since) {
+        [this, shard = migration.shard,
+         started_at = migration.started_at](Time at, OutboundResponse& response) {
+            if (migration_ && migration_->shard == shard && migration_->started_at == started_at) {
                 on_response(at, response);
             }
         });
@@ -90,7 +90,7 @@
         owned_shards_.set_state(migration.shard, OwnedShards::State::transfer_pending);
     } else if (!migration.outcome_unknown) {
         migration.transaction.reset(); // held back by the rate limiter: rebuilt at the next try
-        if (now - migration.since > kSendHeartbeats * settings_.heartbeat_interval_s) {
+        if (now - migration.started_at > kSendHeartbeats * settings_.heartbeat_interval_s) {
             abort("budget");
         }
     }
@@ -99,7 +99,7 @@
 void ShardMigration::on_response(Time now, const OutboundResponse& response) {
     Migration& migration = *migration_;
     migration.in_flight = false;
-    migration.next = now + settings_.heartbeat_interval_s / kRetriesPerHeartbeat;
+    migration.next_try = now + settings_.heartbeat_interval_s / kRetriesPerHeartbeat;
     if (response.status == 200) {
         complete(now, response.revision);
     } else if (response.status == 0) {
@@ -122,7 +122,7 @@
     requests_.log(LogLevel::info, "event=shard_migrated shard=" + to_string(shard) +
                                       " from=" + std::to_string(leadership_.partition()) +
                                       " to=" + std::to_string(to_partition) +
-                                      " took_s=" + std::to_string(now - migration_->since));
+                                      " took_s=" + std::to_string(now - migration_->started_at));
     migration_.reset();
     owned_shards_.on_migrated_out(shard, revision);
     delegate_.on_migrated(now, shard, to_partition);
--- a/src/core/sharding/shard_migration.h
+++ b/src/core/sharding/shard_migration.h
@@ -40,12 +40,12 @@
     struct Migration {
         ShardId shard;
         int to_partition = 0;
-        Time since = 0;
+        Time started_at = 0;
         std::optional<StoreTransaction> transaction; // as it was first sent
         bool in_flight = false;
         bool outcome_unknown = false;       // a copy of the transaction may still take effect
         std::uint64_t min_map_revision = 0; // a map of this revision or later decides; 0: none
-        Time next = 0;                      // no retry before this
+        Time next_try = 0;                  // no retry before this
     };
     void send(Time now);
     bool map_allows_reassignment() const;
