--- a/src/core/recovery/failover.cpp
+++ b/src/core/recovery/failover.cpp
@@ -8,7 +8,8 @@
 namespace scheduler {
 
 namespace {
-constexpr double kRewatchAfterReloadS = 1; // the watch had fallen behind: all jobs are read again
+// After the store discarded the revision that the watch started from: all jobs are read again.
+constexpr double kRewatchAfterReloadS = 1;
 constexpr double kRewatchAfterErrorS = 0.5;
 } // namespace
 
@@ -19,10 +20,10 @@
 void Failover::start(Time now) { load_records(now, {kJobPrefix, ""}); }
 
 void Failover::advance_to(Phase next) {
-    phase_ = std::max(phase_, next); // never back
+    phase_ = std::max(phase_, next); // a phase is never left for an earlier one
 }
 
-// ---- Reading what is durable ----
+// ---- Reading the records ----
 
 void Failover::retry_failed_loads(Time now) {
     for (const auto& range : std::exchange(failed_loads_, {})) {
@@ -48,7 +49,7 @@
         return;
     }
     if (range.prefix == kJobPrefix && range.after.empty()) {
-        watch_revision_ = response.revision; // of the first page: later changes come by watch
+        watch_revision_ = response.revision; // of the first page; the watch reports later changes
     }
     for (const auto& item : response.entries) {
         apply_record(now, item);
@@ -72,10 +73,10 @@
 }
 
 void Failover::on_jobs_loaded(Time now) {
-    // What changed since the first page was asked for is watched.
+    // Changes made after the first page was requested are reported by the watch.
     state_.staleness.advance(load_sent_at_);
     if (loaded()) {
-        return; // read again because the watch had fallen behind
+        return; // a repeated read, after the watch had fallen behind
     }
     load_records(now, {kProgressPrefix, ""});
 }
@@ -90,7 +91,7 @@
     }
     finish_loading(now);
     try_reconcile(now);
-    load_registries(now); // of shards that came meanwhile
+    load_registries(now); // of shards gained during the read
 }
 
 void Failover::load_registries(Time now) {
@@ -108,7 +109,7 @@
             load_records(now, {prefix, ""});
         }
     }
-    finish_loading(now); // it may own no shard at all
+    finish_loading(now); // the partition may own no shards
 }
 
 void Failover::finish_loading(Time now) {
@@ -161,19 +162,20 @@
         report_unreadable(item);
         return;
     }
-    // The read may be older than what this controller has been told: an outcome never changes.
+    // The cache may know a later version than this read. A recorded outcome never changes.
     Outcome outcome = state_.job_cache.outcome(id).value_or(record->outcome);
     if (record->spec && !partition_.own_teams.contains(record->spec->team)) {
         if (outcome == Outcome::cancelled) {
-            // Its tasks on slots lent to another partition are to stop.
+            // A job of another partition: its tasks on slots lent to that partition must stop.
             state_.jobs.record_outcome(id, Outcome::cancelled);
         }
-        return; // another partition's
+        return; // a job of another partition
     }
     if (outcome == Outcome::none) {
         apply_open_job(now, item, *record->spec);
     } else if (outcome == Outcome::cancelled) {
-        // Its tasks may still be on machines and count for their team until they are gone.
+        // Its tasks may still be running, and count towards their team's quota until they have
+        // exited.
         if (!loaded() && record->spec) {
             state_.jobs.add(now, *record->spec, item.version);
         }
@@ -189,7 +191,7 @@
         added->in_doubt = true;
     } else if (added) {
         state_.demand.on_job_arrived(now, spec);
-        state_.borrower.sync_soon(); // others may have slots where we have none
+        state_.borrower.sync_soon(); // peers may have idle slots that this partition lacks
     }
     if (added) {
         state_.queue.on_job_arrived(added->spec);
@@ -203,10 +205,10 @@
     ShardId shard = shard_at_home(partition_.settings, std::atoi(path.c_str()), name);
     const OwnedShards::Shard* own = partition_.owned_shards.find(shard);
     if (!own || state_.reconciliation.is_registry_read(shard)) {
-        return; // another partition's, or known since it was read
+        return; // of a shard not owned, or whose registry has been read before
     }
     state_.registry.on_loaded(name, item.version);
-    if (Machine* machine = state_.machines.find(name)) { // it has reported while we were reading
+    if (Machine* machine = state_.machines.find(name)) { // its heartbeat arrived during the read
         machine->registered = true;
         if (!machine->fenced) {
             state_.reconciliation.expect_inventory(*machine);
@@ -223,7 +225,9 @@
     const InstanceType* type = record ? partition_.instance_types.find(record->type) : nullptr;
     if (!type) {
         report_unreadable(item);
-        // Fenced off: its lease bound is waited out.
+        // Stays unreconciled, since it cannot be probed without a readable record: its shard is
+        // reconciled once every earlier worker lease has expired, or once the machine sends its
+        // inventory.
         state_.reconciliation.expect_inventory(shard, name);
         return;
     }
@@ -239,7 +243,7 @@
     requests_.log(LogLevel::error, "event=record_unreadable key=" + item.key);
 }
 
-// ---- Following the changes of jobs ----
+// ---- Watching for changes to jobs ----
 
 void Failover::watch_jobs(Time now) {
     if (watching_ || !loaded() || now < next_watch_) {
@@ -256,8 +260,8 @@
 
 void Failover::on_watch_response(Time now, Time sent, const OutboundResponse& response) {
     if (response.status == 200) {
-        // Not to when the response came: it may have waited through a refusal, in which it heard
-        // nothing.
+        // The sending time counts, not the arrival: the request may have been refused and retried
+        // in between, and changes during that time are not covered.
         state_.staleness.advance(sent);
         watch_revision_ = std::max(watch_revision_, response.revision);
         for (const auto& item : response.entries) {
@@ -275,10 +279,10 @@
 
 // ---- Reconciliation ----
 
-// No task of a job older than this term of leadership is placed until every machine that may carry
-// a task started by an earlier leader is accounted for: fenced and listed by its own heartbeat,
-// gone by a release, or lapsed by the clock; and until the leader that owns each other shard has
-// accounted in the same way for the tasks of ours there.
+// No task of a job older than this leadership term is placed until every machine that may run a
+// task started by an earlier leader is reconciled: it is fenced and its own heartbeat has listed
+// its tasks, it has been released, or its worker lease has expired by the clock. For shards of
+// other partitions, their leaders must have reconciled the tasks of this partition in the same way.
 void Failover::try_reconcile(Time now) {
     if (!loaded()) {
         return;
--- a/src/core/recovery/failover.h
+++ b/src/core/recovery/failover.h
@@ -1,7 +1,7 @@
 // Takes over a partition after a change of leadership: reads its jobs, completed-task bits and
-// machine registries from the store, follows later changes of jobs by a watch, and decides when
-// everything that earlier leaders may have started is reconciled. See "Failover" in docs/design.md.
-// Times in seconds of this controller's steady clock.
+// machine registries from the store, watches the store for later changes to jobs, and decides when
+// every task that earlier leaders may have started is reconciled. See "Failover" in docs/design.md.
+// Times are seconds on this controller's steady clock.
 #pragma once
 
 #include "core/jobs/job_record_cache.h"
@@ -17,9 +17,9 @@
 
 namespace scheduler {
 
-// The tables of a partition that the records read from the store go into.
+// The partition's tables that are filled from the records in the store.
 struct FailoverState {
-    JobRecordCache& job_cache; // the controller's, told of each job record that is read
+    JobRecordCache& job_cache; // shared by the whole controller; observes every job record read
     JobStore& jobs;
     MachineTable& machines;
     QuotaLedger& quotas;
@@ -34,54 +34,59 @@
 
 class Failover {
   public:
-    struct Delegate { // what it needs of the partition that it works for
+    // What the failover needs of its partition's leader.
+    struct Delegate {
         virtual ~Delegate() = default;
         virtual void update_slot_lists(Machine& machine) = 0;
         virtual void cancel_job(Time now, const std::string& id) = 0;
-        // Everything durable has been read. Machines that reported meanwhile listed tasks of jobs
-        // that were not known then.
+        // All records have been read. Heartbeats that arrived during the read may have listed tasks
+        // of jobs that were not known at the time.
         virtual void on_partition_loaded(Time now) = 0;
-        // Every task that an earlier leader may have started is accounted for.
+        // Every task that an earlier leader may have started is reconciled.
         virtual void on_reconciled(Time now) = 0;
-        // The watch has answered: what it told of may be placed, stopped or asked for elsewhere.
+        // The watch has responded and its changes are applied: tasks may have to be scheduled or
+        // stopped, or slots requested from peers.
         virtual void on_jobs_changed(Time now) = 0;
     };
-    // What the partition is: fixed, or changed only by others.
+    // The state of the partition that the failover reads and never changes.
     struct PartitionContext {
         const Leadership& leadership;
         const ClusterSettings& settings;
-        const std::vector<ShardId>& all_shards; // of all partitions
-        const std::set<std::string>& own_teams; // whose jobs this partition runs
+        const std::vector<ShardId>& all_shards; // the shards of all partitions
+        const std::set<std::string>& own_teams; // teams whose jobs this partition runs
         const OwnedShards& owned_shards;
         const InstanceTypeCatalog& instance_types;
     };
     Failover(const PartitionContext& partition, const FailoverState& state,
              OutboundRequests& requests, Delegate& delegate);
 
-    // Begins to read the partition's records.
+    // Starts to read the partition's records.
     void start(Time now);
-    // Sends the reads again that failed or could not be sent.
+    // Retries the reads that failed or could not be sent.
     void retry_failed_loads(Time now);
-    // Reads the machine registries of the home partitions of all owned shards not read yet.
+    // Reads the machine registries that list the machines of owned shards and are not read yet.
+    // Such a registry belongs to the home partition of the shard.
     void load_registries(Time now);
-    // Follows the changes of jobs, unless a watch is under way already.
+    // Starts a watch for changes to jobs, unless one is already in flight.
     void watch_jobs(Time now);
-    // Notes what has been reconciled since the last call and acts on it.
+    // Processes the shards that have been reconciled since the last call. Once all shards of all
+    // partitions are reconciled, starts to serve and calls on_reconciled.
     void try_reconcile(Time now);
-    // Counts for the quotas the tasks of older jobs that no inventory has shown yet: they may be
-    // running all the same.
+    // Counts the tasks of older jobs that no inventory has listed yet towards their team's quota,
+    // since they may be running.
     void count_unreconciled_usage();
 
-    // All that is durable has been read.
+    // Whether all records have been read.
     bool loaded() const { return phase_ >= Phase::reconciling; }
+    // Whether every task that an earlier leader may have started is reconciled.
     bool reconciled() const { return phase_ == Phase::serving; }
 
   private:
-    // Passed through in this order, each once per term of leadership.
+    // The phases of one leadership term, in this order. None is repeated.
     enum class Phase {
-        loading_jobs,       // and the bits of their completed tasks
+        loading_jobs,       // and their completed-task bits
         loading_registries, // of the machines of the shards owned so far
-        reconciling,        // tasks of jobs older than this term may be on unheard-of machines
+        reconciling,        // tasks of older jobs may run on machines that are not reconciled
         serving,
     };
 
@@ -111,11 +116,11 @@
     OutboundRequests& requests_;
     Delegate& delegate_;
     Phase phase_ = Phase::loading_jobs;
-    std::vector<StoreRange> failed_loads_; // sent again at the next tick
-    // Reads under way, by key prefix: for which shards, owned under which terms.
+    std::vector<StoreRange> failed_loads_; // retried at the next tick
+    // Registry reads in flight, by key prefix: the shards each is for, with their terms.
     std::map<std::string, std::map<ShardId, std::uint64_t>> registry_reads_;
     Time load_sent_at_ = 0;            // when the last read of all jobs was sent
-    std::uint64_t watch_revision_ = 0; // revision from which on changes of jobs are watched
+    std::uint64_t watch_revision_ = 0; // revision after which changes to jobs are watched
     bool watching_ = false;
     Time next_watch_ = 0;
 };
--- a/src/core/recovery/inventory_relay.cpp
+++ b/src/core/recovery/inventory_relay.cpp
@@ -1,4 +1,3 @@
-// Implementation of the inventory relay; see the header.
 #include "core/recovery/inventory_relay.h"
 
 #include <algorithm>
@@ -8,13 +7,14 @@
 
 namespace {
 constexpr char kInventoryPrefix[] = "account/";
-// Heartbeat intervals that a new leader is given to call its peers; it calls at once when it can.
+// Heartbeat intervals that a new leader has to reach its peers before the relay is used. A leader
+// that can reach them calls at once.
 constexpr double kCallGraceHeartbeats = 1;
-// Heartbeat intervals between two reads of what was posted for this partition.
+// Heartbeat intervals between two reads of the inventories posted for this partition.
 constexpr double kReadIntervalHeartbeats = 0.5;
-// Part of the store's value limit that a page fills, as its size is only estimated.
+// Fraction of the store's value limit that a page fills, as its size is only estimated.
 constexpr double kPageFill = 0.75;
-// Bytes of a transaction, of the 64 KiB that the store allows.
+// Bytes of pages in a transaction, which the store limits to 64 KiB.
 constexpr std::size_t kMaxTransactionBytes = std::size_t{48} * 1024;
 constexpr int kBytesPerKib = 1024;
 // Estimated sizes in a page, in bytes.
@@ -27,7 +27,7 @@
            remote_task.zone.size();
 }
 
-// The inventory that was split into these pages, all of one version.
+// Reassembles the inventory that was split into these pages, which all have the same version.
 PeerSyncResponse join_pages(const std::vector<const InventoryRecord*>& pages) {
     PeerSyncResponse response;
     response.term = pages.front()->term;
@@ -68,7 +68,7 @@
     }
 }
 
-// ---- Posting, as the leader that owns shards ----
+// ---- Posting, as a leader that owns shards ----
 
 void InventoryRelay::post_inventories(Time now) {
     for (int partition = 0; partition < partition_map_.count(); ++partition) {
@@ -119,7 +119,8 @@
     for (const auto& id : response.pending_launches) {
         page_for(kPendingLaunchBytes).pending_launches.push_back(id);
     }
-    if (pages.empty()) { // it owns no shards; posted all the same
+    if (pages
+            .empty()) { // without shards an empty page is posted, which says that nothing runs here
         page_for(0);
     }
     for (auto& page : pages) {
@@ -137,8 +138,9 @@
     return std::min(max_writes, std::max<std::size_t>(1, max_pages));
 }
 
-// Writes the next pages that are not written yet. A reader uses them only when all are there, so
-// the loss of some does no harm. Returns false if the rate limiter holds the write back.
+// Writes the next pages that are not written yet. A reader uses an inventory only when all its
+// pages are present, so it is safe if some are lost. Returns false if the rate limiter delays the
+// write.
 bool InventoryRelay::write_pages(Time now, int partition, PostedInventory& posted) {
     StoreTransaction transaction = leadership_.guarded_transaction();
     transaction.conditions.push_back({partition_key(partition), posted.term});
@@ -154,7 +156,7 @@
             PostedInventory& written = posted_[partition];
             if (!leadership_.check_committed(requests_, response, "account") ||
                 written.term != term) {
-                return; // sent again at the next tick, or obsolete
+                return; // failed and retried at the next tick, or for an outdated term
             }
             written.pages_written = end;
             if (end == written.pages.size()) {
@@ -184,8 +186,8 @@
                                        });
 }
 
-// The pages that were posted for this leader's term by the present leaders of other partitions.
-// Remembers all keys for the clean-up, also those of obsolete pages.
+// Returns the pages that the current leaders of other partitions posted for this leader's term.
+// Remembers the keys of all pages, outdated ones included, for their deletion.
 InventoryRelay::PagesByHolder
 InventoryRelay::current_pages(const std::vector<KeyedRecord>& entries) {
     PagesByHolder pages;
@@ -209,7 +211,7 @@
     for (const auto& [holder, versions] : current_pages(entries)) {
         const auto& [version, pages] = *versions.rbegin();
         if (pages.size() != pages.front()->pages || applied_versions_[holder] == version) {
-            continue; // incomplete, or applied before
+            continue; // incomplete, or already applied
         }
         applied_versions_[holder] = version;
         PeerSyncResponse response = join_pages(pages);
@@ -234,7 +236,8 @@
     for (std::size_t i = 0; i < count; ++i) {
         transaction.writes.push_back({read_keys_[i], {}, {}});
     }
-    // If this is lost, a key stays until the next inventory is posted for the partition.
+    // The result is ignored: if the transaction is lost, the keys stay until the next inventory is
+    // posted for this partition.
     if (requests_.send_to_store(now, StoreRateLimiter::Use::progress, std::move(transaction),
                                 [](Time, OutboundResponse&) {})) {
         read_keys_.erase(read_keys_.begin(),
--- a/src/core/recovery/inventory_relay.h
+++ b/src/core/recovery/inventory_relay.h
@@ -1,10 +1,10 @@
 // Relay of inventories through the key-value store.
 //
 // A new partition leader waits for the inventories of its peers: the tasks of its jobs that run on
-// machines of their shards. While the controllers cannot call each other, each leader that owns
-// shards posts its inventory to the store, and the new leader reads it there. Without the relay an
-// older task would wait beside idle slots until calls succeed again. See "While peers refuse calls"
-// in docs/sharding.md.
+// machines of their shards. While the controllers cannot reach each other, each leader that owns
+// shards posts its inventory to the store, and the new leader reads it there. Without the relay,
+// older tasks would stay pending despite idle slots until the peers are reachable again. See "While
+// peers refuse calls" in docs/sharding.md.
 #pragma once
 
 #include "core/stealing/slot_borrower.h"
@@ -20,7 +20,7 @@
     // What the relay needs of its partition's leader.
     struct Delegate {
         virtual ~Delegate() = default;
-        // Do older tasks wait for inventories of other partitions?
+        // Returns whether older tasks wait for inventories of other partitions.
         virtual bool awaits_inventories() const = 0;
         // An inventory has been applied: tasks that waited for it may be scheduled.
         virtual void resume_scheduling(Time now) = 0;
@@ -29,7 +29,8 @@
                    const PartitionMap& partition_map, SlotLender& lender, SlotBorrower& borrower,
                    OutboundRequests& requests, Delegate& delegate);
 
-    // Posts, reads or cleans up, as is due. Called by the partition leader's timer.
+    // Posts inventories, reads posted ones and deletes those no longer needed, whichever is due.
+    // Called by the partition leader's timer.
     void tick(Time now);
 
   private:
--- a/src/core/recovery/reconciliation.cpp
+++ b/src/core/recovery/reconciliation.cpp
@@ -1,4 +1,3 @@
-// Implementation of the reconciliation of machines; see the header.
 #include "core/recovery/reconciliation.h"
 
 #include <algorithm>
@@ -11,7 +10,7 @@
 // Probes sent to a machine after a failover: one to learn the agent epoch, one for the inventory,
 // and one spare.
 constexpr int kProbeAttempts = 3;
-// Releases of missing machines are this part of a heartbeat interval apart.
+// Missing machines are released at most this many times per heartbeat interval.
 constexpr double kReleasesPerHeartbeat = 6;
 } // namespace
 
@@ -70,7 +69,7 @@
         return;
     }
     if (unreconciled > responsive_count(now)) {
-        return; // more likely this controller is the one that is unreachable
+        return; // this controller itself is probably unreachable
     }
     std::vector<std::string> missing = missing_machines(now);
     if (!missing.empty()) {
@@ -87,7 +86,7 @@
     return count;
 }
 
-// Machines that this leader has heard from lately.
+// Counts the machines whose heartbeat or response arrived recently.
 std::size_t Reconciliation::responsive_count(Time now) const {
     double max_silence_s = kResponseHeartbeats * settings_.heartbeat_interval_s;
     std::size_t count = 0;
@@ -136,8 +135,8 @@
     send_due_probes();
 }
 
-// Never sends more probes than may be in flight at once: a probe that has to wait in this process
-// would look as if the machine did not respond.
+// Limits the probes in flight: a probe that waited in a local queue would make the machine look
+// unresponsive.
 void Reconciliation::send_due_probes() {
     while (probes_in_flight_ < settings_.max_concurrent_commands && !pending_probes_.empty()) {
         Probe probe = std::move(pending_probes_.front());
@@ -146,9 +145,9 @@
     }
 }
 
-// A probe is an empty direct command under this leader's fencing token: its response is an
-// inventory, and no command with an older token can take effect after it. The first response may
-// only tell the agent epoch.
+// A probe is an empty direct command with this leader's fencing token. The response is an
+// inventory, and the worker rejects commands with older tokens from then on. The first response may
+// state only the agent epoch.
 void Reconciliation::send_probe(const Probe& probe) {
     Machine* target = machines_.find(probe.machine);
     if (!target || target->fenced || target->releasing || target->endpoint.empty()) {
@@ -169,7 +168,7 @@
     if (!machine || !leadership_.is_active(now)) {
         return;
     }
-    if (response.never_sent) { // says nothing about the machine: sent again at the next tick
+    if (response.never_sent) { // no information about the machine: retried at the next tick
         pending_probes_.push_back(probe);
         return;
     }
--- a/src/core/recovery/reconciliation.h
+++ b/src/core/recovery/reconciliation.h
@@ -36,33 +36,35 @@
     void add_shard(Time now, const ShardId& shard) { shards_[shard] = {now, false, false, {}}; }
     // Forgets a shard that is no longer owned.
     void remove_shard(const ShardId& shard) { shards_.erase(shard); }
-    // The machine may run unknown tasks. Its shard must have begun; otherwise throws
-    // std::out_of_range, as do the functions below that take an owned shard.
+    // Marks the machine as unreconciled: it may run unknown tasks. Throws std::out_of_range if its
+    // shard has not been added; so do the functions below that require an owned shard.
     void expect_inventory(const Machine& machine) {
         shards_.at(machine.shard).unreconciled.insert(machine.name);
     }
-    // As above, for a machine of the shard of which only the name is known.
+    // Same, for a machine of the shard whose record is unreadable, so that only its name is known.
     void expect_inventory(const ShardId& shard, const std::string& name) {
         shards_.at(shard).unreconciled.insert(name);
     }
-    // The machine's inventories are complete from now on, or the machine is gone.
+    // Marks the machine as reconciled: its inventories are complete from now on, or it no longer
+    // exists.
     void on_inventory(const Machine& machine);
-    // The shard's machine registry has been read: its unreconciled machines are probed.
+    // The shard's machine registry has been read. Probes the shard's unreconciled machines.
     void on_registry_read(const ShardId& shard);
     // Sends pending probes, as many as may be in flight at once.
     void send_due_probes();
-    // Queues one probe of a machine whose inventory is awaited, and sends pending probes.
+    // Queues one probe of a machine whose inventory is required, and sends pending probes.
     void probe(const std::string& machine);
     bool is_registry_read(const ShardId& shard) const { return shards_.at(shard).registry_read; }
     // Marks and returns the shards that have become reconciled since the last call.
     std::vector<ShardId> newly_reconciled(Time now);
-    // False as well for a shard that is not owned.
+    // Returns false for a shard that is not owned.
     bool is_reconciled(const ShardId& shard) const;
     bool all_reconciled() const;
-    // Releases the few machines that neither respond nor send heartbeats to this leader while the
-    // others do: most likely they are gone. A release makes that certain long before their leases
-    // expire, and until it is certain no older task can be placed. Few means few of the machines
-    // gained at the same time: if most of these are silent, a network fault is more likely.
+    // Releases machines that neither respond nor send heartbeats to this leader, if most others do:
+    // they have probably failed. No older task can be placed until that is certain, and a release
+    // makes it certain long before their worker leases expire. If more than half of the machines
+    // gained at the same time are unreconciled, none of these is released, since a network fault is
+    // more likely.
     void release_missing(Time now);
 
   private:
