--- a/src/core/leadership/campaign_suspension.cpp
+++ b/src/core/leadership/campaign_suspension.cpp
@@ -10,9 +10,10 @@
 
 void CampaignSuspension::on_heartbeat(Time now, const std::string& machine) {
     if (is_suspended(now)) {
-        // Several machines reach this controller again, so it is no longer unreachable. Without
-        // this, after a time in which no worker could reach anyone, all controllers took themselves
-        // for unreachable, and no partition had a leader for two leases after the first heartbeat.
+        // Once several machines reach this controller again, it is no longer unreachable. Without
+        // this early end, after an outage between all workers and all controllers, every
+        // controller would consider itself unreachable, and no partition would have a leader for
+        // two worker leases after the first heartbeat.
         reconnected_machines_.insert(machine);
         if (reconnected_machines_.size() >= kMachinesToReconnect) {
             suspended_until_ = now;
--- a/src/core/leadership/campaign_suspension.h
+++ b/src/core/leadership/campaign_suspension.h
@@ -1,5 +1,6 @@
-// Keeps a controller that workers cannot reach from campaigning for partitions for a while, so that
-// other controllers get to lead them. The duration doubles until a worker is heard.
+// Suspends the campaigns of a controller that workers cannot reach, so that other controllers can
+// become leaders of its partitions. Each suspension lasts twice as long as the one before, until a
+// worker's heartbeat arrives.
 #pragma once
 
 #include <set>
@@ -15,9 +16,10 @@
         : worker_lease_s_(settings.worker_lease_s) {}
 
     bool is_suspended(Time now) const { return now < suspended_until_; }
-    // Workers do not reach this controller.
+    // Starts a suspension, because workers cannot reach this controller.
     void suspend(Time now);
-    // A worker's heartbeat arrived, whether or not this controller can serve it.
+    // A worker's heartbeat has arrived, whether or not this controller can serve the
+    // machine. Resets the backoff, and ends the suspension once enough machines have reconnected.
     void on_heartbeat(Time now, const std::string& machine);
 
   private:
@@ -26,8 +28,8 @@
 
     double worker_lease_s_;
     Time suspended_until_ = 0;
-    double backoff_leases_ = kInitialBackoffLeases; // of the next suspension
-    std::set<std::string> reconnected_machines_;    // heard during the present suspension
+    double backoff_leases_ = kInitialBackoffLeases; // length of the next suspension
+    std::set<std::string> reconnected_machines_;    // machines heard during this suspension
 };
 
 } // namespace scheduler
--- a/src/core/leadership/leader_election.cpp
+++ b/src/core/leadership/leader_election.cpp
@@ -8,11 +8,11 @@
 namespace scheduler {
 
 namespace {
-// Writes that a campaign's transaction keeps free of shard reassignments: the partition's own key,
-// and one to spare.
+// Writes of a campaign's transaction that are not available for shard reassignments: the
+// partition's own key and one spare.
 constexpr int kReservedWrites = 2;
-// A controller that has only just started, perhaps with all others, leaves foreign partitions alone
-// for this long.
+// A controller does not campaign for the home partitions of others for this long after its start,
+// since all controllers may be starting at the same time.
 constexpr double kStartupHeartbeats = 2;
 } // namespace
 
@@ -42,14 +42,14 @@
 
 void LeaderElection::reread_partition_map(Time now) {
     if (reading_map_) {
-        next_read_ = now; // the read in flight may be older
+        next_read_ = now; // the read in flight may return an older state
     } else {
         read_partition_map(now);
     }
 }
 
-// The map is read about once a second even when the watch reports nothing; the response also shows
-// whether the store serves this controller.
+// The map is read three times per heartbeat interval even when the watch reports nothing, because
+// the response also shows whether the store serves this controller.
 void LeaderElection::read_partition_map(Time now) {
     reading_map_ = true;
     next_read_ = now + settings_.heartbeat_interval_s / 3;
@@ -108,10 +108,14 @@
     }
 }
 
-// A partition may be campaigned for when its key is gone: by its home controller at once, by others
-// too unless they have only just started, perhaps all together, or the home controller reclaims it
-// (else the partition would go round among the others); or when the leader of record is this very
-// controller, whose earlier process is dead, since a controller runs one process at a time.
+// Returns whether this controller may campaign for the partition now. One of these must hold:
+// - The partition's key does not exist. Its home controller may campaign at once. Others may only
+// if
+//   they did not start recently, as all controllers may be starting at the same time, and if the
+//   home controller does not reclaim the partition, which would otherwise pass from one of the
+//   others to the next.
+// - The recorded leader is this controller. Then the record is from an earlier process, which has
+//   ended, since a controller runs one process at a time.
 bool LeaderElection::may_campaign_for(Time now, int partition) const {
     const PartitionMap::Partition& state = partition_map_.at(partition);
     bool started_long_ago =
@@ -131,8 +135,8 @@
         [this, partition, lease = lease_.store_lease()](Time at, OutboundResponse& response) {
             campaigns_.erase(partition);
             next_read_ = at;
-            // Without a response the campaign may still take effect: then the key names this
-            // controller, and the next read leads to a new campaign over it.
+            // Without a response the campaign may still have taken effect. Then the key names this
+            // controller, and the next read of the map starts a new campaign.
             if (response.status == 200 && lease_.store_lease() == lease) {
                 on_elected(at, partition, response.revision);
             }
@@ -161,7 +165,7 @@
     requests_.log(LogLevel::info, "event=leadership_acquired partition=" +
                                       std::to_string(partition) + " term=" + std::to_string(term));
     delegate_.on_leadership_acquired(now, partition);
-    reread_partition_map(now); // the leader acts for no shard before it has seen the map
+    reread_partition_map(now); // the leader serves no shards before it has read the map
 }
 
 std::vector<int> LeaderElection::partitions_led_from_home() const {
@@ -175,10 +179,11 @@
     return partitions;
 }
 
-// The machines of a partition whose leader is gone are spread over all partitions that are led from
-// home, not given to the one controller that takes over the partition's teams: in the campaign's
-// own transaction, so that there is no moment between. What does not fit into it stays with the
-// partition.
+// Adds the reassignment of the partition's shards to the campaign's transaction. The machines of a
+// partition that has lost its leader are distributed over all partitions led by their home
+// controllers, so that the controller that takes over the partition's teams does not get all of
+// them. It is the same transaction, so that the shards are never without a leader in between.
+// Shards that do not fit into it stay with the partition.
 void LeaderElection::reassign_shards_of(StoreTransaction& transaction, int partition) const {
     if (!partition_map_.can_reassign(settings_.store_transaction_limit)) {
         return;
@@ -227,7 +232,7 @@
     StoreTransaction transaction;
     transaction.conditions.push_back({partition_key(partition), term});
     transaction.writes.push_back({partition_key(partition), {}, {}});
-    // If this is lost, the key still names this controller, which then campaigns for it anew.
+    // If this transaction is lost, the key still names this controller, which then campaigns again.
     requests_.send_to_store(now, StoreRateLimiter::Use::renewal, std::move(transaction),
                             [](Time, OutboundResponse&) {});
     campaigns_.erase(partition);
--- a/src/core/leadership/leader_election.h
+++ b/src/core/leadership/leader_election.h
@@ -1,6 +1,6 @@
 // Decides which partitions this controller leads: reads and watches the partition map, campaigns
-// for partitions without a leader, reclaims its home partition and resigns. The controller learns
-// of the result through `Delegate` and owns the leaders themselves.
+// for partitions without a leader, reclaims its home partition and resigns. Reports each change
+// through `Delegate`; the controller owns the partition leaders.
 #pragma once
 
 #include <set>
@@ -18,9 +18,9 @@
   public:
     class Delegate {
       public:
-        // The term is in the lease and the partition map already.
+        // Called after the term has been added to the lease and the partition map.
         virtual void on_leadership_acquired(Time now, int partition) = 0;
-        // The lease still has the term; it is removed when this returns.
+        // Called before the term is removed from the lease.
         virtual void on_leadership_lost(int partition) = 0;
         virtual void on_partition_map_read(Time now) = 0;
 
@@ -33,21 +33,24 @@
                    const LeaseExtender& lease_extender, const CampaignSuspension& suspension,
                    const InstanceTypeSource& instance_types, Delegate& delegate);
 
-    // Reads the partition map when that is due, and keeps watching it.
+    // Reads the partition map if a read is due, and keeps a watch on it in flight.
     void follow_partition_map(Time now);
     // Reads the map now, unless a read is in flight.
     void read_partition_map_now(Time now);
-    // Reads the map again after what has just happened; a read in flight may be older.
+    // Reads the map again because it has just changed. If a read is in flight, which may return an
+    // older state, another one follows at the next call of follow_partition_map.
     void reread_partition_map(Time now);
-    // A controller that has been up for a while asks for its home partition back.
+    // Requests the home partition back from another leader, if this controller has been up for at
+    // least one worker lease.
     void reclaim_home_partition(Time now);
 
     bool leads_or_campaigns(int partition) const {
         return lease_.leads(partition) || campaigns_.contains(partition);
     }
-    // The leader found that its leadership is gone, or has to be renewed under a later term.
+    // Resigns from the partition, because its leader has found that another leadership has begun or
+    // that a later term is needed.
     void resign_deposed(Time now, int partition);
-    // Resigns from every partition and gives up the lease. `reason` goes to the log.
+    // Resigns from every partition and drops the lease. `reason` is logged.
     void resign_all(Time now, const char* reason);
 
   private:
@@ -78,7 +81,7 @@
     bool reading_map_ = false;
     bool watching_map_ = false;
     bool reclaiming_home_ = false;
-    std::uint64_t watch_revision_ = 0; // store revision; 0: none is known
+    std::uint64_t watch_revision_ = 0; // store revision; 0: unknown
     Time next_read_ = 0;
     Time next_watch_ = 0;
     Time next_reclaim_ = 0;
--- a/src/core/leadership/leadership.cpp
+++ b/src/core/leadership/leadership.cpp
@@ -3,7 +3,7 @@
 namespace scheduler {
 
 namespace {
-// When no more than these attempt numbers are left in a term, the leader campaigns for a later one.
+// When a term has no more than this many attempt numbers left, the leader campaigns for a new term.
 constexpr std::uint64_t kMinAttemptsLeft = 4096;
 } // namespace
 
--- a/src/core/leadership/leadership.h
+++ b/src/core/leadership/leadership.h
@@ -1,6 +1,6 @@
-// One leadership of a partition: its term, whether it may still be acted upon, and the attempt
-// numbers that are issued under it. Everything that works for the partition lives as long as its
-// leadership. Times in seconds of this controller's steady clock.
+// One leadership of a partition: its term, whether it is still active, and the attempt numbers
+// issued under it. The objects that serve the partition live as long as its leadership. Times are
+// seconds on this controller's steady clock.
 #pragma once
 
 #include "core/leadership/leadership_lease.h"
@@ -17,20 +17,21 @@
     int partition() const { return partition_; }
     std::uint64_t term() const { return term_; }
     Time since() const { return since_; }
-    // Whether commands and new answers may go out now.
+    // Whether commands and new responses may be sent now.
     bool is_active(Time now) const { return lease_.is_valid(now, partition_) && !deposed_; }
-    // The leadership turned out to be gone, or must be renewed under a later term.
+    // Whether another leadership has begun, or this one must be renewed under a later term.
     bool deposed() const { return deposed_; }
 
     // A transaction that takes effect only while this leadership lasts.
     StoreTransaction guarded_transaction() const {
         return StoreTransaction{{{partition_key(partition_), term_}}, {}};
     }
-    // Whether the write took effect; a failure is logged, named by `write_name`. Also notices
-    // when the store refused it because another leadership has begun.
+    // Returns whether the write took effect. Logs a failure under `write_name`. If the store
+    // refused the write because another leadership has begun, this one is deposed.
     bool check_committed(OutboundRequests& requests, const OutboundResponse& response,
                          const char* write_name);
-    // An attempt number for tasks of jobs of `partition`, never issued before.
+    // Returns a new attempt number, unique among all terms, for tasks of jobs of `partition`. Near
+    // the end of the term's attempt numbers, this leadership is deposed.
     std::uint64_t next_attempt(int partition, bool gang);
     // Whether the attempt belongs to a job of this partition.
     bool is_own_attempt(std::uint64_t attempt) const {
--- a/src/core/leadership/leadership_lease.h
+++ b/src/core/leadership/leadership_lease.h
@@ -1,6 +1,5 @@
-// Which partitions this controller may act for: its lease at the store, the partitions it leads
-// under that lease, their terms, and when all of it ends. Times in seconds of this controller's
-// steady clock.
+// This controller's lease at the store, the partitions that it leads under the lease, their terms,
+// and when the lease expires. Times are seconds on this controller's steady clock.
 #pragma once
 
 #include <map>
@@ -11,8 +10,8 @@
 
 namespace scheduler {
 
-// The drift that two steady clocks may show against each other, doubled for safety. A safety
-// bound, so neither a setting nor a policy.
+// Twice the largest assumed drift between two steady clocks, as a fraction. A safety bound, so it
+// is neither a setting nor part of the policy.
 inline constexpr double kMaxClockDrift = 0.001;
 
 class LeadershipLease {
@@ -22,21 +21,22 @@
     double ttl_s() const { return ttl_s_; }
     std::uint64_t store_lease() const { return store_lease_; }
     bool has_store_lease() const { return store_lease_ != 0; }
-    // Whether the lease at the store holds.
+    // Whether the lease at the store is valid.
     bool is_valid(Time now) const { return store_lease_ != 0 && now < valid_until_; }
-    // Whether commands and new answers may go out now for a partition that is led here: under the
-    // lease, or under the extensions granted by all peers, which cover one partition only.
+    // Whether commands and new responses may be sent now for a partition that this controller
+    // leads: under the lease, or under the extensions granted by all peers, which cover only one
+    // partition.
     bool is_valid(Time now, int partition) const {
         return is_valid(now) || (store_lease_ != 0 && partition == extended_partition_ &&
                                  leads(partition) && now < extended_until_);
     }
 
     void on_granted(std::uint64_t lease, Time sent);
-    // The time to live counts from the sending of the renewal: the lease cannot end earlier than
-    // that.
+    // The time to live counts from when the renewal was sent: the store counts from when it
+    // arrived, so the lease cannot expire at the store earlier than here.
     void on_renewed(Time sent);
     void on_lost();
-    // No peer campaigns for the partition before `until`.
+    // Extends the leadership of the partition: no peer campaigns for it before `until`.
     void extend(int partition, Time until);
 
     bool leads(int partition) const { return terms_.contains(partition); }
@@ -55,8 +55,8 @@
     std::map<int, std::uint64_t> terms_;
 };
 
-// A fencing token: the term of the machine's shard in the upper bits, below it a sequence number
-// that the shard's holder raises to fence off commands sent earlier.
+// A fencing token has the term of the machine's shard in its upper bits and, below these, a
+// sequence number that the shard's holder increments to fence off earlier commands.
 inline constexpr int kSequenceBits = 20;
 inline std::uint64_t make_fencing_token(std::uint64_t term, std::uint64_t sequence) {
     return (term << kSequenceBits) | sequence;
--- a/src/core/leadership/lease_extender.cpp
+++ b/src/core/leadership/lease_extender.cpp
@@ -5,12 +5,13 @@
 namespace scheduler {
 
 namespace {
-// Without a response of the store for this part of a heartbeat interval, a controller has lost
-// contact with it: while all is well the store responds once in a third of one.
+// The store counts as unresponsive after this fraction of a heartbeat interval without a response.
+// In normal operation it responds at least every third of an interval.
 constexpr double kStoreTimeoutHeartbeats = 0.5;
-// Between two requests to a peer, as a part of the longest extension.
-constexpr double kRequestInterval = 1.0 / 8;
-// For this many heartbeat intervals a response tells whether the peer reaches the store.
+// Time between two requests to a peer, as a fraction of the longest extension.
+constexpr double kRequestIntervalExtensions = 1.0 / 8;
+// A response states whether the peer reaches the store; it is valid for this many heartbeat
+// intervals.
 constexpr double kPeerStatusHeartbeats = 1.0;
 } // namespace
 
@@ -39,7 +40,7 @@
     if (store_responsive(now, last_response) || now < next_request_) {
         return;
     }
-    next_request_ = now + kRequestInterval * max_extension_s_;
+    next_request_ = now + kRequestIntervalExtensions * max_extension_s_;
     for (const auto& [node, peer] : peers_) {
         if (!peer.in_flight) {
             request_extension(now, known_until, node, cancelled);
@@ -70,15 +71,16 @@
                                 const LeaseExtensionRequest& request,
                                 const LeaseExtensionResponse& response,
                                 const OnCancelled& cancelled) {
-    for (const auto& change : response.quota_changes) { // granted or not
+    for (const auto& change : response.quota_changes) { // valid even if the extension was refused
         quota_config_.apply(now, change);
     }
     peer.responded_at = now;
     peer.store_reachable = response.store_reachable;
     bool current = request.term != 0 && lease_.leads(home_partition_) &&
                    lease_.term(home_partition_) == request.term;
-    // The peer looked back by one worker lease more than it was asked to, for what came late; a
-    // response that took longer than that may leave out a cancellation.
+    // The peer names cancellations from one worker lease earlier than requested, which allows for
+    // a late request. If the round trip took longer than that, the response may lack a
+    // cancellation.
     if (!response.granted || !current || now - sent > worker_lease_s_) {
         return;
     }
@@ -91,14 +93,14 @@
         peer.cancellations_known_until = kNeverKnown;
     }
     peer.cancellations_known_until = std::max(peer.cancellations_known_until, sent);
-    // The peer's clock began to count when the request arrived, which was after it was sent.
+    // The peer counts from when the request arrived, which was after it was sent.
     peer.extended_until =
         std::max(peer.extended_until, sent + request.duration_s * (1 - kMaxClockDrift));
     update_extension();
 }
 
-// The lease is extended until the earliest end of the extensions of all peers, each granted for the
-// present term.
+// Extends the lease until the first of the extensions of all peers expires. Each must have been
+// granted for the current term.
 void LeaseExtender::update_extension() {
     std::uint64_t term = lease_.term(home_partition_);
     Time until = peers_.empty() ? 0 : peers_.begin()->second.extended_until;
@@ -147,9 +149,9 @@
         request.partition == home_partition_ || request.duration_s > max_extension_s_) {
         return response;
     }
-    // Every user that was told of a cancelled job was told by some controller; this one names all
+    // Any cancellation confirmed to a user was confirmed by some controller. This one names all
     // that it has seen since the requester's knowledge was complete, and for one worker lease
-    // before that, as the request may have arrived late.
+    // before that, because the request may have arrived late.
     Time since = now - request.cancellations_age_s - worker_lease_s_;
     auto cancelled = job_cache_.cancelled_since(since);
     if (started > since || !cancelled) {
--- a/src/core/leadership/lease_extender.h
+++ b/src/core/leadership/lease_extender.h
@@ -1,13 +1,13 @@
-// Lease extensions between peers, by which leaders outlive a store outage that is longer than their
-// leases. While every peer has agreed not to campaign for a controller's home partition for a
-// stated time, the controller goes on leading it. See "An outage of the store longer than any
-// lease" in docs/design.md for the argument.
+// Lease extensions between peers, which keep leaders active during a store outage that is longer
+// than their leases. A controller continues to lead its home partition while every peer has agreed
+// not to campaign for it for a stated time. See "An outage of the store longer than any lease" in
+// docs/design.md for the argument.
 //
-// The requester's side: it asks every peer again and again while the store does not respond to it,
-// and counts each extension from the sending of the request. The granter's side: it grants only
-// while the store does not respond to it either, and counts from the arrival of the request; what
-// it granted is kept in memory alone, so a controller that has just started campaigns for no peer's
-// partition during the longest extension. Times in seconds of this controller's steady clock.
+// The requester sends requests to all peers repeatedly while the store does not respond to it, and
+// counts each extension from when it sent the request. The granter grants only while the store does
+// not respond to it either, and counts from when the request arrived. Grants are kept only in
+// memory, so a controller that has just started does not campaign for the partitions of its peers
+// for as long as the longest extension. Times are seconds on this controller's steady clock.
 #pragma once
 
 #include <functional>
@@ -22,32 +22,34 @@
 
 class LeaseExtender {
   public:
-    // `max_extension_s`: the duration that is requested, and the longest that is granted.
+    // `max_extension_s` is the duration requested, and the longest duration granted.
     LeaseExtender(const ClusterSettings& settings, double max_extension_s,
                   OutboundRequests& requests, LeadershipLease& lease,
                   const JobRecordCache& job_cache, QuotaConfig& quota_config);
 
-    // Whether the store, whose last response came at `last_response`, responded recently. Empty: it
-    // has not responded to this process yet.
+    // Whether the store responded recently. `last_response` is the time of its last response; empty
+    // if it has not responded to this process yet.
     bool store_responsive(Time now, std::optional<Time> last_response) const;
 
     // ---- Requesting extensions ----
-    // Asks all peers when the store is not responsive. `known_until`: every cancellation that any
-    // controller had seen by then is known here. `cancelled` is called for each job that peers have
-    // seen cancelled since, before their extension counts.
+    // Requests extensions from all peers while the store is not responsive. Every cancellation that
+    // any controller had seen by `known_until` is known here. `cancelled` is called for each job
+    // that a peer has seen cancelled since, before that peer's extension takes effect.
     using OnCancelled = std::function<void(Time, const std::string&)>;
     void tick(Time now, std::optional<Time> last_response, Time known_until,
               const OnCancelled& cancelled);
-    // Every cancellation that any controller had seen by then has been named to this one, under the
-    // leadership of this term: all peers have said so. Negative: not known.
+    // The time up to which all peers, under the leadership of this term, have named every
+    // cancellation that they had seen. Negative: unknown.
     Time cancellations_known_until(std::uint64_t term) const;
-    // A peer reaches the store and this controller does not: it alone is cut off.
+    // Whether a peer has recently reported that it reaches the store. While the store does not
+    // respond here, that means this controller is cut off from it.
     bool is_isolated(Time now) const;
-    // Peers have responded recently, and none of them reaches the store either.
+    // Whether peers have responded recently and none of them reaches the store.
     bool outage_is_cluster_wide(Time now) const;
 
     // ---- Granting extensions ----
-    // `leads_or_campaigns`: this controller leads the requested partition or campaigns for it.
+    // Grants or refuses an extension. `leads_or_campaigns`: this controller leads the requested
+    // partition or campaigns for it. `started` is when this process started.
     LeaseExtensionResponse handle_request(Time now, const LeaseExtensionRequest& request,
                                           bool leads_or_campaigns, Time started,
                                           std::optional<Time> last_response);
@@ -57,12 +59,12 @@
   private:
     static constexpr Time kNeverKnown = -1;
     struct Peer {
-        bool in_flight = false; // a request to it
+        bool in_flight = false; // a request to the peer
         std::optional<Time> responded_at;
-        bool store_reachable = false; // by its last response
-        std::uint64_t term = 0;       // that the next two members are about
+        bool store_reachable = false; // according to its last response
+        std::uint64_t term = 0;       // to which the next two members apply
         Time extended_until = 0;
-        // It has named every cancellation that it had seen by then.
+        // The peer has named every cancellation that it had seen by then.
         Time cancellations_known_until = kNeverKnown;
     };
     struct PeerContact {
@@ -74,12 +76,12 @@
     void on_response(Time now, Time sent, Peer& peer, const LeaseExtensionRequest& request,
                      const LeaseExtensionResponse& response, const OnCancelled& cancelled);
     void update_extension();
-    // Of the recent responses.
+    // Summarizes the recent responses of peers.
     PeerContact recent_contact(Time now) const;
 
     int home_partition_;
     double heartbeat_interval_s_;
-    double worker_lease_s_; // of workers
+    double worker_lease_s_;
     double max_extension_s_;
     OutboundRequests& requests_;
     LeadershipLease& lease_;
--- a/src/core/leadership/partition_map.cpp
+++ b/src/core/leadership/partition_map.cpp
@@ -11,7 +11,7 @@
 namespace {
 constexpr std::string_view kReclaimSuffix = "/home";
 constexpr std::string_view kShardsSuffix = "/shares";
-// The store's protocol allows this many conditions for each write that a transaction may have.
+// The store allows this many conditions in a transaction per write that it may have.
 constexpr int kConditionsPerWrite = 4;
 } // namespace
 
@@ -76,7 +76,7 @@
     bool known_suffix = key.suffix.empty() || key.suffix == kReclaimSuffix;
     if (!key.partition || !record || !known_suffix) {
         log_unreadable(item, requests);
-        return !key.partition; // a key of no partition of ours says nothing of these
+        return !key.partition; // keys that belong to no partition of the settings are ignored
     }
     Partition& partition = next.partitions[*key.partition];
     if (key.suffix == kReclaimSuffix) {
@@ -111,7 +111,7 @@
     for (int home = 0; home < count(); ++home) {
         if (next.unreadable.contains(home)) {
             if (auto before = holders_.find(home); before != holders_.end()) {
-                next.holders[home] = before->second; // nobody can have changed it validly since
+                next.holders[home] = before->second; // no controller changes an unreadable record
             }
         } else if (!next.holders.contains(home)) {
             auto shards = static_cast<std::size_t>(shards_per_home(settings_, home));
--- a/src/core/leadership/staleness_bound.h
+++ b/src/core/leadership/staleness_bound.h
@@ -1,8 +1,8 @@
-// How stale a leader's knowledge of cancelled jobs is, and what that lets it do. A 200 to a
-// heartbeat keeps the machine's tasks for one more worker lease, and a launch needs such a lease;
-// so both may go out only while a cancellation that the leader does not know of cannot be so old
-// that the lease would carry its tasks past `cancel_s`. See "From a cancellation to the last task"
-// in docs/meetings.md. Times in seconds of this controller's steady clock.
+// Bounds how stale a leader's knowledge of cancelled jobs may be. A 200 response to a heartbeat
+// renews the machine's worker lease, and a launch requires such a lease. Both may be sent only
+// while the tasks of a cancellation that the leader does not know yet would still end within
+// `cancel_s` at the end of that lease. See "From a cancellation to the last task" in
+// docs/meetings.md. Times are seconds on this controller's steady clock.
 #pragma once
 
 #include <algorithm>
@@ -15,22 +15,22 @@
   public:
     explicit StalenessBound(const ClusterSettings& settings) : bound_s_(bound_s(settings)) {}
 
-    // How old the knowledge may be when a lease is renewed or a task launched, in seconds. The
-    // worker counts its lease from the sending of the heartbeat, which is before the response;
-    // clock drift and the granularity of timers are subtracted.
+    // The largest age, in seconds, of the knowledge when a lease is renewed or a task launched. The
+    // worker counts its lease from when it sent the heartbeat, which is before the response. Clock
+    // drift and timer granularity are subtracted.
     static double bound_s(const ClusterSettings& settings) {
         return settings.cancel_s * (1 - kMaxClockDrift) -
                settings.worker_lease_s * (1 + kMaxClockDrift) -
                kTimerSlackHeartbeats * settings.heartbeat_interval_s;
     }
-    // The longest that a watch may wait, in seconds, so that one which reports nothing because
-    // nothing happens stays well within the bound.
+    // The longest time, in seconds, that a watch may wait for a change, so that the knowledge stays
+    // well within the bound when nothing changes.
     static double max_watch_s(const ClusterSettings& settings) {
         return std::clamp(bound_s(settings) / 6, settings.heartbeat_interval_s / 3,
                           settings.worker_lease_s / 3);
     }
 
-    // Every cancellation that any controller had seen by `to` is known here.
+    // Records that every cancellation that any controller had seen by `to` is known here.
     void advance(Time to) { known_until_ = std::max(known_until_, to); }
     Time known_until() const { return known_until_; }
     bool is_fresh(Time now) const { return now - known_until_ < bound_s_; }
--- a/src/core/leadership/store_contact.h
+++ b/src/core/leadership/store_contact.h
@@ -1,5 +1,5 @@
-// When this process started, and when the store last responded to it. Any request that the store
-// itself answered counts, also with a refusal. Times in seconds of this controller's steady clock.
+// When this process started, and when the store last responded to it. Any response from the store
+// itself counts, even a refusal. Times are seconds on this controller's steady clock.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 class StoreContact {
   public:
-    // Called with every input; the first one is the start.
+    // Called for every input. The first one sets the start time.
     void on_input(Time now) {
         if (!started_at_) {
             started_at_ = now;
@@ -21,7 +21,7 @@
     double uptime_s(Time now) const { return now - started_at(); }
 
     void on_response(Time now) { last_response_ = now; }
-    // Empty: the store has not responded to this process yet.
+    // Empty if the store has not responded to this process yet.
     std::optional<Time> last_response() const { return last_response_; }
     bool ever_responded() const { return last_response_.has_value(); }
     bool responded_within(Time now, double duration_s) const {
--- a/src/core/leadership/store_lease_keeper.cpp
+++ b/src/core/leadership/store_lease_keeper.cpp
@@ -3,7 +3,7 @@
 namespace scheduler {
 
 namespace {
-// Parts of the lease's time to live.
+// Renewals, and retries of a failed renewal, per time to live of the lease.
 constexpr int kRenewalsPerTtl = 8;
 constexpr int kRetriesPerTtl = 24;
 } // namespace
--- a/src/core/leadership/store_lease_keeper.h
+++ b/src/core/leadership/store_lease_keeper.h
@@ -1,5 +1,5 @@
-// Acquires this controller's lease at the store and renews it. Every leadership of a partition is
-// held under that lease.
+// Acquires this controller's lease at the store and renews it. The leaderships of all partitions
+// that it leads are held under that lease.
 #pragma once
 
 #include "core/leadership/campaign_suspension.h"
@@ -14,7 +14,7 @@
     class Delegate {
       public:
         virtual void on_store_lease_granted(Time now) = 0;
-        // The store no longer knows the lease: all leaderships under it have ended.
+        // The lease no longer exists at the store: all leaderships under it have ended.
         virtual void on_store_lease_ended(Time now) = 0;
 
       protected:
@@ -25,7 +25,7 @@
                      LeadershipLease& lease, StoreContact& contact,
                      const CampaignSuspension& suspension, Delegate& delegate);
 
-    // Sends the grant or the renewal that is due.
+    // Requests a lease or renews it, if that is due.
     void tick(Time now);
 
   private:
