--- a/src/core/sharding/owned_shards.cpp
+++ b/src/core/sharding/owned_shards.cpp
@@ -1,4 +1,3 @@
-// Implementation of the state of the owned shards; see the header.
 #include "core/sharding/owned_shards.h"
 
 #include <algorithm>
@@ -15,7 +14,7 @@
     map_revision_ = revision;
     for (const auto& [home, holders] : partition_map_.holders()) {
         if (!partition_map_.is_readable(home)) {
-            continue; // the last readable map may be older than the last change: ownership stays
+            continue; // the holders kept from an earlier read may be outdated: keep the ownership
         }
         for (int number = 0; number < static_cast<int>(holders.size()); ++number) {
             ShardId id{home, number};
--- a/src/core/sharding/shard_balancer.cpp
+++ b/src/core/sharding/shard_balancer.cpp
@@ -1,4 +1,3 @@
-// Implementation of the balancing of shards; see the header.
 #include "core/sharding/shard_balancer.h"
 
 #include <algorithm>
@@ -7,20 +6,20 @@
 
 namespace {
 constexpr double kMinHeadroom = 0.1;
-// The timer is late if its average delay in a window exceeds this part of a heartbeat interval.
+// The timer is late if its average delay in a window exceeds this fraction of a heartbeat interval.
 constexpr double kLateTickFraction = 1.0 / 12;
-// The headroom is multiplied by this after a window with a late timer ...
+// The headroom is multiplied by this after each window with a late timer ...
 constexpr double kHeadroomDecrease = 0.75;
-// ... and grows by this in each lease time without one.
+// ... and rises by this after each worker lease without one.
 constexpr double kHeadroomIncrease = 0.1;
-// Rebalancing begins when the own load per headroom is this many times that of the least loaded
-// partition, and ends when it is no more than the second factor.
+// Rebalancing begins when this partition's slots per headroom exceed those of the least loaded
+// partition by the first factor, and ends when they exceed them by no more than the second.
 constexpr double kBeginLoadRatio = 1.5;
 constexpr double kEndLoadRatio = 1.15;
-// Machines per partition on average, below which one machine more or less is too large a difference
-// to balance.
+// Nothing is balanced with fewer machines per partition on average: a single machine would make too
+// large a difference.
 constexpr double kMinMachinesPerPartition = 8;
-// Migrations per hour, as a multiple of the shards whose home is one partition.
+// Limit of migrations per hour, as a multiple of the number of shards of a home partition.
 constexpr double kMaxHourlyMovesPerShard = 4;
 // Heartbeat intervals between two migrations out of one partition.
 constexpr double kPauseHeartbeats = 1;
@@ -72,7 +71,7 @@
     next_move_ = now + kPauseHeartbeats * heartbeat_interval_s_;
 }
 
-// Adds the moves that the bound per hour has earned since the last call.
+// Adds the moves that the hourly limit permits for the time since the last call.
 void ShardBalancer::refill_moves(Time now) {
     double earned = (now - moves_left_at_) * max_moves_per_hour_ / kSecondsPerHour;
     moves_left_ = std::min(max_moves_per_hour_ / kMaxHourlyMovesPerShard, moves_left_ + earned);
@@ -93,8 +92,8 @@
     return pair;
 }
 
-// The largest movable shard after whose migration `from` is not loaded less than `to`; of equal
-// ones, one that returns to its home. Null if there is none.
+// Returns the largest movable shard after whose migration `from` would still be at least as loaded
+// as `to`; among equal ones, prefers one that returns to its home. Null if there is none.
 const ShardLoad* ShardBalancer::best_shard(const PartitionLoad& from, const PartitionLoad& to,
                                            const std::vector<ShardLoad>& shards) {
     auto rank = [&](const ShardLoad& shard) {
--- a/src/core/sharding/shard_balancer.h
+++ b/src/core/sharding/shard_balancer.h
@@ -1,19 +1,20 @@
-// Decides when a shard of machines is to migrate, and to which partition: a pure function of what
-// partition leaders tell each other. See "When to migrate" in docs/sharding.md.
+// Decides when a shard of machines should migrate, and to which partition, from the loads that
+// partition leaders report to each other. See "When to migrate" in docs/sharding.md.
 #pragma once
 
 #include "core/model/shards.h"
 
 namespace scheduler {
 
-// How much of its work a controller's processor keeps up with, as estimated by the controller
-// itself: from 0.1 to 1. The estimate falls by a factor in each heartbeat interval in which the
-// timer fired late, and rises by a step in each lease time in which it did not.
+// The fraction of its work that the controller's processor keeps up with, from 0.1 to 1, estimated
+// from the delays of the controller's timer. The estimate is multiplied by a factor below 1 after
+// each heartbeat interval in which the timer fired late, and rises by a step after each worker
+// lease in which it did not.
 class CpuHeadroom {
   public:
-    // `tick_s`: the period of the timer in seconds.
+    // `tick_s` is the period of the timer in seconds.
     CpuHeadroom(const ClusterSettings& settings, double tick_s);
-    // The timer has fired.
+    // Called each time the timer fires.
     void tick(Time now);
     double value() const { return value_; }
 
@@ -24,26 +25,26 @@
     double lease_s_;
     double tick_s_;
     double value_ = 1;
-    Time last_tick_ = -1; // below 0: none yet
+    Time last_tick_ = -1; // negative: none yet
     Time window_since_ = 0;
-    double total_delay_s_ = 0; // total delay of the ticks in this window
+    double total_delay_s_ = 0; // of the ticks in this window
     int ticks_ = 0;            // in this window
     Time next_raise_ = 0;
 };
 
-// What a leader knows of the machines of a partition, its own included.
+// The load of a partition, either the leader's own or that of a peer as last reported.
 struct PartitionLoad {
     int partition = 0;
     double slots = 0; // of usable machines
     double cpu_headroom = 1;
-    bool accepts_shards = false; // heard from lately, and led by its home controller
+    bool accepts_shards = false; // it recently reported so, and is led by its home controller
 };
 
 // A shard of this partition that could migrate.
 struct ShardLoad {
     ShardId shard;
     double slots = 0;
-    bool movable = false; // nothing prevents a migration
+    bool movable = false; // reconciled, and its home's shard holders are readable
 };
 
 struct ShardMove {
@@ -56,13 +57,13 @@
 class ShardBalancer {
   public:
     explicit ShardBalancer(const ClusterSettings& settings);
-    // The migration that partition `self` should begin now, if any. `machine_slots`: the slots of
-    // the largest instance type.
+    // Returns the migration that partition `self` should start now, if any. `machine_slots` is the
+    // number of slots of the largest instance type.
     std::optional<ShardMove> choose_move(Time now, int self,
                                          const std::vector<PartitionLoad>& partitions,
                                          const std::vector<ShardLoad>& shards,
                                          double machine_slots);
-    // The chosen migration has begun.
+    // Records that the chosen migration has started.
     void on_migration_started(Time now);
 
   private:
@@ -77,10 +78,11 @@
 
     double heartbeat_interval_s_;
     double max_moves_per_hour_;
-    double moves_left_; // that the bound per hour leaves
+    double moves_left_; // within the hourly limit
     Time moves_left_at_ = 0;
-    Time next_move_ = 0;       // no migration before this
-    bool rebalancing_ = false; // the difference has been large, and is not small yet
+    Time next_move_ = 0; // no migration starts before this
+    bool rebalancing_ =
+        false; // the load ratio has exceeded the begin ratio, and not fallen to the end ratio
 };
 
 } // namespace scheduler
--- a/src/core/sharding/shard_manager.cpp
+++ b/src/core/sharding/shard_manager.cpp
@@ -1,4 +1,3 @@
-// Implementation of the shard manager; see the header.
 #include "core/sharding/shard_manager.h"
 
 #include <algorithm>
@@ -6,9 +5,9 @@
 namespace scheduler {
 
 namespace {
-// A machine is responsive if its last heartbeat is at most this many intervals old.
+// A machine is responsive if its last heartbeat is less than this many intervals old.
 constexpr double kResponsiveHeartbeats = 1.5;
-// The part of its machines that must be responsive for a partition to accept shards.
+// The fraction of its machines that must be responsive for a partition to accept shards.
 constexpr double kMinResponsiveFraction = 0.75;
 } // namespace
 
@@ -35,8 +34,8 @@
     migration_.tick(now);
 }
 
-// What runs on the shard's machines is not known yet: this partition's own tasks among it stay
-// recorded as borrowed until the machines have listed them.
+// The tasks on the shard's machines are not known yet. Those of this partition's own jobs stay
+// recorded as remote tasks until the machines have listed them.
 void ShardManager::on_shard_gained(Time now, const ShardId& shard) {
     state_.reconciliation.add_shard(now, shard);
     state_.borrower.migrated_in(shard, owned_shards_.term(shard));
@@ -79,15 +78,16 @@
     state_.demand.invalidate();
 }
 
-// Removes a machine that is the other partition's from every table of this one.
+// Removes a machine that now belongs to `to_partition` from every table of this partition.
 void ShardManager::remove_machine(Time now, const std::string& name, int to_partition) {
     Machine& machine = *state_.machines.find(name);
-    // These have not been sent out.
+    // These launches have not been sent.
     for (const auto& removed : state_.machines.cancel_queued_starts(machine)) {
         delegate_.on_task_removed(now, name, removed);
     }
     if (machine.agent_epoch == 0 && !machine.registered && !machine.registration_pending) {
-        // Not up yet: named to the new owner, which would otherwise provision another one.
+        // The machine has not booted yet. Keep reporting it to the new owner, which would otherwise
+        // provision another one.
         state_.demand.add_provisioned(machine.known_since, name,
                                       {"", machine.type.name, machine.zone, machine.spot, 1});
     }
@@ -103,7 +103,7 @@
     state_.machines.remove(name);
 }
 
-// Is a launch, a lent slot or a command on its way to the machine?
+// Returns whether a launch, a lent slot or another command for the machine is in progress.
 bool ShardManager::has_command_in_flight(const Machine& machine) {
     return machine.command_in_flight != 0 || machine.releasing || !machine.lent_slots.empty() ||
            !machine.outbox.empty() ||
@@ -191,8 +191,8 @@
 }
 
 void ShardManager::balance(Time now) {
-    // Before this partition is reconciled, and its peers have been heard from, the loads are not
-    // known well enough.
+    // The loads are not known well enough until this partition is reconciled and its peers have had
+    // time to report theirs.
     if (migration_.in_progress() || !delegate_.reconciled() ||
         now - leadership_.since() < settings_.worker_lease_s || types_.empty()) {
         return;
--- a/src/core/sharding/shard_manager.h
+++ b/src/core/sharding/shard_manager.h
@@ -1,5 +1,5 @@
-// The shards of machines of a partition as they migrate in and out: what follows for the
-// partition's tables, and when one is to migrate out. See docs/sharding.md.
+// Updates a partition's tables as shards of machines migrate in and out, and starts migrations out.
+// See docs/sharding.md.
 #pragma once
 
 #include "core/machines/machine_registry.h"
@@ -12,7 +12,7 @@
 
 namespace scheduler {
 
-// The tables of a partition that know machines by name.
+// The tables of a partition that have entries for machines.
 struct MachineState {
     MachineTable& machines;
     SlotLists& slots;
@@ -30,14 +30,14 @@
     // What the shard manager needs of its partition's leader.
     struct Delegate {
         virtual ~Delegate() = default;
-        // The machine's idle slots have changed, or whether they may be given.
+        // The machine's idle slots have changed, or whether they may be assigned.
         virtual void update_slot_lists(Machine& machine) = 0;
-        // A launch that was never sent out was cancelled.
+        // A task's launch was cancelled before it was sent.
         virtual void on_task_removed(Time now, const std::string& machine,
                                      const HeartbeatResult::RemovedTask& removed) = 0;
-        // Shards were gained: the machine registries that list their machines are to be read.
+        // Reads the machine registries that list the machines of newly gained shards.
         virtual void load_registries(Time now) = 0;
-        // Are all tasks of older jobs known?
+        // Whether the partition is reconciled: all running tasks of older jobs are known.
         virtual bool reconciled() const = 0;
     };
     ShardManager(const Leadership& leadership, const ClusterSettings& settings,
@@ -45,21 +45,21 @@
                  const InstanceTypeCatalog& types, const CapacityPlanner& planner,
                  MachineState state, OutboundRequests& requests, Delegate& delegate);
 
-    // The controller has read the partition map.
+    // Called after the controller has read the partition map. Applies the changes of ownership.
     void on_map_updated(Time now);
-    // Another leader announces that it transferred a shard to this partition.
+    // Handles the announcement of another leader that it transferred a shard to this partition.
     void accept_transfer(Time now, const ShardTransfer& transfer);
-    // Begins to migrate the shard to another partition. Returns false if that is not possible now.
+    // Starts to migrate the shard to another partition. Returns false if that is not possible now.
     bool migrate(Time now, const ShardId& shard, int to_partition) {
         return migration_.start(now, shard, to_partition);
     }
     // Advances the migration in progress. Called by the partition leader's timer.
     void tick(Time now) { migration_.tick(now); }
-    // Begins the migration that the balancer chooses, if any.
+    // Starts the migration that the balancer chooses, if any.
     void balance(Time now);
-    // May a shard migrate to this partition? Not while a shard is unreconciled, nor when the
-    // leader does not receive the heartbeats of its own machines: such a leader looks as if it had
-    // little to do.
+    // Whether shards may migrate to this partition. Returns false while one of its shards is
+    // unreconciled, or while too few of its machines are responsive: a leader that does not receive
+    // their heartbeats would look underloaded.
     bool accepts_shards(Time now) const;
 
   private:
@@ -78,7 +78,7 @@
 
     const Leadership& leadership_;
     const ClusterSettings& settings_;
-    PartitionMap& partition_map_; // the controller's, told of migrations before they are read
+    PartitionMap& partition_map_; // the controller's; migrations are recorded before they are read
     OwnedShards& owned_shards_;
     const InstanceTypeCatalog& types_;
     const CapacityPlanner& planner_;
--- a/src/core/sharding/shard_migration.cpp
+++ b/src/core/sharding/shard_migration.cpp
@@ -1,15 +1,14 @@
-// Implementation of the migration of a shard; see the header.
 #include "core/sharding/shard_migration.h"
 
 namespace scheduler {
 
 namespace {
-// Heartbeat intervals that a shard is given to become quiescent. A launch shows in a heartbeat
-// within one, a lent slot is fenced after one and a half.
+// Heartbeat intervals to wait for a shard to become quiescent. A launch appears in a heartbeat
+// within one, and a lent slot is fenced after one and a half.
 constexpr double kQuiescenceHeartbeats = 2;
-// Heartbeat intervals after which a transaction that the rate limiter holds back is given up.
+// Heartbeat intervals after which a migration is aborted whose transaction the rate limiter delays.
 constexpr double kSendHeartbeats = 4;
-// A retry waits for this part of a heartbeat interval.
+// Retries of the transaction per heartbeat interval.
 constexpr double kRetriesPerHeartbeat = 6;
 } // namespace
 
@@ -41,7 +40,7 @@
     }
     if (migration_->min_map_revision > 0) {
         if (partition_map_.revision() >= migration_->min_map_revision) {
-            abort("refused"); // else on_shard_lost would have been called
+            abort("refused"); // if it had taken effect, on_shard_lost would have been called
         }
         return;
     }
@@ -77,7 +76,7 @@
         }
         build_transaction();
     }
-    // From here on the shard may become the other partition's at any moment.
+    // Once sent, the transaction may transfer the shard at any moment.
     migration.in_flight = requests_.send_to_store(
         now, StoreRateLimiter::Use::progress, *migration.transaction,
         [this, shard = migration.shard,
@@ -89,7 +88,7 @@
     if (migration.in_flight) {
         owned_shards_.set_state(migration.shard, OwnedShards::State::transfer_pending);
     } else if (!migration.outcome_unknown) {
-        migration.transaction.reset(); // held back by the rate limiter: rebuilt at the next try
+        migration.transaction.reset(); // delayed by the rate limiter: rebuilt at the next try
         if (now - migration.started_at > kSendHeartbeats * settings_.heartbeat_interval_s) {
             abort("budget");
         }
@@ -103,11 +102,13 @@
     if (response.status == 200) {
         complete(now, response.revision);
     } else if (response.status == 0) {
-        migration.outcome_unknown = true; // sent again until there is a response
+        migration.outcome_unknown = true; // sent again until the store responds
     } else if (!migration.outcome_unknown) {
-        abort(response.status == 409 ? "refused" : "unavailable"); // it was not executed
+        abort(response.status == 409 ? "refused"
+                                     : "unavailable"); // not executed, so the shard stays
     } else if (response.status == 409) {
-        // No copy can take effect from now on. Whether an earlier one has, the map will show.
+        // No copy of the transaction can take effect any more. The map shows whether an earlier one
+        // has.
         migration.min_map_revision = std::max<std::uint64_t>(response.revision, 1);
     }
 }
