--- a/src/core/sharding/shard_balancer.cpp
+++ b/src/core/sharding/shard_balancer.cpp
@@ -29,14 +29,14 @@
 } // namespace
 
 CpuHeadroom::CpuHeadroom(const ClusterSettings& settings, double tick_s)
-    : heartbeat_interval_s_(settings.heartbeat_interval_s), lease_s_(settings.worker_lease_s),
-      tick_s_(tick_s) {}
+    : heartbeat_interval_s_(settings.heartbeat_interval_s),
+      worker_lease_s_(settings.worker_lease_s), tick_s_(tick_s) {}
 
 void CpuHeadroom::tick(Time now) {
     if (last_tick_ < 0) {
         last_tick_ = now;
         window_since_ = now;
-        next_raise_ = now + lease_s_;
+        next_raise_ = now + worker_lease_s_;
         return;
     }
     total_delay_s_ += std::max(0.0, now - last_tick_ - tick_s_);
@@ -50,10 +50,10 @@
 void CpuHeadroom::end_window(Time now) {
     if (total_delay_s_ / ticks_ > kLateTickFraction * heartbeat_interval_s_) {
         value_ = std::max(kMinHeadroom, value_ * kHeadroomDecrease);
-        next_raise_ = now + lease_s_;
+        next_raise_ = now + worker_lease_s_;
     } else if (now >= next_raise_) {
         value_ = std::min(1.0, value_ + kHeadroomIncrease);
-        next_raise_ = now + lease_s_;
+        next_raise_ = now + worker_lease_s_;
     }
     window_since_ = now;
     total_delay_s_ = 0;
--- a/src/core/sharding/shard_balancer.h
+++ b/src/core/sharding/shard_balancer.h
@@ -22,7 +22,7 @@
     void end_window(Time now);
 
     double heartbeat_interval_s_;
-    double lease_s_;
+    double worker_lease_s_;
     double tick_s_;
     double value_ = 1;
     Time last_tick_ = -1; // negative: none yet
