--- a/src/core/leadership/leader_election.cpp
+++ b/src/core/leadership/leader_election.cpp
@@ -48,8 +48,8 @@
     }
 }
 
-// The map is read three times per heartbeat interval even when the watch reports nothing, because
-// the response also shows whether the store serves this controller.
+// The map is read every third of a heartbeat interval, about once a second, even when the watch
+// reports nothing, because the response also shows whether the store serves this controller.
 void LeaderElection::read_partition_map(Time now) {
     reading_map_ = true;
     next_read_ = now + settings_.heartbeat_interval_s / 3;
@@ -108,14 +108,14 @@
     }
 }
 
-// Returns whether this controller may campaign for the partition now. One of these must hold:
-// - The partition's key does not exist. Its home controller may campaign at once. Others may only
-// if
-//   they did not start recently, as all controllers may be starting at the same time, and if the
-//   home controller does not reclaim the partition, which would otherwise pass from one of the
-//   others to the next.
-// - The recorded leader is this controller. Then the record is from an earlier process, which has
-//   ended, since a controller runs one process at a time.
+// Returns whether this controller may campaign for the partition now.
+//
+// If the partition has no leader, its home controller may campaign at once. Others must not have
+// started recently, since all controllers may be starting at the same time, and the home controller
+// must not reclaim the partition, since it would then pass from one of the others to the next.
+//
+// If the recorded leader is this controller, the record is from an earlier process. That process
+// has ended, since a controller runs one process at a time, so this one may campaign.
 bool LeaderElection::may_campaign_for(Time now, int partition) const {
     const PartitionMap::Partition& state = partition_map_.at(partition);
     bool started_long_ago =
--- a/src/core/recovery/inventory_relay.cpp
+++ b/src/core/recovery/inventory_relay.cpp
@@ -119,8 +119,8 @@
     for (const auto& id : response.pending_launches) {
         page_for(kPendingLaunchBytes).pending_launches.push_back(id);
     }
-    if (pages
-            .empty()) { // without shards an empty page is posted, which says that nothing runs here
+    // Without shards, an empty page is posted: it states that no tasks run here.
+    if (pages.empty()) {
         page_for(0);
     }
     for (auto& page : pages) {
--- a/src/core/sharding/shard_balancer.h
+++ b/src/core/sharding/shard_balancer.h
@@ -81,8 +81,8 @@
     double moves_left_; // within the hourly limit
     Time moves_left_at_ = 0;
     Time next_move_ = 0; // no migration starts before this
-    bool rebalancing_ =
-        false; // the load ratio has exceeded the begin ratio, and not fallen to the end ratio
+    // The load ratio has exceeded the factor to begin, and has not yet fallen to the one to end.
+    bool rebalancing_ = false;
 };
 
 } // namespace scheduler
--- a/src/core/sharding/shard_migration.cpp
+++ b/src/core/sharding/shard_migration.cpp
@@ -104,8 +104,8 @@
     } else if (response.status == 0) {
         migration.outcome_unknown = true; // sent again until the store responds
     } else if (!migration.outcome_unknown) {
-        abort(response.status == 409 ? "refused"
-                                     : "unavailable"); // not executed, so the shard stays
+        // The transaction was not executed, so the shard stays.
+        abort(response.status == 409 ? "refused" : "unavailable");
     } else if (response.status == 409) {
         // No copy of the transaction can take effect any more. The map shows whether an earlier one
         // has.
