--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -52,8 +52,8 @@
         slots[machine.zone] += machine.type.slots();
     }
     for (const auto& [name, provisioned] : demand_.provisioned()) {
-        const InstanceType* type = types_.find(provisioned.order.type);
-        slots[provisioned.order.zone] += type ? type->slots() : 0;
+        const InstanceType* type = types_.find(provisioned.request.type);
+        slots[provisioned.request.zone] += type ? type->slots() : 0;
     }
     return slots;
 }
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -323,7 +323,7 @@
     if (may_suspect && is_silent(now, machine)) {
         return true; // the release makes sure that nothing runs there, well before the lease does
     }
-    if (!machine.empty() || machine.has_unexpected() || machine.command_in_flight != 0) {
+    if (!machine.empty() || machine.runs_unexpected_tasks() || machine.command_in_flight != 0) {
         return false;
     }
     if (machine.draining || machine.cordoned ||
--- a/src/core/autoscaling/demand_tracker.cpp
+++ b/src/core/autoscaling/demand_tracker.cpp
@@ -210,9 +210,9 @@
         cluster_demand.spot_slots += peer.capacity.spot_slots;
     }
     for (const auto& [name, provisioned] : provisioned_) {
-        if (const InstanceType* type = types_.find(provisioned.order.type)) {
-            (provisioned.order.spot ? cluster_demand.spot_slots : cluster_demand.on_demand_slots) +=
-                type->slots();
+        if (const InstanceType* type = types_.find(provisioned.request.type)) {
+            (provisioned.request.spot ? cluster_demand.spot_slots
+                                      : cluster_demand.on_demand_slots) += type->slots();
         }
     }
     return cluster_demand;
@@ -230,7 +230,7 @@
 void DemandTracker::expire_provisioned(Time now) {
     std::erase_if(provisioned_, [&](const auto& entry) {
         const Provisioned& provisioned = entry.second;
-        const InstanceType* type = types_.find(provisioned.order.type);
+        const InstanceType* type = types_.find(provisioned.request.type);
         return !type || now - provisioned.since > planner_.boot_timeout_s(*type);
     });
 }
--- a/src/core/autoscaling/demand_tracker.h
+++ b/src/core/autoscaling/demand_tracker.h
@@ -53,7 +53,7 @@
     // Machines of other partitions that this leader has provisioned: counted here until their own
     // leaders know of them.
     struct Provisioned {
-        ScaleOut order;
+        ScaleOut request;
         Time since = 0;
     };
     using ProvisionedMachines = std::map<std::string, Provisioned>; // by machine
--- a/src/core/machines/machine_table.cpp
+++ b/src/core/machines/machine_table.cpp
@@ -35,16 +35,16 @@
 // never will be?
 bool proves_absence(const Placement& placement, const Heartbeat& heartbeat,
                     OutboundRequestId request, bool is_newer) {
-    switch (placement.via) {
-    case Placement::Via::queued: return false;
-    case Placement::Via::heartbeat_response:
+    switch (placement.launch_state) {
+    case Placement::LaunchState::queued: return false;
+    case Placement::LaunchState::heartbeat_response:
         // One heartbeat is in flight at a time: a heartbeat newer than the one answered shows that
         // the response was executed before it, or dropped.
         return is_newer && request == 0 && heartbeat.sequence > placement.heartbeat_sequence;
-    case Placement::Via::direct_command:
+    case Placement::LaunchState::direct_command:
         return (request != 0 && placement.command_request == request) ||
                (is_newer && heartbeat.fencing_token > placement.fencing_token);
-    case Placement::Via::reported: return is_newer;
+    case Placement::LaunchState::reported: return is_newer;
     }
     return false;
 }
@@ -53,7 +53,7 @@
     if (stage == TaskStage::running && placement.stage != TaskStage::running) {
         placement.running_since = now;
     }
-    placement.via = Placement::Via::reported;
+    placement.launch_state = Placement::LaunchState::reported;
     placement.stage = stage;
 }
 
@@ -200,7 +200,7 @@
     std::erase_if(remote_clears, [&](const LaunchId& id) { return !present.contains(id); });
 }
 
-bool Machine::has_unexpected() const {
+bool Machine::runs_unexpected_tasks() const {
     return std::any_of(unexpected.begin(), unexpected.end(),
                        [](const TaskStatus& status) { return status.stage != TaskStage::exited; });
 }
@@ -248,7 +248,7 @@
 void MachineTable::begin_epoch(Time now, Machine& machine, std::uint64_t agent_epoch,
                                HeartbeatResult& result) {
     for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
-        if (it->second.via == Placement::Via::queued) {
+        if (it->second.launch_state == Placement::LaunchState::queued) {
             ++it;
         } else {
             result.removed.push_back({it->first, it->second, ExitReason::none});
@@ -301,7 +301,7 @@
 void MachineTable::adopt(Time now, Machine& machine, const TaskStatus& status,
                          Placement placement) {
     placement.attempt = status.attempt;
-    placement.via = Placement::Via::reported;
+    placement.launch_state = Placement::LaunchState::reported;
     placement.stage = status.stage;
     placement.since = now;
     placement.running_since = now;
@@ -393,33 +393,33 @@
     return ready;
 }
 
-std::vector<WorkerCommand> MachineTable::send_in_response(Machine& machine) {
+std::vector<WorkerCommand> MachineTable::take_commands_for_response(Machine& machine) {
     std::vector<WorkerCommand> commands = std::move(machine.outbox);
     machine.outbox.clear();
     for (const auto& command : commands) {
         if (command.type == CommandType::start) {
             Placement& placement = machine.tasks.at(command.task);
-            placement.via = Placement::Via::heartbeat_response;
+            placement.launch_state = Placement::LaunchState::heartbeat_response;
             placement.heartbeat_sequence = machine.heartbeat_sequence;
         }
     }
     return commands;
 }
 
-std::vector<WorkerCommand> MachineTable::send_directly(Machine& machine) {
+std::vector<WorkerCommand> MachineTable::take_commands_for_request(Machine& machine) {
     std::vector<WorkerCommand> commands = std::move(machine.outbox);
     machine.outbox.clear();
     for (const auto& command : commands) {
         if (command.type == CommandType::start) {
             Placement& placement = machine.tasks.at(command.task);
-            placement.via = Placement::Via::direct_command;
+            placement.launch_state = Placement::LaunchState::direct_command;
             placement.fencing_token = machine.fencing_token();
         }
     }
     return commands;
 }
 
-void MachineTable::on_sent_directly(Machine& machine, const std::vector<WorkerCommand>& commands,
+void MachineTable::on_commands_sent(Machine& machine, const std::vector<WorkerCommand>& commands,
                                     OutboundRequestId request) {
     machine.command_in_flight = request;
     for (const auto& command : commands) {
@@ -442,7 +442,8 @@
         return command.type == CommandType::start && (!job || command.task.job == *job);
     });
     for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
-        if (it->second.via == Placement::Via::queued && (!job || it->first.job == *job)) {
+        if (it->second.launch_state == Placement::LaunchState::queued &&
+            (!job || it->first.job == *job)) {
             removed.push_back({it->first, it->second, ExitReason::none});
             it = machine.tasks.erase(it);
         } else {
--- a/src/core/machines/machine_table.h
+++ b/src/core/machines/machine_table.h
@@ -16,7 +16,7 @@
 // A task that may be on a machine, and the resources that it takes there.
 struct Placement {
     // How the launch was sent, which decides what resolves it.
-    enum class Via {
+    enum class LaunchState {
         queued,             // not sent yet
         heartbeat_response, // in the response to a heartbeat: resolved by the worker's next one
         direct_command,     // directly: resolved by the response, or by a heartbeat under a higher
@@ -24,7 +24,7 @@
         reported            // seen in a heartbeat
     };
     std::uint64_t attempt = 0;
-    Via via = Via::queued;
+    LaunchState launch_state = LaunchState::queued;
     std::uint64_t fencing_token = 0;       // direct_command: sent under this token
     std::uint64_t heartbeat_sequence = 0;  // heartbeat_response: sent in answer to this
     OutboundRequestId command_request = 0; // direct_command: the request
@@ -119,7 +119,7 @@
     // Seconds until the image could be used here: 0 if the machine has it.
     double fetch_s(const std::string& image, double image_gb) const;
     // Does a task run here that was not placed by this leader?
-    bool has_unexpected() const;
+    bool runs_unexpected_tasks() const;
     bool has_unknown_resources() const;
     // Replicas of services run until they are cancelled, so such a machine does not become idle by
     // itself. A remote task of unknown resources may be one.
@@ -189,11 +189,11 @@
     // Places the task. Its launch is sent in a later response or directly.
     void queue_start(Time now, Machine& machine, const TaskId& task, Placement placement);
     // Takes the queued commands, as sent in the response to the last heartbeat.
-    std::vector<WorkerCommand> send_in_response(Machine& machine);
+    std::vector<WorkerCommand> take_commands_for_response(Machine& machine);
     // Takes the queued commands, as sent directly.
-    std::vector<WorkerCommand> send_directly(Machine& machine);
+    std::vector<WorkerCommand> take_commands_for_request(Machine& machine);
     // Those commands went out as this request.
-    void on_sent_directly(Machine& machine, const std::vector<WorkerCommand>& commands,
+    void on_commands_sent(Machine& machine, const std::vector<WorkerCommand>& commands,
                           OutboundRequestId request);
     // Cancels launches that have not been sent: all of them, or those of one job. Returns their
     // tasks.
--- a/src/core/machines/slot_lists.h
+++ b/src/core/machines/slot_lists.h
@@ -43,18 +43,18 @@
     void set_images(const std::string& machine, const std::vector<std::string>& images,
                     std::uint64_t version);
     std::uint64_t images_version(const std::string& machine) const;
-    // As `pop`, but only among the machines that have the image: from the paper's list of warm
-    // cores, where that is faster, else by searching all lists.
+    // As `find_least_idle`, but only among the machines that have the image: from the paper's list
+    // of warm cores, where that is faster, else by searching all lists.
     template <class Accepts>
-    const std::string* pop_warm(const SlotKind& kind, int slots, const std::string& image,
-                                Accepts&& accepts) const {
+    const std::string* find_least_idle_warm(const SlotKind& kind, int slots,
+                                            const std::string& image, Accepts&& accepts) const {
         auto warm = warm_.find(image);
         if (warm == warm_.end()) {
             return nullptr;
         }
         const auto& idle = warm->second.idle;
         if (idle.size() * idle.size() > where_.size()) {
-            return pop(kind, slots, [&](const std::string& machine) {
+            return find_least_idle(kind, slots, [&](const std::string& machine) {
                 return idle.contains(machine) && accepts(machine);
             });
         }
@@ -74,7 +74,7 @@
     // The first machine, fewest idle slots first, that has at least `slots` idle slots and that the
     // predicate accepts; null if there is none. The machine stays listed.
     template <class Accepts>
-    const std::string* pop(const SlotKind& kind, int slots, Accepts&& accepts) const {
+    const std::string* find_least_idle(const SlotKind& kind, int slots, Accepts&& accepts) const {
         auto it = lists_.find(kind);
         if (it == lists_.end()) {
             return nullptr;
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -174,7 +174,7 @@
         stop_cancelled(heartbeat, response.commands);
     }
     if (current && machine.fenced) {
-        auto starts = machines_.send_in_response(machine);
+        auto starts = machines_.take_commands_for_response(machine);
         response.commands.insert(response.commands.end(), starts.begin(), starts.end());
     }
     return response;
@@ -371,7 +371,8 @@
     }
     for (const auto& [task, placement] : machine.tasks) {
         std::optional<double> grace_s = stop_grace_s(machine, task, placement);
-        if (grace_s && placement.via == Placement::Via::reported && out.size() < kMostCommands) {
+        if (grace_s && placement.launch_state == Placement::LaunchState::reported &&
+            out.size() < kMostCommands) {
             out.push_back({CommandType::stop, task, placement.attempt, *grace_s});
         }
     }
@@ -428,7 +429,7 @@
         const std::string& name = sendable->name;
         ++effort_;
         std::uint64_t token = sendable->fencing_token();
-        auto commands = machines_.send_directly(*sendable);
+        auto commands = machines_.take_commands_for_request(*sendable);
         ++commands_in_flight_;
         OutboundRequestId call = requests_.send(
             WorkerCommands{name, sendable->endpoint, token, sendable->agent_epoch, commands},
@@ -450,7 +451,7 @@
                 schedule_on(at, *machine);
                 send_commands(at);
             });
-        machines_.on_sent_directly(*sendable, commands, call);
+        machines_.on_commands_sent(*sendable, commands, call);
     }
 }
 
@@ -739,7 +740,7 @@
         ++up;
         total += m.type.slots();
         for (const auto& [task, p] : m.tasks) {
-            bool listed = p.via == Placement::Via::reported;
+            bool listed = p.launch_state == Placement::LaunchState::reported;
             (!listed                          ? sent
              : p.stage == TaskStage::fetching ? fetching
              : p.stage == TaskStage::waiting  ? gathering
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -335,7 +335,7 @@
     auto it = machine.tasks.lower_bound({job, 0});
     for (; it != machine.tasks.end() && it->first.job == job; ++it) {
         const Placement& placement = it->second;
-        if (placement.via == Placement::Via::reported &&
+        if (placement.launch_state == Placement::LaunchState::reported &&
             leadership_.is_own_attempt(placement.attempt)) {
             machines_.queue_stop(machine, it->first, placement.attempt, grace_s);
         }
@@ -374,7 +374,8 @@
         if (placement.kind != JobKind::gang || !leadership_.is_own_attempt(placement.attempt)) {
             continue;
         }
-        if (placement.stage == TaskStage::running && placement.via == Placement::Via::reported) {
+        if (placement.stage == TaskStage::running &&
+            placement.launch_state == Placement::LaunchState::reported) {
             gangs_.on_running(task.job);
         }
         if (machine.preemption_notice_s) {
--- a/src/core/scheduling/preemptor.cpp
+++ b/src/core/scheduling/preemptor.cpp
@@ -42,7 +42,7 @@
     for (const auto& [task, placement] : machine.tasks) {
         bool lower =
             placement.priority > spec.priority || (within_guarantee && placement.over_guarantee);
-        bool stays = placement.via != Placement::Via::reported ||
+        bool stays = placement.launch_state != Placement::LaunchState::reported ||
                      placement.kind != JobKind::array || placement.stage == TaskStage::saving ||
                      placement.resources_unknown;
         if (lower && !stays) {
--- a/src/core/scheduling/quota_evictor.cpp
+++ b/src/core/scheduling/quota_evictor.cpp
@@ -147,7 +147,8 @@
         for (const auto& [task, placement] : machine.tasks) {
             // A task that is still on its way can be stopped only when the worker reports it.
             if (placement.team == team && leadership_.is_own_attempt(placement.attempt) &&
-                placement.via == Placement::Via::reported && placement.stage != TaskStage::saving) {
+                placement.launch_state == Placement::LaunchState::reported &&
+                placement.stage != TaskStage::saving) {
                 add_candidate({task, &machine, placement.attempt}, team, gangs_seen, candidates);
             }
         }
--- a/src/core/scheduling/slot_finder.cpp
+++ b/src/core/scheduling/slot_finder.cpp
@@ -13,7 +13,7 @@
 bool SlotFinder::is_schedulable(const Machine& machine) const {
     return machine.reporting && machine.fenced && machine.registered &&
            owned_shards_.may_lend(machine.shard) && !machine.draining && !machine.cordoned &&
-           !machine.releasing && !machine.preemption_notice_s && !machine.has_unexpected() &&
+           !machine.releasing && !machine.preemption_notice_s && !machine.runs_unexpected_tasks() &&
            !machine.has_unknown_resources() &&
            machine.consecutive_errors < policy_.quarantine_errors;
 }
@@ -42,8 +42,8 @@
     };
     SlotKind kind{type.name, query.spot};
     int least = min_listed_slots(type, spec.cpus, spec.gpus, spec.ram_gb);
-    return warm ? slots_.pop_warm(kind, least, spec.image, accepts)
-                : slots_.pop(kind, least, accepts);
+    return warm ? slots_.find_least_idle_warm(kind, least, spec.image, accepts)
+                : slots_.find_least_idle(kind, least, accepts);
 }
 
 bool SlotFinder::has_room(const SlotQuery& query, const Machine& machine) const {
--- a/src/core/sharding/shard_manager.cpp
+++ b/src/core/sharding/shard_manager.cpp
@@ -108,7 +108,7 @@
     return machine.command_in_flight != 0 || machine.releasing || !machine.lent_slots.empty() ||
            !machine.outbox.empty() ||
            std::any_of(machine.tasks.begin(), machine.tasks.end(), [](const auto& entry) {
-               return entry.second.via != Placement::Via::reported;
+               return entry.second.launch_state != Placement::LaunchState::reported;
            });
 }
 
--- a/src/core/stealing/slot_borrower.cpp
+++ b/src/core/stealing/slot_borrower.cpp
@@ -176,7 +176,7 @@
 
 void SlotBorrower::append_provisioned(PeerSyncRequest& request, SyncCall& call) const {
     for (const auto& [name, provisioned] : demand_.provisioned()) {
-        const ScaleOut& order = provisioned.order;
+        const ScaleOut& order = provisioned.request;
         ShardId shard = shard_of_machine(settings_, name, order.zone);
         if (partition_map_.holder(shard) == call.partition &&
             call.provisioned.size() < kMaxProvisionedPerCall) {
--- a/src/core/stealing/slot_lender.cpp
+++ b/src/core/stealing/slot_lender.cpp
@@ -360,7 +360,7 @@
     it->second = command.grace_s;
     for (const auto& [task, placement] : machine.tasks) {
         if (launch_id(placement.attempt, task.index) == command.launch &&
-            placement.via == Placement::Via::reported) {
+            placement.launch_state == Placement::LaunchState::reported) {
             machines_.queue_stop(machine, task, placement.attempt, command.grace_s);
         }
     }
@@ -394,7 +394,7 @@
     lent.placement.attempt =
         request.attempt != 0 ? request.attempt : leadership_.next_attempt(borrower, false);
     lent.placement.over_guarantee = request.over_guarantee;
-    lent.placement.via = Placement::Via::direct_command;
+    lent.placement.launch_state = Placement::LaunchState::direct_command;
     lent.placement.fencing_token = lent.fencing_token;
     lent.placement.since = now;
     return lent;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -278,7 +278,7 @@
     Placement placement;
     placement.attempt = 1;
     table.queue_start(0, machine, task, placement);
-    table.on_sent_directly(machine, table.send_directly(machine), 5);
+    table.on_commands_sent(machine, table.take_commands_for_request(machine), 5);
     table.fence(machine);   // no answer came
     heartbeat.sequence = 2; // a report under the token that the start carries proves nothing
     EXPECT_TRUE(table.apply_heartbeat(1, machine, heartbeat, 0).removed.empty());
@@ -364,10 +364,10 @@
     lists.set(kind, "a", 8);
     lists.set(kind, "b", 3);
     auto any = [](const std::string&) { return true; };
-    EXPECT_EQ(*lists.pop(kind, 2, any), "b");
-    EXPECT_EQ(*lists.pop(kind, 4, any), "a");
+    EXPECT_EQ(*lists.find_least_idle(kind, 2, any), "b");
+    EXPECT_EQ(*lists.find_least_idle(kind, 4, any), "a");
     lists.remove("a");
-    EXPECT_EQ(lists.pop(kind, 4, any), nullptr);
+    EXPECT_EQ(lists.find_least_idle(kind, 4, any), nullptr);
 }
 
 TEST(Services, KeepTheirReplicasUntilCancelled) {
