--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -18,22 +18,22 @@
       machines_(machines), planner_(planner), demand_(demand), requests_(requests),
       delegate_(delegate) {}
 
-void Autoscaler::run(Time now, bool may_suspect) {
-    next_ = now + kPlanningIntervalHeartbeats * settings_.heartbeat_interval_s;
+void Autoscaler::run(Time now, bool allow_silent_release) {
+    next_run_at_ = now + kPlanningIntervalHeartbeats * settings_.heartbeat_interval_s;
     demand_.expire_provisioned(now);
     ClusterDemand cluster_demand = demand_.cluster_demand(now);
     // Not before the others have reported their capacity, or it would be provisioned once more.
-    if (is_provisioner() && (delegate_.heard_from_all_peers() ||
-                             now - leadership_.since() > settings_.worker_lease_s)) {
+    if (is_provisioner() &&
+        (delegate_.all_peers_reported() || now - leadership_.since() > settings_.worker_lease_s)) {
         scale_out(now, cluster_demand);
     }
     update_cordons(now, cluster_demand);
-    auto surplus = planner_.plan_scale_in(now, machines_, cluster_demand, may_suspect);
+    auto surplus = planner_.plan_scale_in(now, machines_, cluster_demand, allow_silent_release);
     std::erase_if(surplus, [&](const auto& name) {
         const Machine& machine = *machines_.find(name);
         return !owned_shards_.may_lend(machine.shard) || delegate_.has_unacked_exits(now, machine);
     });
-    if (!surplus.empty() && now >= next_release_) {
+    if (!surplus.empty() && now >= next_release_at_) {
         scale_in(now, surplus);
     }
 }
@@ -59,32 +59,33 @@
 }
 
 void Autoscaler::scale_out(Time now, const ClusterDemand& cluster_demand) {
-    for (const ScaleOut& order :
+    for (const ScaleOut& request :
          planner_.plan_scale_out(now, cluster_demand, types_.all(), slots_by_zone())) {
-        requests_.log(LogLevel::info, "event=scale_out_requested order=" + order.order_id +
-                                          " zone=" + order.zone +
-                                          " spot=" + (order.spot ? "1" : "0") +
-                                          " count=" + std::to_string(order.count));
-        requests_.send(order, [this, order](Time at, OutboundResponse& response) {
-            on_scale_out_response(at, order, response);
+        requests_.log(LogLevel::info, "event=scale_out_requested order=" + request.order_id +
+                                          " zone=" + request.zone +
+                                          " spot=" + (request.spot ? "1" : "0") +
+                                          " count=" + std::to_string(request.count));
+        requests_.send(request, [this, request](Time at, OutboundResponse& response) {
+            on_scale_out_response(at, request, response);
         });
     }
 }
 
-void Autoscaler::on_scale_out_response(Time now, const ScaleOut& order,
+void Autoscaler::on_scale_out_response(Time now, const ScaleOut& request,
                                        const OutboundResponse& response) {
-    planner_.on_scale_out_response(now, order, response.status, response.accepted_machines.size());
-    const InstanceType* type = types_.find(order.type);
+    planner_.on_scale_out_response(now, request, response.status,
+                                   response.accepted_machines.size());
+    const InstanceType* type = types_.find(request.type);
     for (const auto& name : response.accepted_machines) {
         if (!type || machines_.find(name) || planner_.was_released(now, name)) {
             continue;
         }
-        ShardId shard = shard_of_machine(settings_, name, order.zone);
+        ShardId shard = shard_of_machine(settings_, name, request.zone);
         if (const OwnedShards::Shard* own = owned_shards_.find(shard)) {
-            machines_.add(now, name, *type, order.zone, order.spot, shard, own->term);
+            machines_.add(now, name, *type, request.zone, request.spot, shard, own->term);
             demand_.invalidate();
         } else {
-            demand_.add_provisioned(now, name, order);
+            demand_.add_provisioned(now, name, request);
         }
     }
 }
@@ -122,12 +123,12 @@
         }
         if (status != 200) {
             machine->releasing = false; // it is still surplus, and released again before long
-            next_release_ = now + settings_.heartbeat_interval_s;
+            next_release_at_ = now + settings_.heartbeat_interval_s;
             delegate_.update_slot_lists(*machine);
             continue;
         }
         // The provider's rate limit is shared by all partitions.
-        next_release_ = now + settings_.heartbeat_interval_s / 2;
+        next_release_at_ = now + settings_.heartbeat_interval_s / 2;
         planner_.on_released(now, name);
         delegate_.on_machine_released(now, name);
     }
@@ -135,17 +136,17 @@
 }
 
 void Autoscaler::list_instances(Time now) {
-    if (now >= next_list_ && !listing_) {
+    if (now >= next_list_at_ && !list_in_flight_) {
         list_instances_after("");
     }
 }
 
 // Lists the machines whose names come after this one, page by page.
 void Autoscaler::list_instances_after(std::string after) {
-    listing_ = true;
+    list_in_flight_ = true;
     requests_.send(ListInstances{std::move(after)}, [this](Time at, OutboundResponse& response) {
-        listing_ = false;
-        next_list_ = at + settings_.list_lag_s;
+        list_in_flight_ = false;
+        next_list_at_ = at + settings_.list_lag_s;
         if (response.status != 200) {
             return;
         }
@@ -172,7 +173,7 @@
     }
     Machine& machine =
         machines_.add(now, instance.name, *type, instance.zone, instance.spot, shard, own.term);
-    machine.age_at_known_s = instance.age_s;
+    machine.age_when_added_s = instance.age_s;
     machine.endpoint = instance.endpoint;
     // The machine may be up and run tasks, but if so it is in the machine registry as well.
     return &machine;
--- a/src/core/autoscaling/autoscaler.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -23,7 +23,7 @@
         // Has a task completed on the machine without its job's leader knowing of it yet?
         virtual bool has_unacked_exits(Time now, const Machine& machine) const = 0;
         // Have the leaders of all other partitions reported their capacity?
-        virtual bool heard_from_all_peers() const = 0;
+        virtual bool all_peers_reported() const = 0;
     };
     Autoscaler(const Leadership& leadership, const ClusterSettings& settings,
                const OwnedShards& owned_shards, const InstanceTypeCatalog& types,
@@ -35,9 +35,9 @@
     // Lists the provider's machines, if it is time.
     void list_instances(Time now);
     // Is the next run due? There are a few in a heartbeat interval.
-    bool due(Time now) const { return now >= next_; }
-    // Scales out and in. `may_suspect`: machines without heartbeats may be taken for dead.
-    void run(Time now, bool may_suspect);
+    bool is_run_due(Time now) const { return now >= next_run_at_; }
+    // Scales out and in. `allow_silent_release`: machines without heartbeats may be taken for dead.
+    void run(Time now, bool allow_silent_release);
     // Releases the named machines, which must be known; at most as many as the provider takes at
     // once.
     void scale_in(Time now, std::vector<std::string> names);
@@ -48,7 +48,7 @@
     static constexpr int kProvisionerPartition = 0; // whose leader provisions for all
     void scale_out(Time now, const ClusterDemand& cluster_demand);
     std::map<std::string, double> slots_by_zone() const;
-    void on_scale_out_response(Time now, const ScaleOut& order, const OutboundResponse& response);
+    void on_scale_out_response(Time now, const ScaleOut& request, const OutboundResponse& response);
     void on_scale_in_response(Time now, const std::vector<std::string>& names, int status);
     void update_cordons(Time now, const ClusterDemand& cluster_demand);
     void list_instances_after(std::string after);
@@ -65,10 +65,10 @@
     DemandTracker& demand_;
     OutboundRequests& requests_;
     Delegate& delegate_;
-    bool listing_ = false;
-    Time next_ = 0;
-    Time next_list_ = 0;
-    Time next_release_ = 0;
+    bool list_in_flight_ = false;
+    Time next_run_at_ = 0;
+    Time next_list_at_ = 0;
+    Time next_release_at_ = 0;
 };
 
 } // namespace scheduler
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -7,14 +7,14 @@
 namespace scheduler {
 
 namespace {
-constexpr int kMaxMachinesPerOrder = 50; // the cloud provider's limit
+constexpr int kMaxMachinesPerRequest = 50; // the cloud provider's limit
 // A machine without a heartbeat for this many intervals is silent.
 constexpr double kSilentHeartbeats = 2;
 // A machine whose last heartbeat is at most this many intervals old is responsive.
 constexpr double kResponsiveHeartbeats = 1.5;
 // A released machine is remembered for this many times the lag of the provider's list.
 constexpr double kReleasedListLags = 10;
-constexpr double kOrderRetryS = 1;
+constexpr double kScaleOutRetryS = 1;
 } // namespace
 
 // A machine that has missed its heartbeats is most likely gone.
@@ -31,46 +31,48 @@
 }
 
 // Orders whose response is missing are sent again.
-void CapacityPlanner::append_retries(Time now, std::vector<ScaleOut>& orders) {
+void CapacityPlanner::append_retries(Time now, std::vector<ScaleOut>& requests) {
     for (auto& pending : pending_) {
         if (!pending.in_flight && now >= pending.next) {
             pending.in_flight = true;
-            orders.push_back(pending.order);
+            requests.push_back(pending.request);
         }
     }
 }
 
-// Adds the slots of pending orders to the existing ones.
+// Adds the slots of pending requests to the existing ones.
 void CapacityPlanner::add_pending(const std::vector<InstanceType>& types, SlotsByKind& slots,
                                   ZoneSlots& zones) const {
     for (const auto& pending : pending_) {
-        const ScaleOut& order = pending.order;
+        const ScaleOut& request = pending.request;
         auto type = std::find_if(types.begin(), types.end(), [&](const InstanceType& candidate) {
-            return candidate.name == order.type;
+            return candidate.name == request.type;
         });
         if (type != types.end()) {
-            (order.spot ? slots.spot : slots.on_demand) += order.count * type->slots();
-            zones.existing[order.zone] += order.count * type->slots();
+            (request.spot ? slots.spot : slots.on_demand) += request.count * type->slots();
+            zones.existing[request.zone] += request.count * type->slots();
         }
     }
 }
 
 std::vector<ScaleOut> CapacityPlanner::plan_scale_out(Time now, const ClusterDemand& cluster_demand,
                                                       const std::vector<InstanceType>& types,
-                                                      std::map<std::string, double> in_zone) {
-    std::vector<ScaleOut> orders;
-    append_retries(now, orders);
+                                                      std::map<std::string, double> slots_by_zone) {
+    std::vector<ScaleOut> requests;
+    append_retries(now, requests);
     if (types.empty()) {
-        return orders;
+        return requests;
     }
     const Demand& demand = cluster_demand.demand;
-    ZoneSlots zones{std::move(in_zone), demand.zone_bound_slots};
+    ZoneSlots zones{std::move(slots_by_zone), demand.zone_bound_slots};
     SlotsByKind slots{cluster_demand.on_demand_slots, cluster_demand.spot_slots};
     add_pending(types, slots, zones);
-    order_lacking(now, types, false, demand.on_demand_slots - slots.on_demand, zones, orders);
+    request_missing_slots(now, types, false, demand.on_demand_slots - slots.on_demand, zones,
+                          requests);
     double spare = std::max(0.0, slots.on_demand - demand.on_demand_slots);
-    order_lacking(now, types, true, demand.any_kind_slots - slots.spot - spare, zones, orders);
-    return orders;
+    request_missing_slots(now, types, true, demand.any_kind_slots - slots.spot - spare, zones,
+                          requests);
+    return requests;
 }
 
 // For each zone the type with the lowest price per slot, of the offers that are not avoided now.
@@ -97,10 +99,10 @@
     return cheapest;
 }
 
-// Several orders at once where one may not ask for enough, each zone and kind within a quarter of
+// Several requests at once where one may not ask for enough, each zone and kind within a quarter of
 // what the provider accepts until the next round.
 int CapacityPlanner::max_machines_per_zone() const {
-    return kMaxMachinesPerOrder *
+    return kMaxMachinesPerRequest *
            static_cast<int>(
                std::max(1.0, settings_.cloud_requests_per_s * kPlanningIntervalHeartbeats *
                                  settings_.heartbeat_interval_s / 4));
@@ -109,9 +111,9 @@
 // Orders what is lacking, machine by machine: where bound work needs it, then in the zone with the
 // fewest slots so far, of the type with the lowest price per slot there. An offer that was refused
 // is avoided for a while, so that the next zone or type has its turn.
-void CapacityPlanner::order_lacking(Time now, const std::vector<InstanceType>& types, bool spot,
-                                    double lacking_slots, ZoneSlots& zones,
-                                    std::vector<ScaleOut>& orders) {
+void CapacityPlanner::request_missing_slots(Time now, const std::vector<InstanceType>& types,
+                                            bool spot, double lacking_slots, ZoneSlots& zones,
+                                            std::vector<ScaleOut>& requests) {
     TypesByZone open = cheapest_by_zone(now, types, spot);
     int max_machines = max_machines_per_zone();
     std::map<std::string, int> machines_by_zone;
@@ -127,47 +129,48 @@
         zones.existing[zone] += type->slots();
         zones.needed[zone] -= type->slots();
         if (++machines_by_zone[zone] == max_machines) {
-            add_orders(now, *type, zone, spot, max_machines, orders);
+            append_requests(now, *type, zone, spot, max_machines, requests);
             machines_by_zone.erase(zone);
             open.erase(next);
         }
     }
     for (const auto& [zone, machines] : machines_by_zone) {
-        add_orders(now, *open.at(zone), zone, spot, machines, orders);
+        append_requests(now, *open.at(zone), zone, spot, machines, requests);
     }
 }
 
-void CapacityPlanner::add_orders(Time now, const InstanceType& type, const std::string& zone,
-                                 bool spot, int count, std::vector<ScaleOut>& orders) {
+void CapacityPlanner::append_requests(Time now, const InstanceType& type, const std::string& zone,
+                                      bool spot, int count, std::vector<ScaleOut>& requests) {
     while (count > 0) {
-        ScaleOut order{"r-" + std::to_string(term_) + "-" + std::to_string(next_order_++),
-                       type.name, zone, spot, std::min(count, kMaxMachinesPerOrder)};
-        count -= order.count;
-        pending_.push_back({order, now, true});
-        orders.push_back(order);
+        ScaleOut request{"r-" + std::to_string(term_) + "-" +
+                             std::to_string(next_request_number_++),
+                         type.name, zone, spot, std::min(count, kMaxMachinesPerRequest)};
+        count -= request.count;
+        pending_.push_back({request, now, true});
+        requests.push_back(request);
     }
 }
 
-void CapacityPlanner::on_scale_out_response(Time now, const ScaleOut& order, int status,
+void CapacityPlanner::on_scale_out_response(Time now, const ScaleOut& request, int status,
                                             std::size_t accepted) {
-    auto it = std::find_if(pending_.begin(), pending_.end(), [&](const Pending& pending) {
-        return pending.order.order_id == order.order_id;
+    auto it = std::find_if(pending_.begin(), pending_.end(), [&](const PendingRequest& pending) {
+        return pending.request.order_id == request.order_id;
     });
     if (it == pending_.end()) {
         return;
     }
-    SlotKind kind{order.type, order.spot};
+    SlotKind kind{request.type, request.spot};
     if (status == 200 || status == 400 || status == 503) {
         // A 503 provisioned nothing; whether for lack of machines or because the provider itself is
         // down, the offer is avoided for a while.
-        if (status != 200 || accepted < static_cast<std::size_t>(order.count)) {
-            backoff_until_[{kind, order.zone}] = now + policy_.capacity_backoff_s;
+        if (status != 200 || accepted < static_cast<std::size_t>(request.count)) {
+            backoff_until_[{kind, request.zone}] = now + policy_.capacity_backoff_s;
         }
         pending_.erase(it);
         return;
     }
     it->in_flight = false;
-    it->next = now + kOrderRetryS;
+    it->next = now + kScaleOutRetryS;
 }
 
 bool CapacityPlanner::was_released(Time now, const std::string& name) {
@@ -211,7 +214,7 @@
     update_recent_demand(now, demand.demand, boot_s);
     std::vector<std::string> changes;
     // While another partition has not reported, its demand may have grown since.
-    bool may_cordon = now >= next_cordon_ && demand.complete;
+    bool may_cordon = now >= next_cordon_at_ && demand.complete;
     for (bool spot : {false, true}) {
         plan_cordons_of_kind(now, machines, demand, spot, may_cordon, changes);
     }
@@ -243,7 +246,7 @@
     }
 }
 
-// Cordons the emptiest machines first; equal ones in the order of their names: in the order of
+// Cordons the emptiest machines first; equal ones in the order of their names: in the request of
 // their addresses, no run would repeat another.
 void CapacityPlanner::cordon_surplus(Time now, std::vector<CordonCandidate> candidates,
                                      const Surplus& surplus, std::vector<std::string>& changes) {
@@ -265,15 +268,15 @@
         existing -= slots;
         step_slots -= slots;
         changes.push_back(candidate.machine->name);
-        next_cordon_ = now + settings_.heartbeat_interval_s / 2;
+        next_cordon_at_ = now + settings_.heartbeat_interval_s / 2;
     }
 }
 
 // A machine that is not up: did it have enough time to come up, or to come back?
-bool CapacityPlanner::is_lost(Time now, const Machine& machine) const {
+bool CapacityPlanner::is_presumed_lost(Time now, const Machine& machine) const {
     bool never_up = machine.agent_epoch == 0 && !machine.registered;
     if (never_up) {
-        double age_s = machine.age_at_known_s + (now - machine.known_since);
+        double age_s = machine.age_when_added_s + (now - machine.known_since);
         return age_s > boot_timeout_s(machine.type);
     }
     return now - machine.last_heartbeat > 2 * settings_.worker_lease_s; // its lease has expired
@@ -282,7 +285,7 @@
 // May silent machines be taken for dead? If few machines are silent while the rest send heartbeats,
 // these are dead, preempted or cut off. Many silent at once more likely mean a fault of this
 // controller. While no machine is responsive, the first that becomes silent is not the only one.
-bool CapacityPlanner::may_suspect_silent(Time now, const MachineTable& machines) const {
+bool CapacityPlanner::is_silent_release_safe(Time now, const MachineTable& machines) const {
     double max_silence_s = kResponsiveHeartbeats * settings_.heartbeat_interval_s;
     std::size_t reporting = 0;
     std::size_t silent = 0;
@@ -313,14 +316,14 @@
 }
 
 bool CapacityPlanner::should_release(Time now, const Machine& machine, const ClusterDemand& demand,
-                                     bool may_suspect, SlotsByKind& slots) const {
+                                     bool allow_silent_release, SlotsByKind& slots) const {
     if (machine.releasing) {
         return false;
     }
     if (!machine.reporting) {
-        return is_lost(now, machine);
+        return is_presumed_lost(now, machine);
     }
-    if (may_suspect && is_silent(now, machine)) {
+    if (allow_silent_release && is_silent(now, machine)) {
         return true; // the release makes sure that nothing runs there, well before the lease does
     }
     if (!machine.empty() || machine.runs_unexpected_tasks() || machine.command_in_flight != 0) {
@@ -335,12 +338,12 @@
 
 std::vector<std::string> CapacityPlanner::plan_scale_in(Time now, const MachineTable& machines,
                                                         const ClusterDemand& demand,
-                                                        bool may_suspect) const {
-    may_suspect = may_suspect && may_suspect_silent(now, machines);
+                                                        bool allow_silent_release) const {
+    allow_silent_release = allow_silent_release && is_silent_release_safe(now, machines);
     SlotsByKind slots{demand.on_demand_slots, demand.spot_slots};
     std::vector<std::string> names;
     for (const auto& [name, machine] : machines.all()) {
-        if (should_release(now, machine, demand, may_suspect, slots)) {
+        if (should_release(now, machine, demand, allow_silent_release, slots)) {
             names.push_back(name);
         }
     }
--- a/src/core/autoscaling/capacity_planner.h
+++ b/src/core/autoscaling/capacity_planner.h
@@ -24,22 +24,23 @@
 // Makes plans only; the autoscaler carries them out. Called only from the controller's event loop.
 class CapacityPlanner {
   public:
-    // `term`: of the leadership; it makes order ids unique.
+    // `term`: of the leadership; it makes request ids unique.
     CapacityPlanner(const ClusterSettings& settings, const SchedulingPolicy& policy,
                     std::uint64_t term)
         : settings_(settings), policy_(policy), term_(term) {}
 
-    // The orders to send now. An order without a response is sent again under its id. `in_zone`:
-    // slots by zone.
+    // The requests to send now. An request without a response is sent again under its id.
+    // `slots_by_zone`: slots by zone.
     std::vector<ScaleOut> plan_scale_out(Time now, const ClusterDemand& demand,
                                          const std::vector<InstanceType>& types,
-                                         std::map<std::string, double> in_zone);
-    void on_scale_out_response(Time now, const ScaleOut& order, int status, std::size_t accepted);
+                                         std::map<std::string, double> slots_by_zone);
+    void on_scale_out_response(Time now, const ScaleOut& request, int status, std::size_t accepted);
 
-    // Machines to release: idle for long, never up, lost, or faulty. `may_suspect`: machines
-    // without heartbeats may be taken for dead.
+    // Machines to release: idle for long, never up, lost, or faulty. `allow_silent_release`:
+    // machines without heartbeats may be taken for dead.
     std::vector<std::string> plan_scale_in(Time now, const MachineTable& machines,
-                                           const ClusterDemand& demand, bool may_suspect) const;
+                                           const ClusterDemand& demand,
+                                           bool allow_silent_release) const;
     // Machines to cordon because there are more than the demand needs, some at a time, and cordoned
     // machines to use again because there are too few: `cordoned` of each is to be toggled.
     std::vector<std::string> plan_cordons(Time now, const MachineTable& machines,
@@ -56,8 +57,8 @@
     }
 
   private:
-    struct Pending {
-        ScaleOut order;
+    struct PendingRequest {
+        ScaleOut request;
         Time next = 0; // no retry before this
         bool in_flight = false;
     };
@@ -88,37 +89,38 @@
     };
     using TypesByZone = std::map<std::string, const InstanceType*>;
     bool is_silent(Time now, const Machine& machine) const;
-    void append_retries(Time now, std::vector<ScaleOut>& orders);
+    void append_retries(Time now, std::vector<ScaleOut>& requests);
     void add_pending(const std::vector<InstanceType>& types, SlotsByKind& slots,
                      ZoneSlots& zones) const;
     TypesByZone cheapest_by_zone(Time now, const std::vector<InstanceType>& types, bool spot) const;
     int max_machines_per_zone() const;
-    void order_lacking(Time now, const std::vector<InstanceType>& types, bool spot,
-                       double lacking_slots, ZoneSlots& zones, std::vector<ScaleOut>& orders);
+    void request_missing_slots(Time now, const std::vector<InstanceType>& types, bool spot,
+                               double lacking_slots, ZoneSlots& zones,
+                               std::vector<ScaleOut>& requests);
     void update_recent_demand(Time now, const Demand& demand, double boot_s);
     double wanted_slots(const ClusterDemand& demand, bool spot) const;
     void plan_cordons_of_kind(Time now, const MachineTable& machines, const ClusterDemand& demand,
                               bool spot, bool may_cordon, std::vector<std::string>& changes);
     void cordon_surplus(Time now, std::vector<CordonCandidate> candidates, const Surplus& surplus,
                         std::vector<std::string>& changes);
-    bool is_lost(Time now, const Machine& machine) const;
-    bool may_suspect_silent(Time now, const MachineTable& machines) const;
+    bool is_presumed_lost(Time now, const Machine& machine) const;
+    bool is_silent_release_safe(Time now, const MachineTable& machines) const;
     bool is_surplus(Time now, const Machine& machine, SlotsByKind& slots) const;
     bool should_release(Time now, const Machine& machine, const ClusterDemand& demand,
-                        bool may_suspect, SlotsByKind& slots) const;
-    void add_orders(Time now, const InstanceType& type, const std::string& zone, bool spot,
-                    int count, std::vector<ScaleOut>& orders);
+                        bool allow_silent_release, SlotsByKind& slots) const;
+    void append_requests(Time now, const InstanceType& type, const std::string& zone, bool spot,
+                         int count, std::vector<ScaleOut>& requests);
 
     ClusterSettings settings_;
     SchedulingPolicy policy_;
     std::uint64_t term_;
-    std::uint64_t next_order_ = 1;
-    std::vector<Pending> pending_;
+    std::uint64_t next_request_number_ = 1;
+    std::vector<PendingRequest> pending_;
     std::map<Offer, Time> backoff_until_;
     std::map<std::string, Time> released_; // by machine, with the time of the release
     Demand recent_demand_;                 // its peaks decay over some boot times
     Time recent_demand_at_ = 0;
-    Time next_cordon_ = 0;
+    Time next_cordon_at_ = 0;
 };
 
 } // namespace scheduler
--- a/src/core/autoscaling/demand_tracker.cpp
+++ b/src/core/autoscaling/demand_tracker.cpp
@@ -223,8 +223,8 @@
     peers_.at(partition) = {now, demand, capacity};
 }
 
-void DemandTracker::add_provisioned(Time now, const std::string& machine, const ScaleOut& order) {
-    provisioned_[machine] = {order, now};
+void DemandTracker::add_provisioned(Time now, const std::string& machine, const ScaleOut& request) {
+    provisioned_[machine] = {request, now};
 }
 
 void DemandTracker::expire_provisioned(Time now) {
--- a/src/core/autoscaling/demand_tracker.h
+++ b/src/core/autoscaling/demand_tracker.h
@@ -58,7 +58,7 @@
     };
     using ProvisionedMachines = std::map<std::string, Provisioned>; // by machine
     const ProvisionedMachines& provisioned() const { return provisioned_; }
-    void add_provisioned(Time now, const std::string& machine, const ScaleOut& order);
+    void add_provisioned(Time now, const std::string& machine, const ScaleOut& request);
     void remove_provisioned(const std::string& machine) { provisioned_.erase(machine); }
     // Machines that should be up by now are no longer counted.
     void expire_provisioned(Time now);
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -238,8 +238,8 @@
 
 void Controller::tick_leaders(Time now) {
     cpu_headroom_.tick(now);
-    bool may_move = lease_extender_.store_responsive(now, store_contact_.last_response());
-    leaders_.tick(now, cpu_headroom_.value(), may_move);
+    bool may_migrate = lease_extender_.store_responsive(now, store_contact_.last_response());
+    leaders_.tick(now, cpu_headroom_.value(), may_migrate);
 }
 
 } // namespace scheduler
--- a/src/core/local_peer_sync.cpp
+++ b/src/core/local_peer_sync.cpp
@@ -33,27 +33,27 @@
 
 void LocalPeerSync::collect(Time now, Outputs& out) {
     drain_leaders(out);
-    while (!pending_.empty()) {
-        LocalRequest local = std::move(pending_.front());
-        pending_.pop_front();
+    while (!pending_requests_.empty()) {
+        LocalRequest local = std::move(pending_requests_.front());
+        pending_requests_.pop_front();
         deliver(now, local, out);
     }
 }
 
 void LocalPeerSync::drain_leaders(Outputs& out) {
     for (auto& [partition, leader] : leaders_) {
-        Outputs own;
-        leader->drain_into(own);
-        for (auto& request : own.requests) {
+        Outputs outputs;
+        leader->drain_into(outputs);
+        for (auto& request : outputs.requests) {
             const auto* sync = std::get_if<PeerSyncCall>(&request.body);
             if (sync && sync->node == node_) {
-                pending_.push_back({partition, std::move(request)});
+                pending_requests_.push_back({partition, std::move(request)});
             } else {
                 out.requests.push_back(std::move(request));
             }
         }
-        append(out.responses, own.responses);
-        append(out.log, own.log);
+        append(out.responses, outputs.responses);
+        append(out.log, outputs.log);
     }
 }
 
--- a/src/core/local_peer_sync.h
+++ b/src/core/local_peer_sync.h
@@ -33,7 +33,7 @@
 
     const std::string& node_;
     PartitionLeaderMap& leaders_;
-    std::deque<LocalRequest> pending_; // empty between two calls of `collect`
+    std::deque<LocalRequest> pending_requests_; // empty between two calls of `collect`
 };
 
 } // namespace scheduler
--- a/src/core/machines/machine_registry.cpp
+++ b/src/core/machines/machine_registry.cpp
@@ -54,7 +54,7 @@
 // enough left for all, fewer are sent, or a large transaction would wait behind the single changes
 // of others for ever.
 void MachineRegistry::flush(Time now) {
-    if (in_flight_ || now < next_) {
+    if (in_flight_ || now < next_attempt_at_) {
         return;
     }
     if (!unknown_versions_.empty()) {
@@ -136,7 +136,7 @@
     std::vector<std::string> registered = on_added(response, result, changes.added);
     on_removed(result, changes.removed);
     if (result == Result::failed) {
-        next_ = now + heartbeat_interval_s_ / kRetriesPerHeartbeat;
+        next_attempt_at_ = now + heartbeat_interval_s_ / kRetriesPerHeartbeat;
     }
     on_response_(now, response, registered);
 }
@@ -192,7 +192,7 @@
         versions_.erase(machine);
         pending_removes_.erase(machine);
     } else {
-        next_ = now + heartbeat_interval_s_ / kRetriesPerHeartbeat;
+        next_attempt_at_ = now + heartbeat_interval_s_ / kRetriesPerHeartbeat;
         return;
     }
     unknown_versions_.erase(machine);
--- a/src/core/machines/machine_registry.h
+++ b/src/core/machines/machine_registry.h
@@ -80,7 +80,7 @@
     std::map<std::string, std::uint64_t> versions_;
     std::map<std::string, int> unknown_versions_; // to be read before a change
     bool in_flight_ = false;
-    Time next_ = 0; // no retry before this
+    Time next_attempt_at_ = 0; // no retry before this
 };
 
 } // namespace scheduler
--- a/src/core/machines/machine_table.cpp
+++ b/src/core/machines/machine_table.cpp
@@ -182,7 +182,7 @@
     ++images_version;
 }
 
-void Machine::forget_remote_commands() {
+void Machine::drop_obsolete_remote_commands() {
     if (remote_stops.empty() && remote_clears.empty()) {
         return;
     }
--- a/src/core/machines/machine_table.h
+++ b/src/core/machines/machine_table.h
@@ -81,11 +81,11 @@
     std::uint64_t fencing_sequence = 0;
     Time last_heartbeat = 0;
     Time known_since = 0;
-    double age_at_known_s = 0;
+    double age_when_added_s = 0;
     Time lease_expires_at =
         0;             // by then the worker has ended this epoch, unless the lease is renewed
     Time check_at = 0; // when the expiry is checked next
-    int unanswered_commands = 0; // probes in a row
+    int unanswered_probes = 0; // probes in a row
     bool registered = false;
     bool registration_pending = false;
     bool draining = false; // for good: a preemption notice, or failures
@@ -135,7 +135,7 @@
     void touch_image(const std::string& image, double gb);
     void forget_images();
     // Drops commands about remote tasks that are not on the machine, nor on their way to it.
-    void forget_remote_commands();
+    void drop_obsolete_remote_commands();
 };
 
 // What a heartbeat showed of a machine's tasks.
--- a/src/core/machines/slot_lists.cpp
+++ b/src/core/machines/slot_lists.cpp
@@ -32,17 +32,17 @@
 }
 
 void SlotLists::set(const SlotKind& kind, const std::string& machine, int slots) {
-    auto it = where_.find(machine);
-    if (it != where_.end() && it->second == Position{kind, slots}) {
+    auto it = positions_.find(machine);
+    if (it != positions_.end() && it->second == ListPosition{kind, slots}) {
         return;
     }
-    bool was_listed = it != where_.end();
+    bool was_listed = it != positions_.end();
     if (was_listed) {
         unlist(it);
     }
     if (slots >= 0) {
         lists_[kind][slots].insert(machine);
-        where_[machine] = {kind, slots};
+        positions_[machine] = {kind, slots};
     }
     if (was_listed != (slots >= 0)) {
         update_warm(machine, slots >= 0);
@@ -50,7 +50,7 @@
 }
 
 void SlotLists::remove(const std::string& machine) {
-    if (auto it = where_.find(machine); it != where_.end()) {
+    if (auto it = positions_.find(machine); it != positions_.end()) {
         unlist(it);
         update_warm(machine, false);
     }
@@ -63,7 +63,7 @@
     if (list->second.empty()) {
         lists.erase(list);
     }
-    where_.erase(position);
+    positions_.erase(position);
 }
 
 void SlotLists::update_warm(const std::string& machine, bool listed) {
@@ -83,22 +83,22 @@
 
 void SlotLists::set_images(const std::string& machine, const std::vector<std::string>& images,
                            std::uint64_t version) {
-    Images& known = images_[machine];
-    if (known.version == version) {
+    CachedImages& cached = images_[machine];
+    if (cached.version == version) {
         return;
     }
     update_warm(machine, false);
-    for (const auto& image : known.names) {
+    for (const auto& image : cached.names) {
         auto it = warm_.find(image);
         if (--it->second.machines == 0) {
             warm_.erase(it);
         }
     }
-    known = {images, version};
+    cached = {images, version};
     for (const auto& image : images) {
         ++warm_[image].machines;
     }
-    if (where_.contains(machine)) {
+    if (positions_.contains(machine)) {
         update_warm(machine, true);
     }
 }
--- a/src/core/machines/slot_lists.h
+++ b/src/core/machines/slot_lists.h
@@ -37,7 +37,7 @@
     void remove(const std::string& machine);
     // The machine is gone, and its image cache with it.
     void forget(const std::string& machine);
-    bool empty() const { return where_.empty(); }
+    bool empty() const { return positions_.empty(); }
     // Sets the images in the machine's cache. `version` changes with them, so that a call without a
     // change costs nothing.
     void set_images(const std::string& machine, const std::vector<std::string>& images,
@@ -53,7 +53,7 @@
             return nullptr;
         }
         const auto& idle = warm->second.idle;
-        if (idle.size() * idle.size() > where_.size()) {
+        if (idle.size() * idle.size() > positions_.size()) {
             return find_least_idle(kind, slots, [&](const std::string& machine) {
                 return idle.contains(machine) && accepts(machine);
             });
@@ -61,7 +61,7 @@
         const std::string* best = nullptr;
         int best_slots = 0;
         for (const auto& machine : idle) {
-            const Position& position = where_.at(machine);
+            const ListPosition& position = positions_.at(machine);
             if (position.kind == kind && position.slots >= slots &&
                 (!best || std::tie(position.slots, machine) < std::tie(best_slots, *best)) &&
                 accepts(machine)) {
@@ -91,28 +91,28 @@
 
   private:
     // The list that a machine is on.
-    struct Position {
+    struct ListPosition {
         SlotKind kind;
         int slots = 0;
-        bool operator==(const Position&) const = default;
+        bool operator==(const ListPosition&) const = default;
     };
-    using Positions = std::unordered_map<std::string, Position>; // by machine
+    using Positions = std::unordered_map<std::string, ListPosition>; // by machine
     void unlist(Positions::iterator position);
 
     std::map<SlotKind, std::map<int, std::set<std::string>>> lists_;
-    Positions where_;
-    struct Warm {
+    Positions positions_;
+    struct WarmImage {
         std::unordered_set<std::string> idle; // listed machines that have the image
         std::size_t machines = 0;             // that have it, listed or not
     };
-    struct Images {
+    struct CachedImages {
         std::vector<std::string> names;
         std::uint64_t version = 0;
     };
     // Adds the machine to the warm lists of its images, or removes it from them.
     void update_warm(const std::string& machine, bool listed);
-    std::unordered_map<std::string, Images> images_; // by machine, listed or not
-    std::unordered_map<std::string, Warm> warm_;     // by image
+    std::unordered_map<std::string, CachedImages> images_; // by machine, listed or not
+    std::unordered_map<std::string, WarmImage> warm_;      // by image
 };
 
 } // namespace scheduler
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -9,7 +9,8 @@
 namespace scheduler {
 
 namespace {
-constexpr std::size_t kMostCommands = 200; // keeps a response well under the 64 KiB allowed
+constexpr std::size_t kMaxCommandsPerResponse =
+    200; // keeps a response well under the 64 KiB allowed
 } // namespace
 
 PartitionLeader::PartitionLeader(Time now, int partition, const ClusterSettings& settings,
@@ -58,9 +59,9 @@
                 {job_cache_, jobs_, machines_, quotas_, registry_, queue_, demand_, reconciliation_,
                  lender_, borrower_, staleness_},
                 requests_, *this) {
-    for (const auto& [team, its_part] : partitions_of_teams(settings_)) {
+    for (const auto& [team, team_partition] : partitions_of_teams(settings_)) {
         quotas_.configure(*quota_config_.team(team), quota_config_.is_blocked(team));
-        if (its_part == partition) {
+        if (team_partition == partition) {
             own_teams_.insert(team);
         }
     }
@@ -100,9 +101,10 @@
     try_reconcile(now);
     schedule_on(now, *machine);
     // Without a fencing token in the response, the worker stays with this controller and its lease
-    // runs on unrenewed (one that has never seen a token has no tasks, yet counts its lease from
-    // here). A leader that does not know of cancellations, since it has only just become leader or
-    // since the key-value store refuses it, would keep their tasks alive by every response.
+    // runs on unrenewed (one that has never seen a token has no tasks, yet counts its lease
+    // from here). A leader that does not know of cancellations, since it has only just become
+    // leader or since the key-value store refuses it, would keep their tasks alive by every
+    // response.
     HeartbeatBody response;
     if (staleness_.is_fresh(now)) {
         response = heartbeat_response(*machine, heartbeat, current);
@@ -171,7 +173,7 @@
     if (current && machine.fenced && failover_.loaded()) {
         add_corrective_commands(machine, response.commands);
     } else {
-        stop_cancelled(heartbeat, response.commands);
+        add_cancellation_stops(heartbeat, response.commands);
     }
     if (current && machine.fenced) {
         auto starts = machines_.take_commands_for_response(machine);
@@ -181,8 +183,8 @@
 }
 
 void PartitionLeader::apply_heartbeat(Time now, Machine& machine, const Heartbeat& heartbeat,
-                                      OutboundRequestId orders) {
-    HeartbeatResult result = machines_.apply_heartbeat(now, machine, heartbeat, orders);
+                                      OutboundRequestId command_request) {
+    HeartbeatResult result = machines_.apply_heartbeat(now, machine, heartbeat, command_request);
     for (const auto& removed : result.removed) {
         on_task_removed(now, machine.name, removed);
     }
@@ -232,7 +234,7 @@
     }
     quotas_.remove_usage(placement.team, placement.cpus, placement.gpus);
     bool suspect_machine =
-        on_task_gone(now, removed.task, removed.reason, machine ? machine->zone : "");
+        on_own_task_gone(now, removed.task, removed.reason, machine ? machine->zone : "");
     if (machine && failed && suspect_machine) {
         ++machine->consecutive_errors;
     }
@@ -240,37 +242,37 @@
 
 // A placed task of ours is on no machine any more. Says whether its failure, if it is one,
 // counts against the machine.
-bool PartitionLeader::on_task_gone(Time now, const TaskId& task, ExitReason why,
-                                   const std::string& zone) {
+bool PartitionLeader::on_own_task_gone(Time now, const TaskId& task, ExitReason reason,
+                                       const std::string& zone) {
     Job* job = jobs_.find(task.job);
     if (!job) {
         return true;
     }
     jobs_.mark_waiting(*job, task.index, zone);
-    bool counts = true;
-    if (job->open() && why == ExitReason::done) {
+    bool blames_machine = true;
+    if (job->open() && reason == ExitReason::done) {
         jobs_.mark_done(*job, task.index);
         job->failures = 0;
         if (job->complete()) {
             job_persistence_.finish_job(now, *job);
         }
-    } else if (why == ExitReason::error || why == ExitReason::unknown) {
+    } else if (reason == ExitReason::error || reason == ExitReason::unknown) {
         requests_.log(LogLevel::info,
                       "event=task_failed task=" + task.job + "/" + std::to_string(task.index));
         // A job that has failed on machine after machine is at fault itself, so it no longer
         // counts against the machines.
-        counts = job->failures < policy_.quarantine_errors;
+        blames_machine = job->failures < policy_.quarantine_errors;
         ++job->failures;
-        if (!counts) {
+        if (!blames_machine) {
             double steps = std::min(6.0, job->failures - policy_.quarantine_errors);
             job->backoff_until = now + settings_.heartbeat_interval_s * std::pow(2.0, steps);
         }
     }
     if (job->spec.kind == JobKind::gang) {
-        gang_scheduler_.on_task_gone(now, *job, why);
+        gang_scheduler_.on_task_gone(now, *job, reason);
     }
-    forget_if_over(task.job);
-    return counts;
+    remove_job_if_cancelled(task.job);
+    return blames_machine;
 }
 
 // Tasks that an earlier leader started come to light through the inventory in a heartbeat. Only one
@@ -282,9 +284,9 @@
     if (!failover_.loaded() || !machine.fenced) {
         return;
     }
-    std::vector<TaskStatus> listed = std::move(machine.unexpected);
+    std::vector<TaskStatus> reported = std::move(machine.unexpected);
     machine.unexpected.clear();
-    for (const auto& status : listed) {
+    for (const auto& status : reported) {
         if (leadership_.is_own_attempt(status.attempt)) {
             adopt_own(now, machine, status);
         } else if (status.stage == TaskStage::exited) {
@@ -315,19 +317,19 @@
         machine.unexpected.push_back(status);
         return;
     }
-    bool waits =
+    bool is_waiting =
         job->tasks[status.task.index] == TaskState::waiting && !machine.tasks.contains(status.task);
     if (status.stage == TaskStage::exited) {
         if (status.exit_reason == ExitReason::done && job->open()) {
             machine.finished.push_back(status); // cleared once durable
-            if (waits) {
+            if (is_waiting) {
                 on_found_done(now, *job, status.task.index);
             }
         } else {
             machine.unexpected.push_back(status);
         }
-    } else if (waits && (job->spec.kind != JobKind::gang ||
-                         gangs_.adopt(now, status.task.job, status.attempt))) {
+    } else if (is_waiting && (job->spec.kind != JobKind::gang ||
+                              gangs_.adopt(now, status.task.job, status.attempt))) {
         MachineTable::adopt(now, machine, status, placement_for(job->spec));
         jobs_.mark_placed(*job, status.task.index, machine.zone);
         quotas_.add_usage(job->spec.team, job->spec.cpus, job->spec.gpus);
@@ -346,10 +348,10 @@
 // newest, of a machine that has not shown our fencing token, or before the jobs are read. Nothing
 // but tasks of cancelled jobs is stopped then, but these are, or a machine that comes back from a
 // network partition for a single heartbeat would keep them for two leases.
-void PartitionLeader::stop_cancelled(const Heartbeat& heartbeat,
-                                     std::vector<WorkerCommand>& out) const {
+void PartitionLeader::add_cancellation_stops(const Heartbeat& heartbeat,
+                                             std::vector<WorkerCommand>& out) const {
     for (const auto& status : heartbeat.tasks) {
-        if (status.stage != TaskStage::exited && out.size() < kMostCommands &&
+        if (status.stage != TaskStage::exited && out.size() < kMaxCommandsPerResponse &&
             job_cache_.outcome(status.task.job) == Outcome::cancelled) {
             out.push_back({CommandType::stop, status.task, status.attempt, 0});
         }
@@ -359,10 +361,10 @@
 // Clears and stops for what is on the machine and should not be, all jobs being known and the
 // machine fenced: else it may be a job's rightful task. Both can be repeated.
 void PartitionLeader::add_corrective_commands(Machine& machine, std::vector<WorkerCommand>& out) {
-    machine.forget_remote_commands();
+    machine.drop_obsolete_remote_commands();
     add_clears(machine, out);
     for (const auto& status : machine.unexpected) {
-        if (out.size() >= kMostCommands) {
+        if (out.size() >= kMaxCommandsPerResponse) {
             break;
         }
         bool exited = status.stage == TaskStage::exited;
@@ -372,7 +374,7 @@
     for (const auto& [task, placement] : machine.tasks) {
         std::optional<double> grace_s = stop_grace_s(machine, task, placement);
         if (grace_s && placement.launch_state == Placement::LaunchState::reported &&
-            out.size() < kMostCommands) {
+            out.size() < kMaxCommandsPerResponse) {
             out.push_back({CommandType::stop, task, placement.attempt, *grace_s});
         }
     }
@@ -385,7 +387,7 @@
         bool durable =
             remote ? machine.remote_clears.contains(launch_id(status.attempt, status.task.index))
                    : end_is_durable(status);
-        if (durable && out.size() < kMostCommands) {
+        if (durable && out.size() < kMaxCommandsPerResponse) {
             out.push_back({CommandType::clear, status.task, status.attempt, 0});
         }
     }
@@ -398,8 +400,8 @@
         if (jobs_.final_outcome(task.job) == Outcome::cancelled) {
             return 0;
         }
-        auto told = machine.remote_stops.find(launch_id(placement.attempt, task.index));
-        return told != machine.remote_stops.end() ? std::optional<double>(told->second)
+        auto stop = machine.remote_stops.find(launch_id(placement.attempt, task.index));
+        return stop != machine.remote_stops.end() ? std::optional<double>(stop->second)
                                                   : std::nullopt;
     }
     const Job* job = jobs_.find(task.job);
@@ -423,15 +425,15 @@
     if (!leadership_.is_active(now) || !staleness_.is_fresh(now)) {
         return;
     }
-    int room = settings_.max_concurrent_commands - commands_in_flight_;
+    int available = settings_.max_concurrent_commands - commands_in_flight_;
     for (Machine* sendable :
-         machines_.machines_with_commands(static_cast<std::size_t>(std::max(0, room)))) {
+         machines_.machines_with_commands(static_cast<std::size_t>(std::max(0, available)))) {
         const std::string& name = sendable->name;
         ++effort_;
         std::uint64_t token = sendable->fencing_token();
         auto commands = machines_.take_commands_for_request(*sendable);
         ++commands_in_flight_;
-        OutboundRequestId call = requests_.send(
+        OutboundRequestId request_id = requests_.send(
             WorkerCommands{name, sendable->endpoint, token, sendable->agent_epoch, commands},
             [this, name = name](Time at, OutboundResponse& response) {
                 --commands_in_flight_;
@@ -451,7 +453,7 @@
                 schedule_on(at, *machine);
                 send_commands(at);
             });
-        machines_.on_commands_sent(*sendable, commands, call);
+        machines_.on_commands_sent(*sendable, commands, request_id);
     }
 }
 
@@ -497,7 +499,7 @@
         ids.push_back(id);
     }
     for (const auto& id : ids) {
-        forget_if_over(id);
+        remove_job_if_cancelled(id);
     }
     // A gang attempt of an earlier leader goes on if it is whole, and is ended if not.
     for (const auto& id : ids) {
@@ -519,12 +521,12 @@
 
 // ---- Delegates of the classes that it wires ----
 
-void PartitionLeader::on_remote_exit(Time now, const TaskId& task, ExitReason why,
+void PartitionLeader::on_remote_exit(Time now, const TaskId& task, ExitReason reason,
                                      const std::string& zone) {
     if (Job* job = jobs_.find(task.job)) {
         quotas_.remove_usage(job->spec.team, job->spec.cpus, job->spec.gpus);
     }
-    on_task_gone(now, task, why, zone);
+    on_own_task_gone(now, task, reason, zone);
 }
 
 void PartitionLeader::on_found_done(Time now, Job& job, std::uint32_t task) {
@@ -580,16 +582,17 @@
     slots_.forget(name);
     reconciliation_.on_inventory(machine);
     lender_.on_machine_removed(machine);
-    bool on_roster = machine.registered || machine.registration_pending;
+    bool in_registry = machine.registered || machine.registration_pending;
     int home = machine.shard.home_partition;
     std::string zone = machine.zone;
-    for (const auto& g : machines_.remove(name)) {
-        if (leadership_.is_own_attempt(g.placement.attempt)) {
-            quotas_.remove_usage(g.placement.team, g.placement.cpus, g.placement.gpus);
-            on_task_gone(now, g.task, ExitReason::none, zone);
+    for (const auto& removed : machines_.remove(name)) {
+        if (leadership_.is_own_attempt(removed.placement.attempt)) {
+            quotas_.remove_usage(removed.placement.team, removed.placement.cpus,
+                                 removed.placement.gpus);
+            on_own_task_gone(now, removed.task, ExitReason::none, zone);
         }
     }
-    if (on_roster) {
+    if (in_registry) {
         registry_.remove(now, home, name);
     }
 }
@@ -627,7 +630,7 @@
         queue_.on_job_done(job->spec);
     }
     jobs_.record_outcome(id, Outcome::done);
-    drop_job(id);
+    remove_job(id);
 }
 
 void PartitionLeader::on_outcome_found(Time now, const std::string& id, Outcome outcome) {
@@ -635,7 +638,7 @@
         cancel_job(now, id);
     } else if (outcome == Outcome::done) {
         jobs_.record_outcome(id, Outcome::done);
-        drop_job(id);
+        remove_job(id);
     }
 }
 
@@ -647,22 +650,23 @@
         requests_.log(LogLevel::info, "event=job_cancelled job=" + id);
         borrower_.stop_job(id, 0); // on other partitions' machines, by their leaders
         // Starts that have not been sent yet are never sent.
-        for (auto& [name, m] : machines_.all()) {
-            for (const auto& g : machines_.cancel_queued_starts(m, &id)) {
-                quotas_.remove_usage(g.placement.team, g.placement.cpus, g.placement.gpus);
-                jobs_.mark_waiting(*jobs_.find(id), g.task.index, m.zone);
-                update_slot_lists(m);
+        for (auto& [name, machine] : machines_.all()) {
+            for (const auto& removed : machines_.cancel_queued_starts(machine, &id)) {
+                quotas_.remove_usage(removed.placement.team, removed.placement.cpus,
+                                     removed.placement.gpus);
+                jobs_.mark_waiting(*jobs_.find(id), removed.task.index, machine.zone);
+                update_slot_lists(machine);
             }
-            stop_at_once(m, id);
+            queue_immediate_stops(machine, id);
         }
         send_commands(now);
     }
-    forget_if_over(id);
+    remove_job_if_cancelled(id);
 }
 
 // A task whose image is still being fetched would start before the next heartbeat's response
 // brings its stop.
-void PartitionLeader::stop_at_once(Machine& machine, const std::string& job) {
+void PartitionLeader::queue_immediate_stops(Machine& machine, const std::string& job) {
     for (auto it = machine.tasks.lower_bound({job, 0});
          it != machine.tasks.end() && it->first.job == job; ++it) {
         if (leadership_.is_own_attempt(it->second.attempt)) {
@@ -672,17 +676,17 @@
 }
 
 // The pending queue may point to the job.
-void PartitionLeader::drop_job(const std::string& id) {
+void PartitionLeader::remove_job(const std::string& id) {
     queue_.clear();
     gangs_.on_attempt_gone(id);
     jobs_.drop(id);
 }
 
-void PartitionLeader::forget_if_over(const std::string& id) {
+void PartitionLeader::remove_job_if_cancelled(const std::string& id) {
     Job* job = jobs_.find(id);
     if (job && failover_.reconciled() && job->outcome == Outcome::cancelled && job->placed == 0) {
         jobs_.record_outcome(id, Outcome::cancelled);
-        drop_job(id);
+        remove_job(id);
     }
 }
 
@@ -729,64 +733,65 @@
     double idle = 0;
     double gathering = 0;
     double closed = 0; // on machines that take nothing
-    int up = 0;
-    auto taken = [](const InstanceType& type, const Placement& placement) {
+    int reporting = 0;
+    auto slots_used = [](const InstanceType& type, const Placement& placement) {
         return type.gpus > 0 ? placement.gpus : placement.cpus;
     };
-    for (const auto& [name, m] : machines_.all()) {
-        if (!m.reporting) {
+    for (const auto& [name, machine] : machines_.all()) {
+        if (!machine.reporting) {
             continue;
         }
-        ++up;
-        total += m.type.slots();
-        for (const auto& [task, p] : m.tasks) {
-            bool listed = p.launch_state == Placement::LaunchState::reported;
-            (!listed                          ? sent
-             : p.stage == TaskStage::fetching ? fetching
-             : p.stage == TaskStage::waiting  ? gathering
-                                              : running) += taken(m.type, p);
+        ++reporting;
+        total += machine.type.slots();
+        for (const auto& [task, placement] : machine.tasks) {
+            bool reported = placement.launch_state == Placement::LaunchState::reported;
+            (!reported                                ? sent
+             : placement.stage == TaskStage::fetching ? fetching
+             : placement.stage == TaskStage::waiting  ? gathering
+                                                      : running) +=
+                slots_used(machine.type, placement);
         }
-        for (const auto& [attempt, lot] : m.lent_slots) {
-            sent += taken(m.type, lot.placement);
+        for (const auto& [attempt, lent] : machine.lent_slots) {
+            sent += slots_used(machine.type, lent.placement);
         }
-        (slot_finder_.is_schedulable(m) ? idle : closed) += m.free_slots();
+        (slot_finder_.is_schedulable(machine) ? idle : closed) += machine.free_slots();
     }
     std::size_t waiting = 0;
     for (const auto& [id, job] : jobs_.all()) {
         waiting += job->open() ? job->waiting.size() : 0;
     }
-    if (up == 0 && jobs_.all().empty()) {
+    if (reporting == 0 && jobs_.all().empty()) {
         return;
     }
-    auto count = [](double d) { return std::to_string(std::llround(d)); };
+    auto count = [](double slots) { return std::to_string(std::llround(slots)); };
     requests_.log(LogLevel::info,
                   "event=partition_sampled partition=" + std::to_string(leadership_.partition()) +
-                      " machines=" + std::to_string(up) + " slots=" + count(total) +
+                      " machines=" + std::to_string(reporting) + " slots=" + count(total) +
                       " running=" + count(running) + " fetching=" + count(fetching) +
                       " gathering=" + count(gathering) + " sent=" + count(sent) +
                       " idle=" + count(idle) + " closed=" + count(closed) + " jobs=" +
                       std::to_string(jobs_.all().size()) + " waiting=" + std::to_string(waiting));
     if (autoscaler_.is_provisioner()) {
-        ClusterDemand all = demand_.cluster_demand(now);
+        ClusterDemand cluster = demand_.cluster_demand(now);
         requests_.log(LogLevel::info, "event=capacity_sampled wants_on_demand=" +
-                                          count(all.demand.on_demand_slots) +
-                                          " wants_any=" + count(all.demand.any_kind_slots) +
-                                          " has_ordinary=" + count(all.on_demand_slots) +
-                                          " has_spot=" + count(all.spot_slots));
+                                          count(cluster.demand.on_demand_slots) +
+                                          " wants_any=" + count(cluster.demand.any_kind_slots) +
+                                          " has_ordinary=" + count(cluster.on_demand_slots) +
+                                          " has_spot=" + count(cluster.spot_slots));
     }
 }
 
 // ---- Time ----
 
-void PartitionLeader::tick(Time now, double capacity, bool may_move) {
+void PartitionLeader::tick(Time now, double cpu_headroom, bool may_migrate) {
     failover_.retry_failed_loads(now);
     if (!failover_.loaded() || !leadership_.is_active(now)) {
         return;
     }
-    if (bool knows = staleness_.is_fresh(now); knows != was_fresh_) {
-        was_fresh_ = knows;
+    if (bool known = staleness_.is_fresh(now); known != were_cancellations_known_) {
+        were_cancellations_known_ = known;
         requests_.log(LogLevel::info, std::string("event=cancellations_") +
-                                          (knows ? "known" : "not_known") +
+                                          (known ? "known" : "not_known") +
                                           " partition=" + std::to_string(leadership_.partition()));
     }
     refresh_quota_config(now);
@@ -810,17 +815,18 @@
     }
     job_persistence_.persist_completed_tasks(now);
     autoscaler_.list_instances(now);
-    if (now >= next_stats_) {
-        next_stats_ = now + 2 * settings_.heartbeat_interval_s;
+    if (now >= next_stats_at_) {
+        next_stats_at_ = now + 2 * settings_.heartbeat_interval_s;
         log_stats(now);
     }
-    if (autoscaler_.due(now)) {
-        demand_.set_local_state(capacity, shard_manager_.accepts_shards(now));
-        ClusterDemand all = demand_.cluster_demand(now);
-        queue_.update_load(now, all.on_demand_slots + all.spot_slots, all.demand.remaining_slot_s);
+    if (autoscaler_.is_run_due(now)) {
+        demand_.set_local_state(cpu_headroom, shard_manager_.accepts_shards(now));
+        ClusterDemand cluster = demand_.cluster_demand(now);
+        queue_.update_load(now, cluster.on_demand_slots + cluster.spot_slots,
+                           cluster.demand.remaining_slot_s);
         autoscaler_.run(now, reconciliation_.all_reconciled() &&
                                  now - leadership_.since() > machines_.max_lease_s());
-        if (may_move) {
+        if (may_migrate) {
             shard_manager_.balance(now);
         }
     }
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -43,9 +43,9 @@
                     const QuotaConfig& config);
 
     void handle_heartbeat(Time now, RequestId request_id, const Heartbeat& heartbeat);
-    // `capacity`: the controller's CPU headroom, see CpuHeadroom. `may_move`: the store responds,
-    // so shards may be migrated.
-    void tick(Time now, double capacity, bool may_move);
+    // `cpu_headroom`: the controller's CPU headroom, see CpuHeadroom. `may_migrate`: the store
+    // responds, so shards may be migrated.
+    void tick(Time now, double cpu_headroom, bool may_migrate);
     // The controller has read the partition map.
     void on_map_updated(Time now) { shard_manager_.on_map_updated(now); }
     // Begins to migrate the shard to another partition. False: it is not owned, or not now.
@@ -96,13 +96,13 @@
     void update_machine(Time now, Machine& machine, const Heartbeat& heartbeat);
     HeartbeatBody heartbeat_response(Machine& machine, const Heartbeat& heartbeat, bool current);
     void apply_heartbeat(Time now, Machine& machine, const Heartbeat& heartbeat,
-                         OutboundRequestId orders) override;
+                         OutboundRequestId command_request) override;
     void on_task_removed(Time now, const std::string& name,
                          const HeartbeatResult::RemovedTask& removed) override;
-    bool on_task_gone(Time now, const TaskId& task, ExitReason why, const std::string& zone);
+    bool on_own_task_gone(Time now, const TaskId& task, ExitReason reason, const std::string& zone);
     void adopt_reported(Time now, Machine& machine);
     void adopt_own(Time now, Machine& machine, const TaskStatus& status);
-    void stop_cancelled(const Heartbeat& heartbeat, std::vector<WorkerCommand>& out) const;
+    void add_cancellation_stops(const Heartbeat& heartbeat, std::vector<WorkerCommand>& out) const;
     void add_corrective_commands(Machine& machine, std::vector<WorkerCommand>& out);
     void add_clears(const Machine& machine, std::vector<WorkerCommand>& out);
     std::optional<double> stop_grace_s(const Machine& machine, const TaskId& task,
@@ -140,13 +140,13 @@
                                 const std::vector<std::string>& names);
     void on_completion_durable(const std::string& id) override;
     void on_outcome_found(Time now, const std::string& id, Outcome outcome) override;
-    void stop_at_once(Machine& machine, const std::string& job);
-    void forget_if_over(const std::string& id);
-    void drop_job(const std::string& id);
+    void queue_immediate_stops(Machine& machine, const std::string& job);
+    void remove_job_if_cancelled(const std::string& id);
+    void remove_job(const std::string& id);
 
     // Delegates of the classes that it wires.
     bool end_is_durable(const TaskStatus& status) override;
-    void on_remote_exit(Time now, const TaskId& task, ExitReason why,
+    void on_remote_exit(Time now, const TaskId& task, ExitReason reason,
                         const std::string& zone) override;
     void on_found_done(Time now, Job& job, std::uint32_t task) override;
     bool reconciled() const override { return failover_.reconciled(); }
@@ -167,7 +167,7 @@
     void on_machine_released(Time now, const std::string& name) override;
     void resume_scheduling(Time now) override;
     bool has_unacked_exits(Time now, const Machine& machine) const override;
-    bool heard_from_all_peers() const override { return lender_.heard_from_all(); }
+    bool all_peers_reported() const override { return lender_.heard_from_all(); }
     void release_machines(Time now, std::vector<std::string> names) override;
 
     const QuotaConfig& quota_config_; // the node's
@@ -193,9 +193,9 @@
     mutable std::uint64_t effort_ = 0;
     StalenessBound staleness_;
     Failover failover_;
-    bool was_fresh_ = true;           // at the last tick
-    bool quota_config_known_ = false; // as well
-    Time next_stats_ = 0;
+    bool were_cancellations_known_ = true; // at the last tick
+    bool quota_config_known_ = false;      // as well
+    Time next_stats_at_ = 0;
 };
 
 } // namespace scheduler
--- a/src/core/partition_leaders.cpp
+++ b/src/core/partition_leaders.cpp
@@ -38,9 +38,9 @@
     return partitions;
 }
 
-void PartitionLeaders::tick(Time now, double cpu_headroom, bool may_move) {
+void PartitionLeaders::tick(Time now, double cpu_headroom, bool may_migrate) {
     for (auto& [partition, leader] : leaders_) {
-        leader->tick(now, cpu_headroom, may_move);
+        leader->tick(now, cpu_headroom, may_migrate);
     }
 }
 
--- a/src/core/partition_leaders.h
+++ b/src/core/partition_leaders.h
@@ -32,7 +32,7 @@
     std::vector<int> deposed() const;
 
     // See PartitionLeader for each of these.
-    void tick(Time now, double cpu_headroom, bool may_move);
+    void tick(Time now, double cpu_headroom, bool may_migrate);
     void cancel_job(Time now, const std::string& job);
     void apply_quota(Time now, const TeamQuota& quota);
     void on_map_updated(Time now);
--- a/src/core/partition_tables.cpp
+++ b/src/core/partition_tables.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 // Delays of this process that a lease bound allows for, as a part of the lease: a safety bound.
-constexpr double kMargin = 1.0 / 16;
+constexpr double kLeaseMarginRatio = 1.0 / 16;
 
 std::uint32_t chunk_tasks(const ClusterSettings& settings) {
     // Four tasks a character of hex, with a quarter of the value left for the rest.
@@ -23,7 +23,7 @@
       leadership_(now, partition, lease), owned_shards_(leadership_, partition_map),
       requests_(rate_limiter, (leadership_.term() << 32) + 1), instance_types_(types),
       jobs_(chunk_tasks(settings)),
-      machines_(settings.worker_lease_s, settings.worker_lease_s * kMargin),
+      machines_(settings.worker_lease_s, settings.worker_lease_s * kLeaseMarginRatio),
       quotas_(settings.teams), gangs_(settings.gang_start_timeout_s),
       planner_(settings, policy, leadership_.term()) {}
 
--- a/src/core/recovery/reconciliation.cpp
+++ b/src/core/recovery/reconciliation.cpp
@@ -123,7 +123,7 @@
         for (const auto& name : shard.unreconciled) {
             const Machine* machine = machines_.find(name);
             if (machine && !machine->reporting && !machine->releasing &&
-                (time_is_up || machine->unanswered_commands >= kProbeAttempts - 1)) {
+                (time_is_up || machine->unanswered_probes >= kProbeAttempts - 1)) {
                 missing.push_back(name);
             }
         }
@@ -173,7 +173,7 @@
         pending_probes_.push_back(probe);
         return;
     }
-    machine->unanswered_commands = response.status == 0 ? machine->unanswered_commands + 1 : 0;
+    machine->unanswered_probes = response.status == 0 ? machine->unanswered_probes + 1 : 0;
     if (response.heartbeat && response.heartbeat->machine == probe.machine) {
         if (response.heartbeat->agent_epoch > machine->expired_epoch) {
             machine->last_heartbeat = now;
