--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -5,7 +5,8 @@
 namespace scheduler {
 
 namespace {
-// Workers that did not answer direct commands, in a row, before this controller suspects itself.
+// If this many workers in a row did not respond to direct commands, the fault is more likely this
+// controller's network than the workers'.
 constexpr int kMaxUnresponsiveWorkers = 3;
 } // namespace
 
@@ -68,8 +69,8 @@
     election_.reclaim_home_partition(now);
     request_lease_extension(now);
     if (workers_unreachable(now)) {
-        // Workers cannot reach this controller, so others should lead its partitions: the lease,
-        // left alone, ends by itself, and this controller does not campaign for a while.
+        // Workers cannot reach this controller, so other controllers should lead its partitions: it
+        // resigns, lets its lease expire, and does not campaign for a while.
         campaign_suspension_.suspend(now);
         election_.resign_all(now, "deaf");
     }
@@ -94,7 +95,7 @@
 }
 
 void Controller::handle_input(Time now, const HeartbeatReceived& in) {
-    last_heartbeat_ = now; // whether or not it can be served
+    last_heartbeat_ = now; // even if the heartbeat is not accepted
     campaign_suspension_.on_heartbeat(now, in.heartbeat.machine);
     leaders_.worker_responded();
     ShardId shard = shard_of_machine(settings_, in.heartbeat.machine, in.heartbeat.zone);
@@ -144,32 +145,32 @@
     }
 }
 
-// ---- Results of one class that concern others ----
+// ---- Events of one class that others react to ----
 
 void Controller::on_store_lease_granted(Time now) { election_.reread_partition_map(now); }
 
 void Controller::on_store_lease_ended(Time now) { election_.resign_all(now, "lease_ended"); }
 
 void Controller::on_leadership_acquired(Time now, int partition) {
-    last_heartbeat_ = now; // only from now on have its machines reason to come to this controller
+    last_heartbeat_ = now; // the partition's machines send heartbeats here only from now on
     auto leader = std::make_unique<PartitionLeader>(now, partition, settings_, policy_, lease_,
                                                     partition_map_, rate_limiter_, job_cache_,
                                                     instance_types_.types(), quota_config_);
     leaders_.add(partition, std::move(leader));
-    quota_config_.reload(now); // what the leader before had in force has to be known
+    quota_config_.reload(now); // the configuration that the previous leader applied must be known
 }
 
 void Controller::on_leadership_lost(int partition) { leaders_.remove(partition); }
 
 void Controller::on_partition_map_read(Time now) { leaders_.on_map_updated(now); }
 
-// This controller has learned, by whatever way, that the job is cancelled.
+// Called whenever this controller learns that the job is cancelled, from any source.
 void Controller::on_job_cancelled(Time now, const std::string& job) {
     job_cache_.observe_outcome(now, job, Outcome::cancelled);
     leaders_.cancel_job(now, job);
 }
 
-// A change of the team's guarantee and limit has come into force at this controller.
+// Called when a change of the team's guarantee and limit takes effect at this controller.
 void Controller::on_quota_changed(Time now, const TeamQuota& quota) {
     leaders_.apply_quota(now, quota);
 }
@@ -180,9 +181,9 @@
     };
 }
 
-// ---- What needs several of them ----
+// ---- Functions that involve several classes ----
 
-// While the store does not respond, the peers are asked for a lease extension.
+// Requests lease extensions from the peers while the store does not respond.
 void Controller::request_lease_extension(Time now) {
     if (!store_contact_.ever_responded() && store_contact_.uptime_s(now) < tick_s()) {
         return; // the first requests to the store have only just been sent
@@ -192,9 +193,9 @@
                          [this](Time at, const std::string& job) { on_job_cancelled(at, job); });
 }
 
-// Passes on what the lease extensions say of cancellations and quota changes. Returns until when
-// every cancellation is known to the leader of the home partition; without that leadership there is
-// nothing to know.
+// Tells the leader of the home partition and the quota configuration up to which time all
+// cancellations and quota changes are known, according to the lease extensions. Returns the time up
+// to which the leader knows every cancellation, or `now` if the home partition is not led here.
 Time Controller::advance_cancellations_known(Time now) {
     PartitionLeader* home = leaders_.find(settings_.home_partition);
     if (!home) {
@@ -207,9 +208,10 @@
     return home->staleness().known_until();
 }
 
-// A controller that the store does not respond to can serve nobody, and users are better off
-// elsewhere if it alone is cut off. If all are, there is no elsewhere: a controller that says so
-// would only be slow to come back, as the load balancer lets it wait.
+// Returns whether the load balancer should send users here. A controller that the store does not
+// respond to cannot serve requests. If only this controller is cut off, other controllers can serve
+// them. If all are, none can, and reporting "not ready" would only delay the recovery, as the load
+// balancer waits before it uses a controller again.
 bool Controller::can_serve(Time now) const {
     if (!instance_types_.available()) {
         return false;
@@ -227,9 +229,10 @@
            lease_extender_.outage_is_cluster_wide(now);
 }
 
-// A single machine may well be gone by itself, so one that stopped sending heartbeats proves
-// nothing. A controller whose partition has no machines may be unreachable too: slots that others
-// lend it are wasted on it, as its commands do not arrive.
+// Returns whether workers apparently cannot reach this controller. A single machine that stops
+// sending heartbeats is no evidence, since it may have failed itself. A controller whose partition
+// has no machines is judged by its direct commands: while these do not arrive, slots that peers
+// lend it are wasted.
 bool Controller::workers_unreachable(Time now) const {
     return (leaders_.reporting_count() > 1 ||
             leaders_.unresponsive_workers() >= kMaxUnresponsiveWorkers) &&
--- a/src/core/controller.h
+++ b/src/core/controller.h
@@ -1,7 +1,7 @@
-// The core's state machine: takes one input at a time and returns what to send, answer and log. It
-// never waits and knows no clock but the time that comes with each input, in seconds of a steady
-// clock. Here is only wiring: which class handles an input, and what one class's result means to
-// the others.
+// The state machine of the core: takes one input at a time and returns the requests, responses and
+// log lines that result from it. It never blocks, and its only clock is the time passed with each
+// input, in seconds of a steady clock. It only dispatches each input to the class that handles it,
+// and forwards the results of one class to the others.
 #pragma once
 
 #include "core/jobs/job_service.h"
@@ -20,18 +20,19 @@
     Controller(const Controller&) = delete;
     Controller& operator=(const Controller&) = delete;
 
+    // Processes one input. `now` must not decrease from call to call.
     Outputs handle(Time now, Input input);
-    // The longest time between two inputs: when nothing else comes in, a `TimerTick` is due.
+    // The longest time between two inputs, in seconds: a `TimerTick` is due if there is no other.
     double tick_s() const { return tick_s(settings_); }
     static double tick_s(const ClusterSettings& settings) {
         return settings.heartbeat_interval_s / 12;
     }
     // See PartitionLeader::effort.
     std::uint64_t effort() const;
-    // Migrates a shard that a partition led here holds to another partition, as the shard balancer
-    // would. Returns false when that is not possible now.
+    // Starts to migrate a shard from `partition`, which is led here, to partition `to`, as the
+    // shard balancer would. Returns false if that is not possible now.
     bool migrate_shard(Time now, int partition, const ShardId& shard, int to);
-    // The shards that a partition led here holds; empty when it is not led here.
+    // The shards that the partition holds; empty if it is not led here.
     std::vector<ShardId> shards(int partition) const;
 
   private:
@@ -64,7 +65,7 @@
     void tick_leaders(Time now);
     void collect_outputs(Time now, Outputs& out);
 
-    // Each of these refers to some of those above it.
+    // The order matters: members refer to members declared above them.
     ClusterSettings settings_;
     SchedulingPolicy policy_;
     StoreRateLimiter rate_limiter_;
@@ -83,7 +84,8 @@
     LeaderElection election_;
     PartitionLeaders leaders_;
     CpuHeadroom cpu_headroom_;
-    Time last_heartbeat_ = 0; // of any worker, or since when workers have reason to send them
+    // The time of the last heartbeat of any worker, or since when heartbeats are to be expected.
+    Time last_heartbeat_ = 0;
 };
 
 } // namespace scheduler
--- a/src/core/local_peer_sync.cpp
+++ b/src/core/local_peer_sync.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-// Ids of requests from the network stay below it.
+// The id of the one local request in progress. Ids of requests from the network are lower.
 constexpr RequestId kLocalRequestId = 1ULL << 62;
 
 template <typename T> void append(std::vector<T>& to, std::vector<T>& from) {
     std::move(from.begin(), from.end(), std::back_inserter(to));
 }
 
-// Moves the response to the local request, if there is one, from `out` into `response`.
+// Moves the response to the local request, if `out` contains it, into `response`.
 void take_local_response(Outputs& out, OutboundResponse& response) {
     std::erase_if(out.responses, [&](Response& candidate) {
         if (candidate.request_id != kLocalRequestId) {
@@ -57,7 +57,8 @@
     }
 }
 
-// Without a leader of the callee's partition the caller gets a response of status 0.
+// If the callee's partition is not led here any more, the caller receives a response with status 0,
+// as for a failed connection.
 void LocalPeerSync::deliver(Time now, const LocalRequest& local, Outputs& out) {
     const PeerSyncRequest& sync = std::get<PeerSyncCall>(local.request.body).sync;
     OutboundResponse response;
--- a/src/core/local_peer_sync.h
+++ b/src/core/local_peer_sync.h
@@ -14,13 +14,15 @@
 // The leaders of the partitions that this controller leads, by partition.
 using PartitionLeaderMap = std::map<int, std::unique_ptr<PartitionLeader>>;
 
+// Called only from the controller's event loop.
 class LocalPeerSync {
   public:
+    // `node`: this controller's name. Both references must outlive this object.
     LocalPeerSync(const std::string& node, PartitionLeaderMap& leaders)
         : node_(node), leaders_(leaders) {}
 
-    // Appends the outputs of all leaders to `out`. Requests from one of them to another are carried
-    // out at once, and what they lead to is appended as well.
+    // Appends the outputs of all leaders to `out`. Peer syncs between them are delivered at once,
+    // and the outputs that result from them are appended as well.
     void collect(Time now, Outputs& out);
 
   private:
@@ -33,7 +35,7 @@
 
     const std::string& node_;
     PartitionLeaderMap& leaders_;
-    std::deque<LocalRequest> pending_requests_; // empty between two calls of `collect`
+    std::deque<LocalRequest> pending_requests_; // empty between calls of `collect`
 };
 
 } // namespace scheduler
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -9,8 +9,8 @@
 namespace scheduler {
 
 namespace {
-constexpr std::size_t kMaxCommandsPerResponse =
-    200; // keeps a response well under the 64 KiB allowed
+// Keeps a heartbeat response well below its limit of 64 KiB.
+constexpr std::size_t kMaxCommandsPerResponse = 200;
 } // namespace
 
 PartitionLeader::PartitionLeader(Time now, int partition, const ClusterSettings& settings,
@@ -72,7 +72,7 @@
 
 // ---- Heartbeats ----
 
-// Machines that the registry has recorded durably may run tasks from now on.
+// Allows tasks on the machines whose registry entries have become durable.
 void PartitionLeader::on_machines_registered(Time now, const OutboundResponse& response,
                                              const std::vector<std::string>& names) {
     leadership_.committed(requests_, response, "roster");
@@ -100,11 +100,11 @@
     apply_heartbeat(now, *machine, heartbeat, 0);
     try_reconcile(now);
     schedule_on(now, *machine);
-    // Without a fencing token in the response, the worker stays with this controller and its lease
-    // runs on unrenewed (one that has never seen a token has no tasks, yet counts its lease
-    // from here). A leader that does not know of cancellations, since it has only just become
-    // leader or since the key-value store refuses it, would keep their tasks alive by every
-    // response.
+    // A response without a fencing token keeps the worker with this controller but does not renew
+    // its lease (a worker that has never seen a token has no tasks, but its lease starts now). It
+    // is sent while this leader may not know of recent cancellations, because it has only just
+    // become leader or the key-value store refuses its requests: renewing leases would then keep
+    // the tasks of cancelled jobs running.
     HeartbeatBody response;
     if (staleness_.is_fresh(now)) {
         response = heartbeat_response(*machine, heartbeat, current);
@@ -114,7 +114,8 @@
     send_commands(now);
 }
 
-// The machine that the heartbeat is of, added if it is not known; none: it has been refused.
+// Returns the machine that sent the heartbeat; adds it if it is not known. Returns null after
+// responding with 503 if the machine is not accepted.
 Machine* PartitionLeader::admit_heartbeat(Time now, RequestId request_id,
                                           const Heartbeat& heartbeat) {
     auto refuse = [&](const char* reason) -> Machine* {
@@ -130,12 +131,13 @@
         return refuse("not entitled");
     }
     ShardId shard = shard_of_machine(settings_, heartbeat.machine, heartbeat.zone);
-    if (!owned_shards_.may_serve(shard)) { // it is migrating, or has migrated
+    if (!owned_shards_.may_serve(shard)) { // the shard is migrating, or has migrated
         return refuse("share not held");
     }
     Machine* machine = machines_.find(heartbeat.machine);
     if (!machine) {
-        if (planner_.was_released(now, heartbeat.machine)) { // delayed, from a terminated machine
+        // A delayed heartbeat of a machine that has been terminated.
+        if (planner_.was_released(now, heartbeat.machine)) {
             return refuse("released");
         }
         machine = &machines_.add(now, heartbeat.machine, *type, heartbeat.zone, heartbeat.spot,
@@ -149,7 +151,8 @@
     return machine;
 }
 
-// Takes over what the heartbeat says of the machine itself, and registers the machine if need be.
+// Updates the machine's own attributes from the heartbeat, and registers the machine if it is not
+// registered yet.
 void PartitionLeader::update_machine(Time now, Machine& machine, const Heartbeat& heartbeat) {
     machine.endpoint = heartbeat.endpoint;
     machine.zone = heartbeat.zone;
@@ -165,7 +168,8 @@
     }
 }
 
-// The fencing token and the commands for the machine. `current`: the heartbeat is its newest.
+// Returns the response with the machine's fencing token and commands. `current`: no newer heartbeat
+// of the machine has been received.
 HeartbeatBody PartitionLeader::heartbeat_response(Machine& machine, const Heartbeat& heartbeat,
                                                   bool current) {
     HeartbeatBody response;
@@ -189,11 +193,12 @@
         on_task_removed(now, machine.name, removed);
     }
     if (machine.fenced) {
-        reconciliation_.on_inventory(machine); // from here on its inventories are complete
+        reconciliation_.on_inventory(machine); // its inventories are complete from now on
     }
     if (result.is_newer) {
         adopt_reported(now, machine);
-        if (machine.fenced && failover_.loaded()) { // for tasks on borrowed slots not listed here
+        // Resolves the launches on borrowed slots that the inventory does not include.
+        if (machine.fenced && failover_.loaded()) {
             borrower_.on_inventory_complete(now, machine.name);
         }
     }
@@ -226,7 +231,7 @@
     }
     bool failed = removed.reason == ExitReason::error || removed.reason == ExitReason::unknown;
     if (!leadership_.is_own_attempt(placement.attempt)) {
-        // On a lent slot: the leader of its job's partition hears of it by peer sync.
+        // A remote task: the leader of its job's partition learns of the exit by peer sync.
         if (machine && failed) {
             ++machine->consecutive_errors;
         }
@@ -240,8 +245,8 @@
     }
 }
 
-// A placed task of ours is on no machine any more. Says whether its failure, if it is one,
-// counts against the machine.
+// Handles a placed task of this partition that is no longer on any machine. Returns false if the
+// task failed but its job rather than the machine is to blame.
 bool PartitionLeader::on_own_task_gone(Time now, const TaskId& task, ExitReason reason,
                                        const std::string& zone) {
     Job* job = jobs_.find(task.job);
@@ -259,8 +264,8 @@
     } else if (reason == ExitReason::error || reason == ExitReason::unknown) {
         requests_.log(LogLevel::info,
                       "event=task_failed task=" + task.job + "/" + std::to_string(task.index));
-        // A job that has failed on machine after machine is at fault itself, so it no longer
-        // counts against the machines.
+        // A job whose tasks failed this many times in a row on different machines is itself the
+        // likely cause, so further failures do not count against the machines.
         blames_machine = job->failures < policy_.quarantine_errors;
         ++job->failures;
         if (!blames_machine) {
@@ -275,11 +280,12 @@
     return blames_machine;
 }
 
-// Tasks that an earlier leader started come to light through the inventory in a heartbeat. Only one
-// under our fencing token counts: a heartbeat that comes late, of a machine that was released long
-// ago or of one that has since ended the task, cannot show it. Once such a heartbeat was believed
-// by a leader that had just started and no longer knew the machine; the true placements of its
-// tasks were then taken for unexpected ones, and the tasks started again while they ran.
+// Adopts the tasks that the machine reported and an earlier leader started. Only inventories under
+// this leader's fencing token are used: a delayed heartbeat, of a machine that was released long
+// ago or that has ended the task since, cannot have this token. Without this check, a leader that
+// had just started and did not know the machine adopted the tasks of such a heartbeat; the real
+// placements of these tasks were then treated as unexpected, and the tasks were started again while
+// they were running.
 void PartitionLeader::adopt_reported(Time now, Machine& machine) {
     if (!failover_.loaded() || !machine.fenced) {
         return;
@@ -290,7 +296,7 @@
         if (leadership_.is_own_attempt(status.attempt)) {
             adopt_own(now, machine, status);
         } else if (status.stage == TaskStage::exited) {
-            machine.finished.push_back(status); // until its job's leader says its end is durable
+            machine.finished.push_back(status); // until the job's leader reports the exit durable
         } else if (machine.tasks.contains(status.task)) {
             machine.unexpected.push_back(status);
         } else {
@@ -304,7 +310,7 @@
 void PartitionLeader::adopt_own(Time now, Machine& machine, const TaskStatus& status) {
     Job* job = jobs_.find(status.task.job);
     if (borrower_.adopt_local(status.task, status.attempt, machine.name)) {
-        // It ran on a borrowed slot, and the machine's shard has migrated to us.
+        // It ran on a borrowed slot, and the machine's shard has migrated to this partition.
         if (!job || status.stage == TaskStage::exited) {
             machine.finished.push_back(status);
             on_remote_exit(now, status.task, status.exit_reason, machine.zone);
@@ -344,10 +350,10 @@
            (status.task.index < job->spec.tasks && jobs_.is_durable(*job, status.task.index));
 }
 
-// For a heartbeat that corrective commands are too early or too late for: one that is not the
-// newest, of a machine that has not shown our fencing token, or before the jobs are read. Nothing
-// but tasks of cancelled jobs is stopped then, but these are, or a machine that comes back from a
-// network partition for a single heartbeat would keep them for two leases.
+// Adds stops for the reported tasks of cancelled jobs. Used when corrective commands are not
+// possible: the heartbeat is not the newest, the machine has not confirmed the fencing token, or
+// the jobs are not loaded yet. Tasks of cancelled jobs are stopped even then; otherwise a machine
+// that returns from a network partition for a single heartbeat would keep them for two leases.
 void PartitionLeader::add_cancellation_stops(const Heartbeat& heartbeat,
                                              std::vector<WorkerCommand>& out) const {
     for (const auto& status : heartbeat.tasks) {
@@ -358,8 +364,9 @@
     }
 }
 
-// Clears and stops for what is on the machine and should not be, all jobs being known and the
-// machine fenced: else it may be a job's rightful task. Both can be repeated.
+// Adds clears and stops for tasks that should not be on the machine. Requires that all jobs are
+// loaded and the machine is fenced; otherwise such a task could be a valid one. Clears and stops
+// are idempotent.
 void PartitionLeader::add_corrective_commands(Machine& machine, std::vector<WorkerCommand>& out) {
     machine.drop_obsolete_remote_commands();
     add_clears(machine, out);
@@ -380,7 +387,8 @@
     }
 }
 
-// Clears for the exited tasks whose end is durable: here, or with the leader that placed them.
+// Adds clears for the exited tasks whose exit is durable, as recorded here or, for remote tasks, by
+// the leader that placed them.
 void PartitionLeader::add_clears(const Machine& machine, std::vector<WorkerCommand>& out) {
     for (const auto& status : machine.finished) {
         bool remote = !leadership_.is_own_attempt(status.attempt);
@@ -393,7 +401,8 @@
     }
 }
 
-// How long the task may take to save its work if it is to be stopped; none: it goes on.
+// Returns the grace time for the task to save its work, in seconds, or nullopt if the task is not
+// to be stopped.
 std::optional<double> PartitionLeader::stop_grace_s(const Machine& machine, const TaskId& task,
                                                     const Placement& placement) {
     if (!leadership_.is_own_attempt(placement.attempt)) {
@@ -409,7 +418,7 @@
         return 0;
     }
     if (job->spec.kind == JobKind::service && (machine.draining || machine.cordoned)) {
-        // Replicas move off a machine that is to go; a task of an array may end there.
+        // Replicas are moved off a machine that will be released. Array tasks may finish there.
         return job->spec.save_s;
     }
     if (job->spec.kind == JobKind::gang) {
@@ -459,7 +468,7 @@
 
 void PartitionLeader::expire_leases(Time now) {
     for (Machine* machine : machines_.expired_machines(now)) {
-        // While a shard may be another partition's, that one may renew the leases there.
+        // If the shard may have moved to another partition, its leader may be renewing the leases.
         if ((!machine->reporting && machine->tasks.empty()) ||
             !owned_shards_.may_serve(machine->shard)) {
             continue;
@@ -501,7 +510,7 @@
     for (const auto& id : ids) {
         remove_job_if_cancelled(id);
     }
-    // A gang attempt of an earlier leader goes on if it is whole, and is ended if not.
+    // A gang attempt of an earlier leader continues if it is complete, and is ended otherwise.
     for (const auto& id : ids) {
         const Job* job = jobs_.find(id);
         if (job && job->open() && job->placed > 0 && !job->waiting.empty()) {
@@ -519,7 +528,7 @@
     borrower_.sync_due_peers(now);
 }
 
-// ---- Delegates of the classes that it wires ----
+// ---- Implementations of the delegate interfaces ----
 
 void PartitionLeader::on_remote_exit(Time now, const TaskId& task, ExitReason reason,
                                      const std::string& zone) {
@@ -549,8 +558,9 @@
 }
 
 bool PartitionLeader::has_schedulable_tasks(Time now, const Job& job) const {
-    // After an outage for all, a leader whose leadership had outlived it once started replicas of a
-    // job that had been cancelled before, until the first response of its watch.
+    // Without the staleness check, a leader whose leadership had outlasted a cluster-wide outage of
+    // the store started replicas of a job that was cancelled before, until the first response of
+    // its watch.
     return staleness_.is_fresh(now) &&
            (failover_.reconciled() || (failover_.loaded() && !job.in_doubt)) && job.open() &&
            !job.waiting.empty() && now >= job.backoff_until &&
@@ -607,8 +617,9 @@
     send_commands(now);
 }
 
-// A task that ended here would be run again if the machine went before its job's leader has heard
-// of the end, which takes no longer than a peer sync or two. A silent machine is not waited for.
+// If the machine were released before the leader of a remote task's job learned of the task's exit,
+// the task would be run again. The leader learns of it within one or two peer syncs. A machine
+// whose heartbeats are late is not waited for.
 bool PartitionLeader::has_unacked_exits(Time now, const Machine& machine) const {
     return machine.reporting && now - machine.last_heartbeat < 2 * settings_.heartbeat_interval_s &&
            machine.empty() && lender_.has_unacked_exits(machine);
@@ -644,12 +655,13 @@
 
 void PartitionLeader::cancel_job(Time now, const std::string& id) {
     if (failover_.loaded() && !jobs_.find(id)) {
-        // Its remote tasks here are to stop, and it never starts.
+        // The job is not known here: its remote tasks on these machines are stopped, and it is
+        // never started.
         jobs_.record_outcome(id, Outcome::cancelled);
     } else if (jobs_.cancel(id)) {
         requests_.log(LogLevel::info, "event=job_cancelled job=" + id);
-        borrower_.stop_job(id, 0); // on other partitions' machines, by their leaders
-        // Starts that have not been sent yet are never sent.
+        borrower_.stop_job(id, 0); // tasks on borrowed slots, through the lenders
+        // Starts that have not been sent yet are dropped.
         for (auto& [name, machine] : machines_.all()) {
             for (const auto& removed : machines_.cancel_queued_starts(machine, &id)) {
                 quotas_.remove_usage(removed.placement.team, removed.placement.cpus,
@@ -664,8 +676,8 @@
     remove_job_if_cancelled(id);
 }
 
-// A task whose image is still being fetched would start before the next heartbeat's response
-// brings its stop.
+// Queues a direct stop of each of the job's tasks on the machine. If the stop were only sent in the
+// next heartbeat response, a task whose image is still being fetched could start before.
 void PartitionLeader::queue_immediate_stops(Machine& machine, const std::string& job) {
     for (auto it = machine.tasks.lower_bound({job, 0});
          it != machine.tasks.end() && it->first.job == job; ++it) {
@@ -675,7 +687,7 @@
     }
 }
 
-// The pending queue may point to the job.
+// Clears the pending queue as well, since it may hold a pointer to the job.
 void PartitionLeader::remove_job(const std::string& id) {
     queue_.clear();
     gangs_.on_attempt_gone(id);
@@ -695,7 +707,7 @@
 void PartitionLeader::apply_quota(Time now, const TeamQuota& quota) {
     quotas_.configure(quota, quota_config_.is_blocked(quota.name));
     if (!own_teams_.contains(quota.name)) {
-        return; // another partition's team: its usage is counted there
+        return; // the team belongs to another partition, which counts its usage
     }
     quota_evictor_.mark_over_guarantee(quota.name);
     queue_.invalidate();
@@ -711,8 +723,8 @@
     borrower_.sync_due_peers(now);
 }
 
-// Whether the configuration that earlier leaders applied is known, and recent enough to start tasks
-// by.
+// Updates whether the quota configuration that earlier leaders applied is known here, and is recent
+// enough to start tasks under it.
 void PartitionLeader::refresh_quota_config(Time now) {
     if (bool known = quota_config_.is_known(now, leadership_.since());
         known != quota_config_known_) {
@@ -722,9 +734,9 @@
     }
 }
 
-// ---- Figures ----
+// ---- Statistics ----
 
-// Where this partition's slots are, and what is pending: a line every few heartbeats.
+// Logs how this partition's slots are used and what is pending, once every two heartbeat intervals.
 void PartitionLeader::log_stats(Time now) {
     double total = 0;
     double running = 0;
@@ -732,7 +744,7 @@
     double sent = 0;
     double idle = 0;
     double gathering = 0;
-    double closed = 0; // on machines that take nothing
+    double closed = 0; // idle, on machines that accept no tasks
     int reporting = 0;
     auto slots_used = [](const InstanceType& type, const Placement& placement) {
         return type.gpus > 0 ? placement.gpus : placement.cpus;
@@ -781,7 +793,7 @@
     }
 }
 
-// ---- Time ----
+// ---- Timer ----
 
 void PartitionLeader::tick(Time now, double cpu_headroom, bool may_migrate) {
     failover_.retry_failed_loads(now);
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -1,12 +1,13 @@
-// The leader of a partition: wires the classes that each do one thing for it, and decides what
-// follows for the others from what one of them reports. It lives as long as the leadership term;
-// losing the leadership discards all of it.
+// The leader of a partition. It connects the classes that each implement one of its functions, and
+// forwards the results of one to the others. It exists for one leadership term; all of its state is
+// discarded when the leadership is lost.
 //
-// Failover reads what is durable, Reconciliation accounts for machines that may run unknown tasks,
-// TaskScheduler, GangScheduler, Preemptor and QuotaEvictor decide what runs where, SlotLender and
-// SlotBorrower trade idle slots with other partitions, InventoryRelay passes inventories through
-// the store, ShardManager moves shards, DemandTracker and Autoscaler scale the machines out and in,
-// JobPersistence writes progress and outcomes. The heartbeat path is in this class itself.
+// Failover reads the durable state, Reconciliation finds the unknown tasks that machines may be
+// running, TaskScheduler, GangScheduler, Preemptor and QuotaEvictor decide what runs where,
+// SlotLender and SlotBorrower lend idle slots to other partitions and borrow theirs, InventoryRelay
+// passes inventories through the store, ShardManager moves shards, DemandTracker and Autoscaler
+// scale the machines out and in, and JobPersistence writes progress and outcomes. This class itself
+// handles heartbeats.
 #pragma once
 
 #include "core/autoscaling/autoscaler.h"
@@ -42,49 +43,58 @@
                     JobRecordCache& job_cache, const std::vector<InstanceType>& types,
                     const QuotaConfig& config);
 
+    // Processes a worker's heartbeat and responds to it: with 200 and commands, or with 503 if the
+    // machine is not accepted.
     void handle_heartbeat(Time now, RequestId request_id, const Heartbeat& heartbeat);
-    // `cpu_headroom`: the controller's CPU headroom, see CpuHeadroom. `may_migrate`: the store
-    // responds, so shards may be migrated.
+    // Runs the periodic work. `cpu_headroom` is the controller's, see CpuHeadroom. Shards are
+    // migrated only if `may_migrate`, which is set while the store responds.
     void tick(Time now, double cpu_headroom, bool may_migrate);
-    // The controller has read the partition map.
+    // To be called when the controller has read the partition map.
     void on_map_updated(Time now) { shard_manager_.on_map_updated(now); }
-    // Begins to migrate the shard to another partition. False: it is not owned, or not now.
+    // Starts to migrate the shard to partition `to`. Returns false if the shard is not owned or
+    // cannot be migrated now.
     bool migrate_shard(Time now, const ShardId& shard, int to) {
         return shard_manager_.migrate(now, shard, to);
     }
     bool owns_shard(const ShardId& shard) const { return owned_shards_.find(shard) != nullptr; }
     const std::map<ShardId, OwnedShards::Shard>& shards() const { return owned_shards_.all(); }
+    // Returns false if the response is not to a request of this leader.
     bool handle_response(Time now, OutboundResponse& response) {
         return requests_.handle_response(now, response);
     }
     void drain_into(Outputs& out) { requests_.drain_into(out); }
+    // See MachineTable::reporting_count.
     std::size_t reporting_count() const { return machines_.reporting_count(); }
     // See OutboundRequests::unresponsive_workers.
     int unresponsive_workers() const { return requests_.unresponsive_workers(); }
-    // A worker has sent a heartbeat to this controller.
+    // To be called for each heartbeat that this controller receives, of any machine.
     void worker_responded() { requests_.worker_responded(); }
-    // Machines and jobs looked at so far: what grows with the cluster must not grow with each
-    // heartbeat.
+    // The number of machines and jobs visited so far, as a measure of work for tests: the work for
+    // one heartbeat must not grow with the size of the cluster.
     std::uint64_t effort() const {
         return effort_ + slot_finder_.effort() + preemptor_.effort() + task_scheduler_.effort() +
                lender_.effort() + demand_.effort() + quota_evictor_.effort();
     }
-    // The leader of another partition synchronises: it asks for slots, commands its tasks here, and
-    // is sent their state.
+    // Responds to a peer sync from the leader of another partition, which requests slots, sends
+    // commands for its remote tasks here and receives their state.
     void handle_peer_sync(Time now, RequestId request_id, const PeerSyncRequest& request);
-    // Tasks done and running of an open job, for display.
+    // Sets the numbers of done and of placed tasks of a job, for its status. Returns false if this
+    // partition does not know the job.
     bool task_counts(const std::string& id, std::uint32_t& done, std::uint32_t& running);
+    // Whether this leadership has ended, or must be renewed under a later term.
     bool deposed() const { return leadership_.deposed(); }
     const StalenessBound& staleness() const { return staleness_; }
-    // Every cancellation that any controller had seen by then is known here: all peers said so.
+    // Every cancellation that any controller had seen by `to` is known here, as all peers have
+    // confirmed.
     void cancellations_known_until(Time to) { staleness_.advance(to); }
-    // The team's guarantee and limit have changed.
+    // Applies a change of the team's guarantee and limit.
     void apply_quota(Time now, const TeamQuota& quota);
-    // Any controller has seen the job cancelled.
+    // Stops the job's tasks and never starts more of them. To be called when any controller has
+    // seen the job cancelled.
     void cancel_job(Time now, const std::string& id) override;
 
   private:
-    // Failover: what the partition does as it is loaded and reconciled.
+    // Failover: loading and reconciling the partition.
     void load_registries(Time now) override { failover_.load_registries(now); }
     void try_reconcile(Time now) override { failover_.try_reconcile(now); }
     void on_partition_loaded(Time now) override;
@@ -115,7 +125,7 @@
     void update_slot_lists(Machine& machine) override { task_launcher_.update_slot_lists(machine); }
     void schedule(Time now);
     void schedule_on(Time now, Machine& machine);
-    // Does the job have tasks that may be scheduled now?
+    // Returns whether the job has tasks that may be scheduled now.
     bool has_schedulable_tasks(Time now, const Job& job) const override;
 
     // Gangs: see GangScheduler.
@@ -130,12 +140,12 @@
     }
     void on_gang_complete(Time now, Job& job) override { job_persistence_.finish_job(now, job); }
 
-    // Preempts for what waits, and sends the stops.
+    // Retries preemption for the pending tasks, and sends the resulting stop commands.
     void retry_preemption(Time now);
 
     void refresh_quota_config(Time now);
 
-    // Jobs and machines whose record has become durable or has changed.
+    // Changes of the durable records of jobs and machines.
     void on_machines_registered(Time now, const OutboundResponse& response,
                                 const std::vector<std::string>& names);
     void on_completion_durable(const std::string& id) override;
@@ -144,7 +154,7 @@
     void remove_job_if_cancelled(const std::string& id);
     void remove_job(const std::string& id);
 
-    // Delegates of the classes that it wires.
+    // Implementations of the delegate interfaces of the members below.
     bool end_is_durable(const TaskStatus& status) override;
     void on_remote_exit(Time now, const TaskId& task, ExitReason reason,
                         const std::string& zone) override;
@@ -170,9 +180,10 @@
     bool all_peers_reported() const override { return lender_.heard_from_all(); }
     void release_machines(Time now, std::vector<std::string> names) override;
 
-    const QuotaConfig& quota_config_; // the node's
-    std::set<std::string> own_teams_;
-    JobRecordCache& job_cache_; // the node's, told of each job record that this owner sees
+    const QuotaConfig& quota_config_; // the controller's
+    std::set<std::string> own_teams_; // teams whose jobs belong to this partition
+    JobRecordCache& job_cache_; // the controller's; updated with each job record that this leader
+                                // reads or writes
     MachineRegistry registry_;
     SlotFinder slot_finder_;
     PendingQueue queue_;
@@ -189,12 +200,12 @@
     ShardManager shard_manager_;
     JobPersistence job_persistence_;
     QuotaEvictor quota_evictor_;
-    int commands_in_flight_ = 0; // direct commands under way
+    int commands_in_flight_ = 0; // direct commands without a response yet
     mutable std::uint64_t effort_ = 0;
     StalenessBound staleness_;
     Failover failover_;
-    bool were_cancellations_known_ = true; // at the last tick
-    bool quota_config_known_ = false;      // as well
+    bool were_cancellations_known_ = true; // staleness_.is_fresh at the last tick
+    bool quota_config_known_ = false;      // quota_config_.is_known when last refreshed
     Time next_stats_at_ = 0;
 };
 
--- a/src/core/partition_leaders.h
+++ b/src/core/partition_leaders.h
@@ -1,5 +1,5 @@
-// The leaders of all partitions that this controller leads, and what is asked or told of all of
-// them. Every loop runs in the order of the partitions' numbers.
+// The leaders of all partitions that this controller leads, and the calls that go to all of them.
+// Loops over the leaders run in the order of the partition numbers.
 #pragma once
 
 #include <map>
@@ -21,14 +21,14 @@
         leaders_[partition] = std::move(leader);
     }
     void remove(int partition) { leaders_.erase(partition); }
-    // Null: the partition is not led here.
+    // Returns null if the partition is not led here.
     PartitionLeader* find(int partition) const;
-    // The first leader whose partition is `holder`, which the partition map names for the shard, or
-    // that owns the shard already. Null: neither is led here.
+    // Returns the first leader that leads `holder`, the partition that holds the shard by the
+    // partition map, or that owns the shard already. Returns null if there is none here.
     PartitionLeader* find_for_shard(const ShardId& shard, int holder) const;
-    // The shards that the partition holds; empty when it is not led here.
+    // The shards that the partition holds; empty if it is not led here.
     std::vector<ShardId> shards(int partition) const;
-    // Partitions whose leader found that its leadership has ended.
+    // Partitions whose leader found that its leadership has ended; see PartitionLeader::deposed.
     std::vector<int> deposed() const;
 
     // See PartitionLeader for each of these.
@@ -41,10 +41,10 @@
     bool task_counts(const std::string& job, std::uint32_t& done, std::uint32_t& running) const;
     std::uint64_t effort() const;
     std::size_t reporting_count() const;
-    // The most that any leader has found.
+    // The maximum over the leaders.
     int unresponsive_workers() const;
 
-    // Appends what all leaders put out; see LocalPeerSync.
+    // Appends the outputs of all leaders to `out`; see LocalPeerSync::collect.
     void collect(Time now, Outputs& out) { local_peer_sync_.collect(now, out); }
 
   private:
--- a/src/core/partition_tables.cpp
+++ b/src/core/partition_tables.cpp
@@ -5,11 +5,12 @@
 namespace scheduler {
 
 namespace {
-// Delays of this process that a lease bound allows for, as a part of the lease: a safety bound.
+// Added to a worker lease, as a fraction of it, to allow for delays in this process. A safety
+// bound.
 constexpr double kLeaseMarginRatio = 1.0 / 16;
 
 std::uint32_t chunk_tasks(const ClusterSettings& settings) {
-    // Four tasks a character of hex, with a quarter of the value left for the rest.
+    // A hexadecimal digit records four tasks; a quarter of the value is left for other fields.
     return static_cast<std::uint32_t>(
         std::max(64.0, settings.store_value_limit_kb * 1024 * 0.75 * 4));
 }
--- a/src/core/partition_tables.h
+++ b/src/core/partition_tables.h
@@ -1,5 +1,5 @@
-// What one claim of a part knows and counts: tables that need nothing of each other but to be
-// looked at. PartOwner and the classes that it wires work on them.
+// The state of one leadership term of a partition: tables that PartitionLeader and the classes that
+// it connects read and update. No table changes another.
 #pragma once
 
 #include "core/autoscaling/capacity_planner.h"
@@ -20,7 +20,7 @@
                     const std::vector<InstanceType>& types);
 
     ClusterSettings settings_;
-    std::vector<ShardId> all_shards_; // of all parts
+    std::vector<ShardId> all_shards_; // of all partitions
     SchedulingPolicy policy_;
     Leadership leadership_;
     OwnedShards owned_shards_;
