--- a/src/core/machines/machine_registry.cpp
+++ b/src/core/machines/machine_registry.cpp
@@ -1,4 +1,3 @@
-// Implementation of the machine registry; see the header.
 #include "core/machines/machine_registry.h"
 
 #include <algorithm>
@@ -7,7 +6,7 @@
 namespace scheduler {
 
 namespace {
-// A retry waits for this part of a heartbeat interval.
+// A retry waits for the heartbeat interval divided by this.
 constexpr double kRetriesPerHeartbeat = 6;
 } // namespace
 
@@ -50,9 +49,9 @@
     versions_.erase(machine);
 }
 
-// New machines first: they stand idle until they are registered. Where the rate limiter has not
-// enough left for all, fewer are sent, or a large transaction would wait behind the single changes
-// of others for ever.
+// New machines are sent first, since they stay idle until they are registered. If the rate limiter
+// does not admit all changes at once, fewer are sent; otherwise a large transaction could be
+// delayed indefinitely by the smaller writes of others.
 void MachineRegistry::flush(Time now) {
     if (in_flight_ || now < next_attempt_at_) {
         return;
@@ -120,8 +119,9 @@
     return in_flight_;
 }
 
-// A version conflict: an entry is not what this leader expected. A write without a response was
-// executed after all, or an earlier leader wrote the entry. The store need not name all such keys.
+// A version conflict means that some entry has another version than expected: a write without a
+// response was executed after all, or an earlier leader wrote the entry. The store need not report
+// all conflicting keys.
 MachineRegistry::Result MachineRegistry::result_of(const OutboundResponse& response) const {
     if (response.status == 200) {
         return Result::committed;
@@ -141,7 +141,7 @@
     on_response_(now, response, registered);
 }
 
-// Returns the machines that are registered now.
+// Returns the machines whose entries are durable now and that have not been removed meanwhile.
 std::vector<std::string> MachineRegistry::on_added(const OutboundResponse& response, Result result,
                                                    const std::map<std::string, Entry>& added) {
     std::vector<std::string> registered;
@@ -153,7 +153,7 @@
             unknown_versions_[machine] = entry.home_partition;
         }
         if (pending_removes_.contains(machine)) {
-            continue; // removed meanwhile
+            continue; // removed while the transaction was in flight
         }
         if (result == Result::committed) {
             registered.push_back(machine);
--- a/src/core/machines/machine_table.cpp
+++ b/src/core/machines/machine_table.cpp
@@ -1,4 +1,3 @@
-// Implementation of the machine table; see the header.
 #include "core/machines/machine_table.h"
 
 #include <algorithm>
@@ -8,7 +7,7 @@
 namespace scheduler {
 
 namespace {
-constexpr double kMinFetchGbPerS = 1e-3; // keeps the time to fetch finite
+constexpr double kMinFetchGbPerS = 1e-3; // keeps fetch times finite
 // Reported tasks that were placed by this leader, by their status in the heartbeat.
 using ReportedTasks = std::map<TaskId, const TaskStatus*>;
 
@@ -18,7 +17,8 @@
     for (const auto& status : heartbeat.tasks) {
         auto lent = machine.lent_slots.find(launch_id(status.attempt, status.task.index));
         if (lent != machine.lent_slots.end() && !machine.tasks.contains(status.task)) {
-            machine.tasks[status.task] = lent->second.placement; // the borrower's launch has shown
+            // The first report of the task that the borrower launched on the lent slot.
+            machine.tasks[status.task] = lent->second.placement;
             machine.lent_slots.erase(lent);
         }
         auto placed = machine.tasks.find(status.task);
@@ -31,15 +31,16 @@
     return reported;
 }
 
-// Does the heartbeat, which does not report the task, prove that the task is not on the machine and
-// never will be?
+// Returns whether the heartbeat, which does not report the task, proves that the task is not on the
+// machine and will never be started there by this placement's launch.
 bool proves_absence(const Placement& placement, const Heartbeat& heartbeat,
                     OutboundRequestId request, bool is_newer) {
     switch (placement.launch_state) {
     case Placement::LaunchState::queued: return false;
     case Placement::LaunchState::heartbeat_response:
-        // One heartbeat is in flight at a time: a heartbeat newer than the one answered shows that
-        // the response was executed before it, or dropped.
+        // A worker has one heartbeat in flight at a time: one that is newer than the heartbeat
+        // whose response contained the launch proves that the worker has executed or dropped that
+        // response.
         return is_newer && request == 0 && heartbeat.sequence > placement.heartbeat_sequence;
     case Placement::LaunchState::direct_command:
         return (request != 0 && placement.command_request == request) ||
@@ -57,7 +58,8 @@
     placement.stage = stage;
 }
 
-// Updates each placement by its status, and removes those of tasks that exited or are absent.
+// Updates each placement from its reported status, and removes the placements of tasks that have
+// exited or are proved absent.
 void update_placements(Time now, Machine& machine, const Heartbeat& heartbeat,
                        OutboundRequestId request, const ReportedTasks& reported,
                        HeartbeatResult& result) {
@@ -193,7 +195,7 @@
     for (const auto& [task, placement] : tasks) {
         present.insert(launch_id(placement.attempt, task.index));
     }
-    for (const auto& [id, lent] : lent_slots) { // the launch may be on its way
+    for (const auto& [id, lent] : lent_slots) { // the launch may still arrive
         present.insert(id);
     }
     std::erase_if(remote_stops, [&](const auto& stop) { return !present.contains(stop.first); });
@@ -243,8 +245,8 @@
 
 double MachineTable::max_lease_s() const { return lease_s_ * (1 + kMaxClockDrift) + margin_s_; }
 
-// Every task of the epoch before is gone, and no message of this leader to it can be executed any
-// more: responses to it are dropped, direct commands refused.
+// All tasks of the previous agent epoch are gone, and no message of this leader to that epoch can
+// be executed any more: the worker drops responses to it and refuses its direct commands.
 void MachineTable::begin_epoch(Time now, Machine& machine, std::uint64_t agent_epoch,
                                HeartbeatResult& result) {
     for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
@@ -255,10 +257,10 @@
             it = machine.tasks.erase(it);
         }
     }
-    machine.lent_slots.clear(); // their launches name the epoch before, so they are refused
+    machine.lent_slots.clear(); // their launches name the previous epoch and will be refused
     machine.agent_epoch = agent_epoch;
-    // The lease runs from the beginning of the epoch, whether the epoch is learned from a heartbeat
-    // or from the response to a direct command, which renews nothing.
+    // The worker's lease starts with the epoch. This holds as well if the epoch is learned from the
+    // response to a direct command, which does not renew the lease otherwise.
     on_lease_renewed(now, machine);
     machine.heartbeat_sequence = 0;
     machine.forget_images();
@@ -289,7 +291,7 @@
     if (result.is_newer) {
         apply_newer(machine, heartbeat);
         reported = match_tasks(machine, heartbeat);
-        // No launch under an older token can take effect any more.
+        // The worker refuses launches under older tokens from now on.
         std::erase_if(machine.lent_slots, [&](const auto& lent) {
             return heartbeat.fencing_token > lent.second.fencing_token;
         });
--- a/src/core/machines/slot_lists.cpp
+++ b/src/core/machines/slot_lists.cpp
@@ -1,4 +1,3 @@
-// Implementation of the lists of idle slots; see the header.
 #include "core/machines/slot_lists.h"
 
 #include <algorithm>
--- a/src/core/machines/slot_lists.h
+++ b/src/core/machines/slot_lists.h
@@ -1,6 +1,6 @@
-// Lists of machines by their number of idle slots: the paper's list of idle cores with its
-// multicore extension, one set of lists for each kind of machine (instance type, on-demand or
-// spot).
+// Lists of machines by their number of idle slots, one set of lists for each kind of machine
+// (instance type, on-demand or spot). This is the list of idle cores of the paper that the
+// scheduler is based on, with its multicore extension.
 #pragma once
 
 #include <set>
@@ -19,32 +19,35 @@
     auto operator<=>(const SlotKind&) const = default;
 };
 
-// The number of slots that a task takes up on a machine of the type, by the resource it needs most
-// of; at least 1.
+// Returns the number of slots that a task takes up on a machine of the type, which the resource
+// that it needs most of determines; at least 1.
 int slots_needed(const InstanceType& type, double cpus, double gpus, double ram_gb);
-// The fewest idle slots with which a machine is listed that may fit the task. GPU machines are
-// listed by idle GPUs alone, so that tasks of uneven shape still share one; a task without GPUs is
-// served from the list of 0 as well.
+// Returns the lowest number of idle slots under which a machine that the task may fit on is listed.
+// GPU machines are listed by idle GPUs alone, so that tasks with different ratios of GPUs to other
+// resources can share one; a task without GPUs may use machines that are listed under 0 slots.
 int min_listed_slots(const InstanceType& type, double cpus, double gpus, double ram_gb);
-// The number of idle slots under which a machine with these free resources is listed.
+// Returns the number of idle slots under which a machine with these free resources is listed.
 int idle_slots(double free_cpus, double free_gpus, double free_ram_gb, const InstanceType& type);
 
-// Called only from the controller's event loop. Pointers to names are valid until the next change.
+// Called only from the controller's event loop. Returned pointers to names are valid until the next
+// change.
 class SlotLists {
   public:
-    // Lists the machine under `slots` idle slots; a number below 0 removes it.
+    // Lists the machine under `slots` idle slots, or removes it from the lists if `slots` is
+    // negative.
     void set(const SlotKind& kind, const std::string& machine, int slots);
     void remove(const std::string& machine);
-    // The machine is gone, and its image cache with it.
+    // Removes the machine together with its image cache.
     void forget(const std::string& machine);
     bool empty() const { return positions_.empty(); }
-    // Sets the images in the machine's cache. `version` changes with them, so that a call without a
-    // change costs nothing.
+    // Sets the images in the machine's cache. `version` must change whenever they do; a call with
+    // the last version has no effect and costs little.
     void set_images(const std::string& machine, const std::vector<std::string>& images,
                     std::uint64_t version);
     std::uint64_t images_version(const std::string& machine) const;
-    // As `find_least_idle`, but only among the machines that have the image: from the paper's list
-    // of warm cores, where that is faster, else by searching all lists.
+    // As `find_least_idle`, but only among the machines that have the image. Uses the image's own
+    // set of machines (the paper's list of warm cores) if that is faster, and otherwise searches
+    // all lists.
     template <class Accepts>
     const std::string* find_least_idle_warm(const SlotKind& kind, int slots,
                                             const std::string& image, Accepts&& accepts) const {
@@ -71,8 +74,8 @@
         }
         return best;
     }
-    // The first machine, fewest idle slots first, that has at least `slots` idle slots and that the
-    // predicate accepts; null if there is none. The machine stays listed.
+    // Returns the machine with the fewest idle slots of those that have at least `slots` of them
+    // and that the predicate accepts; null if there is none. The machine stays listed.
     template <class Accepts>
     const std::string* find_least_idle(const SlotKind& kind, int slots, Accepts&& accepts) const {
         auto it = lists_.find(kind);
@@ -103,13 +106,13 @@
     Positions positions_;
     struct WarmImage {
         std::unordered_set<std::string> idle; // listed machines that have the image
-        std::size_t machines = 0;             // that have it, listed or not
+        std::size_t machines = 0;             // the number that have the image, listed or not
     };
     struct CachedImages {
         std::vector<std::string> names;
         std::uint64_t version = 0;
     };
-    // Adds the machine to the warm lists of its images, or removes it from them.
+    // Adds the machine to the idle machines of each of its images, or removes it from them.
     void update_warm(const std::string& machine, bool listed);
     std::unordered_map<std::string, CachedImages> images_; // by machine, listed or not
     std::unordered_map<std::string, WarmImage> warm_;      // by image
