--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -1,4 +1,3 @@
-// Implementation of the autoscaler; see the header.
 #include "core/autoscaling/autoscaler.h"
 
 #include <algorithm>
@@ -7,7 +6,7 @@
 namespace scheduler {
 
 namespace {
-constexpr std::size_t kMaxReleasesPerRequest = 100; // the cloud provider's limit
+constexpr std::size_t kMaxReleasesPerRequest = 100; // limit of the cloud provider
 } // namespace
 
 Autoscaler::Autoscaler(const Leadership& leadership, const ClusterSettings& settings,
@@ -22,7 +21,8 @@
     next_run_at_ = now + kPlanningIntervalHeartbeats * settings_.heartbeat_interval_s;
     demand_.expire_provisioned(now);
     ClusterDemand cluster_demand = demand_.cluster_demand(now);
-    // Not before the others have reported their capacity, or it would be provisioned once more.
+    // Before all peers have reported their capacity, existing machines would be provisioned again.
+    // Peers that have not reported after one worker lease time are no longer waited for.
     if (is_provisioner() &&
         (delegate_.all_peers_reported() || now - leadership_.since() > settings_.worker_lease_s)) {
         scale_out(now, cluster_demand);
@@ -122,12 +122,12 @@
             continue;
         }
         if (status != 200) {
-            machine->releasing = false; // it is still surplus, and released again before long
+            machine->releasing = false; // it is still surplus, so its release will be retried
             next_release_at_ = now + settings_.heartbeat_interval_s;
             delegate_.update_slot_lists(*machine);
             continue;
         }
-        // The provider's rate limit is shared by all partitions.
+        // All partitions share the provider's rate limit.
         next_release_at_ = now + settings_.heartbeat_interval_s / 2;
         planner_.on_released(now, name);
         delegate_.on_machine_released(now, name);
@@ -141,7 +141,7 @@
     }
 }
 
-// Lists the machines whose names come after this one, page by page.
+// Lists the machines whose names come after `after`, page by page.
 void Autoscaler::list_instances_after(std::string after) {
     list_in_flight_ = true;
     requests_.send(ListInstances{std::move(after)}, [this](Time at, OutboundResponse& response) {
@@ -159,12 +159,13 @@
     });
 }
 
-// Adds a listed machine that is not known. Returns null if it is not to be added.
+// Adds a listed machine that is not known yet, and returns it. Returns null if the machine is of an
+// unknown type or may have been released already.
 Machine* Autoscaler::add_listed(Time now, const Instance& instance, const ShardId& shard,
                                 const OwnedShards::Shard& own) {
     const InstanceType* type = types_.find(instance.type);
-    // The list lags: machines that the shard's previous owner released show in it for a while. A
-    // machine that is up sends heartbeats.
+    // The provider's list lags, so machines that the shard's previous owner released may still be
+    // in it. Skipping a running machine is harmless, since it sends heartbeats.
     bool may_be_released = own.since > leadership_.since() &&
                            instance.state == InstanceState::running &&
                            now - own.since < 2 * settings_.list_lag_s;
@@ -175,7 +176,7 @@
         machines_.add(now, instance.name, *type, instance.zone, instance.spot, shard, own.term);
     machine.age_when_added_s = instance.age_s;
     machine.endpoint = instance.endpoint;
-    // The machine may be up and run tasks, but if so it is in the machine registry as well.
+    // No reconciliation is needed: a machine that may run tasks is in the machine registry as well.
     return &machine;
 }
 
--- a/src/core/autoscaling/autoscaler.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -1,6 +1,6 @@
-// A partition leader's calls to the cloud provider: it provisions, lists and releases machines as
-// the capacity planner decides. The leader of one partition provisions for all, so that a lack of
-// machines is not made up for several times.
+// The requests of a partition leader to the cloud provider: provisions, lists and releases machines
+// as the capacity planner decides. The leader of one partition provisions for all, so that missing
+// machines are not provisioned several times.
 #pragma once
 
 #include "core/autoscaling/demand_tracker.h"
@@ -8,21 +8,23 @@
 
 namespace scheduler {
 
-// Called only from the controller's event loop. Calls to the cloud provider that fail are retried.
+// Called only from the controller's event loop. Failed requests to the cloud provider are retried.
 class Autoscaler {
   public:
     // What the autoscaler needs of its partition's leader.
     struct Delegate {
         virtual ~Delegate() = default;
-        // The machine's idle slots have changed, or whether they may be given.
+        // Called when the machine's idle slots have changed, or whether tasks may use them.
         virtual void update_slot_lists(Machine& machine) = 0;
-        // The machine and everything on it are gone; it is to be in no table when this returns.
+        // Called when the machine has been released. Must remove it, and its tasks, from all
+        // tables.
         virtual void on_machine_released(Time now, const std::string& machine) = 0;
-        // Tasks may be scheduled again.
+        // Called after releases, when tasks may be scheduled again.
         virtual void resume_scheduling(Time now) = 0;
-        // Has a task completed on the machine without its job's leader knowing of it yet?
+        // Returns whether a task has exited on the machine that the leader of the task's job may
+        // not know of yet. Such a machine is not released.
         virtual bool has_unacked_exits(Time now, const Machine& machine) const = 0;
-        // Have the leaders of all other partitions reported their capacity?
+        // Returns whether the leaders of all other partitions have reported their capacity.
         virtual bool all_peers_reported() const = 0;
     };
     Autoscaler(const Leadership& leadership, const ClusterSettings& settings,
@@ -30,18 +32,21 @@
                MachineTable& machines, CapacityPlanner& planner, DemandTracker& demand,
                OutboundRequests& requests, Delegate& delegate);
 
-    // Does this leader provision machines for all partitions?
+    // Returns whether this leader provisions machines for all partitions.
     bool is_provisioner() const { return leadership_.partition() == kProvisionerPartition; }
-    // Lists the provider's machines, if it is time.
+    // Lists the provider's machines if the next listing is due, and adds unknown ones of this
+    // partition. To be called periodically.
     void list_instances(Time now);
-    // Is the next run due? There are a few in a heartbeat interval.
+    // Returns whether the next run is due. The interval is kPlanningIntervalHeartbeats.
     bool is_run_due(Time now) const { return now >= next_run_at_; }
-    // Scales out and in. `allow_silent_release`: machines without heartbeats may be taken for dead.
+    // Scales out and in. `allow_silent_release`: machines whose heartbeats have stopped may be
+    // released.
     void run(Time now, bool allow_silent_release);
-    // Releases the named machines, which must be known; at most as many as the provider takes at
-    // once.
+    // Releases the named machines, which must be known; of a longer list only as many as the
+    // provider accepts in one request.
     void scale_in(Time now, std::vector<std::string> names);
-    // The provisioning leader announces a machine of this partition.
+    // To be called when the provisioning leader announces a machine that it has provisioned for
+    // this partition.
     void expect_machine(Time now, const ProvisionedMachine& provisioned);
 
   private:
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -1,4 +1,3 @@
-// Implementation of the capacity planner; see the header.
 #include "core/autoscaling/capacity_planner.h"
 
 #include <algorithm>
@@ -7,17 +6,17 @@
 namespace scheduler {
 
 namespace {
-constexpr int kMaxMachinesPerRequest = 50; // the cloud provider's limit
-// A machine without a heartbeat for this many intervals is silent.
+constexpr int kMaxMachinesPerRequest = 50; // limit of the cloud provider
+// A machine without a heartbeat for this many heartbeat intervals is silent.
 constexpr double kSilentHeartbeats = 2;
-// A machine whose last heartbeat is at most this many intervals old is responsive.
+// A machine whose last heartbeat is less than this many heartbeat intervals old is responsive.
 constexpr double kResponsiveHeartbeats = 1.5;
-// A released machine is remembered for this many times the lag of the provider's list.
+// A released machine is remembered for this multiple of the lag of the provider's list.
 constexpr double kReleasedListLags = 10;
 constexpr double kScaleOutRetryS = 1;
 } // namespace
 
-// A machine that has missed its heartbeats is most likely gone.
+// Returns whether the machine has missed heartbeats: most likely it is gone.
 bool CapacityPlanner::is_silent(Time now, const Machine& machine) const {
     return machine.reporting &&
            now - machine.last_heartbeat > kSilentHeartbeats * settings_.heartbeat_interval_s;
@@ -25,12 +24,13 @@
 
 bool CapacityPlanner::is_usable(Time now, const Machine& machine) const {
     bool down = !machine.reporting && (machine.agent_epoch > 0 || machine.registered);
-    // A silent one is not counted: a replacement takes a boot time to come up.
+    // A silent machine is not usable, so that its replacement, which takes a boot time to come up,
+    // is provisioned at once.
     return !machine.draining && !machine.releasing && !machine.preemption_notice_s &&
            !machine.cordoned && !down && !is_silent(now, machine);
 }
 
-// Orders whose response is missing are sent again.
+// Appends the pending requests whose retry is due.
 void CapacityPlanner::append_retries(Time now, std::vector<ScaleOut>& requests) {
     for (auto& pending : pending_) {
         if (!pending.in_flight && now >= pending.next) {
@@ -40,7 +40,7 @@
     }
 }
 
-// Adds the slots of pending requests to the existing ones.
+// Counts the slots of pending requests as existing ones.
 void CapacityPlanner::add_pending(const std::vector<InstanceType>& types, SlotsByKind& slots,
                                   ZoneSlots& zones) const {
     for (const auto& pending : pending_) {
@@ -75,7 +75,8 @@
     return requests;
 }
 
-// For each zone the type with the lowest price per slot, of the offers that are not avoided now.
+// Returns for each zone the type with the lowest price per slot, among the offers that are not
+// avoided now.
 CapacityPlanner::TypesByZone
 CapacityPlanner::cheapest_by_zone(Time now, const std::vector<InstanceType>& types,
                                   bool spot) const {
@@ -99,8 +100,9 @@
     return cheapest;
 }
 
-// Several requests at once where one may not ask for enough, each zone and kind within a quarter of
-// what the provider accepts until the next round.
+// The number of machines to request in a zone in one planning round, in several requests if needed.
+// Each zone and kind may use a quarter of the requests that the provider's rate limit admits until
+// the next round.
 int CapacityPlanner::max_machines_per_zone() const {
     return kMaxMachinesPerRequest *
            static_cast<int>(
@@ -108,9 +110,9 @@
                                  settings_.heartbeat_interval_s / 4));
 }
 
-// Orders what is lacking, machine by machine: where bound work needs it, then in the zone with the
-// fewest slots so far, of the type with the lowest price per slot there. An offer that was refused
-// is avoided for a while, so that the next zone or type has its turn.
+// Requests the missing slots, machine by machine: first in the zones where zone-bound work needs
+// them, then in the zone with the fewest slots so far, of the type with the lowest price per slot
+// there. An offer that was refused is avoided for a while, so that other zones and types are tried.
 void CapacityPlanner::request_missing_slots(Time now, const std::vector<InstanceType>& types,
                                             bool spot, double lacking_slots, ZoneSlots& zones,
                                             std::vector<ScaleOut>& requests) {
@@ -161,8 +163,8 @@
     }
     SlotKind kind{request.type, request.spot};
     if (status == 200 || status == 400 || status == 503) {
-        // A 503 provisioned nothing; whether for lack of machines or because the provider itself is
-        // down, the offer is avoided for a while.
+        // With status 503 nothing was provisioned. Whether the provider lacks machines or is down
+        // itself, the offer is avoided for a while.
         if (status != 200 || accepted < static_cast<std::size_t>(request.count)) {
             backoff_until_[{kind, request.zone}] = now + policy_.capacity_backoff_s;
         }
@@ -180,7 +182,8 @@
     return released_.contains(name);
 }
 
-// Follows a growing demand at once, and a falling one by an exponential decay.
+// Updates the recent demand, which follows a growing demand at once and a falling one by an
+// exponential decay.
 void CapacityPlanner::update_recent_demand(Time now, const Demand& demand, double boot_s) {
     double decay = std::min(1.0, (now - recent_demand_at_) / (policy_.demand_decay_boots * boot_s));
     recent_demand_at_ = now;
@@ -191,13 +194,13 @@
     follow(recent_demand_.any_kind_slots, demand.any_kind_slots);
 }
 
-// The slots of the kind that the recent demand needs, with some spare capacity.
+// Returns the number of slots of the kind that the recent demand needs, with some spare capacity.
 double CapacityPlanner::wanted_slots(const ClusterDemand& demand, bool spot) const {
     double beyond_spot = std::max(0.0, recent_demand_.any_kind_slots - demand.spot_slots);
     double wanted =
         spot ? recent_demand_.any_kind_slots : recent_demand_.on_demand_slots + beyond_spot;
     if (wanted < 1) {
-        return 0; // a decaying peak never reaches 0 quite
+        return 0; // an exponentially decaying peak never reaches 0
     }
     return wanted * (1 + policy_.spare_capacity_ratio);
 }
@@ -213,7 +216,7 @@
     }
     update_recent_demand(now, demand.demand, boot_s);
     std::vector<std::string> changes;
-    // While another partition has not reported, its demand may have grown since.
+    // A partition that has not reported lately may have a greater demand by now.
     bool may_cordon = now >= next_cordon_at_ && demand.complete;
     for (bool spot : {false, true}) {
         plan_cordons_of_kind(now, machines, demand, spot, may_cordon, changes);
@@ -246,14 +249,14 @@
     }
 }
 
-// Cordons the emptiest machines first; equal ones in the order of their names: in the request of
-// their addresses, no run would repeat another.
+// Cordons the emptiest machines first, and equally empty ones in the order of their names: with the
+// order of their addresses, runs would not be reproducible.
 void CapacityPlanner::cordon_surplus(Time now, std::vector<CordonCandidate> candidates,
                                      const Surplus& surplus, std::vector<std::string>& changes) {
     std::stable_sort(candidates.begin(), candidates.end(),
                      [](const auto& a, const auto& b) { return a.busy_rank < b.busy_rank; });
-    // A step is half of this partition's part of the surplus of all partitions: a cluster many
-    // times as large shrinks in the same time.
+    // A step is half of this partition's proportion of the surplus of all partitions, so that the
+    // time to scale in does not depend on the size of the cluster.
     double existing = surplus.existing_slots;
     double own_slots = surplus.own_slots;
     double step_slots =
@@ -272,19 +275,21 @@
     }
 }
 
-// A machine that is not up: did it have enough time to come up, or to come back?
+// Returns whether a machine that is not up has had enough time to boot, or to reconnect.
 bool CapacityPlanner::is_presumed_lost(Time now, const Machine& machine) const {
     bool never_up = machine.agent_epoch == 0 && !machine.registered;
     if (never_up) {
         double age_s = machine.age_when_added_s + (now - machine.known_since);
         return age_s > boot_timeout_s(machine.type);
     }
-    return now - machine.last_heartbeat > 2 * settings_.worker_lease_s; // its lease has expired
+    // Its lease has expired by then.
+    return now - machine.last_heartbeat > 2 * settings_.worker_lease_s;
 }
 
-// May silent machines be taken for dead? If few machines are silent while the rest send heartbeats,
-// these are dead, preempted or cut off. Many silent at once more likely mean a fault of this
-// controller. While no machine is responsive, the first that becomes silent is not the only one.
+// Returns whether silent machines may be presumed dead. A few silent machines, while the others
+// send heartbeats, have failed, been preempted or been cut off. Many at once more likely indicate a
+// fault of this controller. If no machine is responsive, the ones that are not silent yet are about
+// to become so; then a silent machine may be presumed dead only if no other machine is reporting.
 bool CapacityPlanner::is_silent_release_safe(Time now, const MachineTable& machines) const {
     double max_silence_s = kResponsiveHeartbeats * settings_.heartbeat_interval_s;
     std::size_t reporting = 0;
@@ -299,8 +304,8 @@
     return (any_responsive || reporting == 1) && silent * 4 <= reporting + 3;
 }
 
-// Has the idle machine been idle for long, and are its slots not wanted? `slots`: those that exist,
-// from which the machine's are taken if so.
+// Returns whether the idle machine has been idle for long and its slots are not needed; if so,
+// subtracts them from `slots`, the existing ones.
 bool CapacityPlanner::is_surplus(Time now, const Machine& machine, SlotsByKind& slots) const {
     double max_idle_s = policy_.idle_scale_in_boots * machine.type.boot_s;
     if (now - machine.idle_since <= max_idle_s) {
@@ -324,7 +329,8 @@
         return is_presumed_lost(now, machine);
     }
     if (allow_silent_release && is_silent(now, machine)) {
-        return true; // the release makes sure that nothing runs there, well before the lease does
+        // The release ensures that nothing runs there, long before the worker's lease expires.
+        return true;
     }
     if (!machine.empty() || machine.runs_unexpected_tasks() || machine.command_in_flight != 0) {
         return false;
--- a/src/core/autoscaling/capacity_planner.h
+++ b/src/core/autoscaling/capacity_planner.h
@@ -1,5 +1,5 @@
-// Plans how many machines there should be, and of what kind: which to provision, to cordon and to
-// release, and which offers of the cloud provider to avoid for a while.
+// Plans the number and kinds of machines: which to provision, to cordon and to release, and which
+// offers of the cloud provider to avoid for a while.
 #pragma once
 
 #include <set>
@@ -10,7 +10,7 @@
 
 namespace scheduler {
 
-// Heartbeat intervals between two rounds of planning.
+// The interval between planning rounds, in heartbeat intervals.
 inline constexpr double kPlanningIntervalHeartbeats = 1.0 / 3;
 
 // Demand and capacity of all partitions together, as far as this leader knows.
@@ -18,40 +18,42 @@
     Demand demand;
     double on_demand_slots = 0;
     double spot_slots = 0;
-    bool complete = false; // every other partition has reported lately
+    bool complete = false; // every other partition has reported within the last heartbeat interval
 };
 
-// Makes plans only; the autoscaler carries them out. Called only from the controller's event loop.
+// Only makes plans, which the autoscaler executes. Called only from the controller's event loop.
 class CapacityPlanner {
   public:
-    // `term`: of the leadership; it makes request ids unique.
+    // `term`: the leadership term, which makes the request ids unique.
     CapacityPlanner(const ClusterSettings& settings, const SchedulingPolicy& policy,
                     std::uint64_t term)
         : settings_(settings), policy_(policy), term_(term) {}
 
-    // The requests to send now. An request without a response is sent again under its id.
-    // `slots_by_zone`: slots by zone.
+    // Returns the requests to send now. A request without a response is sent again under its id.
+    // `slots_by_zone`: the existing slots.
     std::vector<ScaleOut> plan_scale_out(Time now, const ClusterDemand& demand,
                                          const std::vector<InstanceType>& types,
                                          std::map<std::string, double> slots_by_zone);
     void on_scale_out_response(Time now, const ScaleOut& request, int status, std::size_t accepted);
 
-    // Machines to release: idle for long, never up, lost, or faulty. `allow_silent_release`:
-    // machines without heartbeats may be taken for dead.
+    // Returns the machines to release: surplus, never up, lost, draining or failing. Machines whose
+    // heartbeats have stopped are among them only if `allow_silent_release`.
     std::vector<std::string> plan_scale_in(Time now, const MachineTable& machines,
                                            const ClusterDemand& demand,
                                            bool allow_silent_release) const;
-    // Machines to cordon because there are more than the demand needs, some at a time, and cordoned
-    // machines to use again because there are too few: `cordoned` of each is to be toggled.
+    // Returns the machines whose `cordoned` is to be toggled: machines to cordon because there are
+    // more than the demand needs, a few in each round, or cordoned ones to use again because there
+    // are too few.
     std::vector<std::string> plan_cordons(Time now, const MachineTable& machines,
                                           const ClusterDemand& demand);
-    // May the machine run new tasks, now or when it is up?
+    // Returns whether the machine may run new tasks, now or when it is up.
     bool is_usable(Time now, const Machine& machine) const;
-    // The machine was released; the provider's list may still show it for a while.
+    // To be called when the machine has been released. The provider's list and delayed heartbeats
+    // may still include it for a while; `was_released` tells them apart.
     void on_released(Time now, const std::string& name) { released_[name] = now; }
     bool was_released(Time now, const std::string& name);
 
-    // Seconds after which a machine that is not up is given up.
+    // The time, in seconds, after which a machine that is not up is presumed to have failed.
     double boot_timeout_s(const InstanceType& type) const {
         return policy_.boot_timeout_boots * type.boot_s;
     }
@@ -62,26 +64,26 @@
         Time next = 0; // no retry before this
         bool in_flight = false;
     };
-    // Machines of one kind in one zone, as the provider may have them or not.
+    // Machines of one kind in one zone, which the provider may or may not have available.
     struct Offer {
         SlotKind kind;
         std::string zone;
         auto operator<=>(const Offer&) const = default;
     };
-    // Slots by zone: those that exist or are ordered, and those that bound work still needs.
+    // Slots by zone: those that exist or are requested, and those that zone-bound work still needs.
     struct ZoneSlots {
         std::map<std::string, double> existing;
         std::map<std::string, double> needed;
     };
     struct CordonCandidate {
-        double busy_rank = 0; // the lowest is the emptiest machine
+        double busy_rank = 0; // lower for machines with a greater fraction of idle slots
         const Machine* machine = nullptr;
     };
-    // Slots of one kind: of this partition's candidates, of all partitions, and wanted of all.
+    // Slots of one kind.
     struct Surplus {
-        double own_slots = 0;
-        double existing_slots = 0;
-        double wanted_slots = 0;
+        double own_slots = 0;      // of this partition's candidates
+        double existing_slots = 0; // of all partitions
+        double wanted_slots = 0;   // of all partitions
     };
     struct SlotsByKind {
         double on_demand = 0;
--- a/src/core/autoscaling/demand_tracker.cpp
+++ b/src/core/autoscaling/demand_tracker.cpp
@@ -1,4 +1,3 @@
-// Implementation of the demand tracker; see the header.
 #include "core/autoscaling/demand_tracker.h"
 
 #include <algorithm>
@@ -9,13 +8,14 @@
 namespace scheduler {
 
 namespace {
-// Zone-bound work that waits longer than this many boot times adds to the demand once more.
+// Zone-bound work that has been waiting for more than this many boot times adds to the demand once
+// more.
 constexpr double kStuckBoots = 1.5;
-// Worker lease times for which arrivals are remembered.
+// Arrivals are remembered for this many worker lease times.
 constexpr double kArrivalLeases = 3;
-// The arrivals of a boot time are multiplied by this to project those of the next.
+// The work that arrived per boot time is multiplied by this to project that of the next.
 constexpr double kProjectionFactor = 1.5;
-// The capacity is updated this many times in a heartbeat interval at most.
+// The capacity is updated at most this many times in a heartbeat interval.
 constexpr double kCapacityUpdatesPerHeartbeat = 6;
 } // namespace
 
@@ -33,12 +33,12 @@
     }
 }
 
-// Work that only on-demand machines may run and that is to start sooner than one boots needs
-// machines that are up before it arrives: for as much work as arrived lately in a boot time, and
-// half as much again.
+// Work that may only run on on-demand machines, and whose service-level objective for the waiting
+// time is shorter than a boot, needs machines that are up before it arrives. They are provisioned
+// for 1.5 times the work that recently arrived in a boot time.
 void DemandTracker::on_job_arrived(Time now, const JobSpec& spec) {
     if (types_.empty() || spec.spot || now - leadership_.since() < settings_.worker_lease_s) {
-        return; // jobs from before this leadership say nothing about the rate of arrivals
+        return; // jobs from before this leadership do not show the rate of arrivals
     }
     const InstanceType& type = types_.cheapest_fitting(spec);
     for (const auto& objective : settings_.objectives) {
@@ -76,7 +76,8 @@
     return pending;
 }
 
-// Adds what tasks that are bound to zones need beyond the need of their team.
+// Adds the slots that the pending tasks need in certain zones, in addition to the need of their
+// team.
 void DemandTracker::add_zone_bound(Time now, const Job& job, const PendingTasks& pending,
                                    Demand& demand) {
     const JobSpec& spec = job.spec;
@@ -91,14 +92,14 @@
     if (!is_bound || stuck_periods == 0) {
         return;
     }
-    // New machines would be up by now: there are slots, but not where they are needed. So as much
-    // again is requested, whatever the team's quota makes of the rest.
+    // New machines would be up by now, so there are slots, but not where they are needed. The same
+    // number of slots is requested once more, regardless of the team's quota.
     double factor = 1;
-    // All of it in one zone, one zone after the other: spread over the zones it may not be enough
-    // in any. Nor are as many slots in the zone always enough: tasks that do not fill their
-    // machines leave up to half of each unused. So the demand grows until there would be twice as
-    // much in every zone. A gang of 19 tasks of 3 CPUs waited for ever beside 15 empty machines of
-    // 8, six in one zone and nine in the other.
+    // The slots are requested in one zone at a time, in turn: spread over the zones they may not
+    // suffice in any. The same number of slots in the zone may not suffice either, since tasks that
+    // do not fill their machines leave up to half of each unused. So the demand grows until there
+    // would be twice the slots in every zone. Otherwise a gang can wait for ever: one of 19 tasks
+    // of 3 CPUs did so beside 15 empty machines of 8 CPUs, six in one zone and nine in another.
     if (spec.one_zone && zones.size() > 1) {
         factor = static_cast<double>(std::min(stuck_periods, 2 * zones.size()));
         demand.zone_bound_slots[zones[stuck_periods % zones.size()]] += 2 * pending.count * slots;
@@ -106,8 +107,8 @@
     (spec.spot ? demand.any_kind_slots : demand.on_demand_slots) += factor * pending.count * slots;
 }
 
-// Adds what runs, and what must run for the pending tasks to be done within the horizon. A task
-// that is longer than the horizon needs slots of its own.
+// Adds the need of the running tasks, and that of as many pending tasks as must run at a time for
+// all to be done within the horizon. A task that is longer than the horizon needs its own slots.
 void DemandTracker::add_need(const Job& job, const PendingTasks& pending, TeamNeed& need) const {
     const JobSpec& spec = job.spec;
     double horizon_s = policy_.scale_out_horizon_boots * pending.type.boot_s;
@@ -120,7 +121,7 @@
     need.gpus += tasks * spec.gpus;
 }
 
-// The fraction of the need that the team's quota admits.
+// Returns the fraction of the need that the team's quota admits.
 double DemandTracker::quota_fraction(const std::string& team, const TeamNeed& need) const {
     const TeamQuota* quota = quotas_.quota(team);
     double fraction = 1;
--- a/src/core/autoscaling/demand_tracker.h
+++ b/src/core/autoscaling/demand_tracker.h
@@ -1,6 +1,6 @@
 // The demand and the capacity of this partition, and those that the leaders of other partitions
-// reported of theirs: from them one leader provisions machines for all. See docs/design.md,
-// "Machines and money".
+// reported for theirs. One leader provisions machines for all partitions by their sums. See
+// docs/design.md, "Machines and money".
 #pragma once
 
 #include <deque>
@@ -25,19 +25,21 @@
                   const JobStore& jobs, const QuotaLedger& quotas, const MachineTable& machines,
                   const CapacityPlanner& planner);
 
-    // A job has arrived. Jobs that are to start sooner than a machine boots are remembered.
+    // To be called when a job has arrived. Jobs whose objective for the waiting time is shorter
+    // than the boot time of a machine are remembered.
     void on_job_arrived(Time now, const JobSpec& spec);
-    // This partition's demand and capacity. The demand is cached for a moment, as every peer sync
-    // includes it; the capacity for longer.
+    // This partition's demand and capacity. As every peer sync includes them, the demand is cached
+    // for a peer sync interval, and the capacity for a sixth of a heartbeat interval.
     const PartitionDemand& current(Time now);
     // Drops the cached values.
     void invalidate() { valid_until_ = capacity_valid_until_ = 0; }
-    // Another partition's leader has reported its demand and capacity.
+    // To be called when another partition's leader has reported its demand and capacity. Throws
+    // std::out_of_range if there is no such other partition.
     void on_peer_demand(Time now, int partition, const Demand& demand,
                         const PartitionCapacity& capacity);
-    // Of all partitions together.
+    // The demand and capacity of all partitions together.
     ClusterDemand cluster_demand(Time now);
-    // What this leader reports of itself from now on: see PartitionCapacity.
+    // Sets what this leader reports of itself from now on: see PartitionCapacity.
     void set_local_state(double cpu_headroom, bool accepts_shards) {
         cpu_headroom_ = cpu_headroom;
         accepts_shards_ = accepts_shards;
@@ -50,8 +52,8 @@
     };
     const std::map<int, Peer>& peers() const { return peers_; }
 
-    // Machines of other partitions that this leader has provisioned: counted here until their own
-    // leaders know of them.
+    // A machine of another partition that this leader has provisioned. It is counted as capacity
+    // here until that partition's leader knows of it.
     struct Provisioned {
         ScaleOut request;
         Time since = 0;
@@ -60,14 +62,14 @@
     const ProvisionedMachines& provisioned() const { return provisioned_; }
     void add_provisioned(Time now, const std::string& machine, const ScaleOut& request);
     void remove_provisioned(const std::string& machine) { provisioned_.erase(machine); }
-    // Machines that should be up by now are no longer counted.
+    // Drops the provisioned machines that should be up by now.
     void expire_provisioned(Time now);
 
-    // Machines visited so far, as a measure of work for tests.
+    // The number of machines visited so far, as a measure of work for tests.
     std::uint64_t effort() const { return effort_; }
 
   private:
-    // What a team's tasks need, before it is capped by the team's quota.
+    // The need of a team's tasks, before it is capped by the team's quota.
     struct TeamNeed {
         double on_demand_slots = 0;
         double any_kind_slots = 0;
@@ -79,7 +81,7 @@
         const InstanceType& type;
         double slots_per_task = 0;
         double count = 0;
-        std::vector<std::string> open_zones; // in which the next task may be placed
+        std::vector<std::string> open_zones; // zones in which the next task may be placed
     };
     Demand demand(Time now);
     PendingTasks pending_tasks(const Job& job) const;
@@ -108,7 +110,7 @@
     bool accepts_shards_ = false;
     struct Arrival {
         Time at = 0;
-        double slot_s = 0; // its slots, times the boot time of their machines
+        double slot_s = 0; // the job's slots times the boot time of its machines
     };
     std::deque<Arrival> arrivals_;
     std::uint64_t effort_ = 0;
