--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -93,9 +93,9 @@
     if (!machine) {
         return;
     }
-    bool current = heartbeat.agent_epoch > machine->agent_epoch ||
-                   (heartbeat.agent_epoch == machine->agent_epoch &&
-                    heartbeat.sequence > machine->heartbeat_sequence);
+    bool is_newest = heartbeat.agent_epoch > machine->agent_epoch ||
+                     (heartbeat.agent_epoch == machine->agent_epoch &&
+                      heartbeat.sequence > machine->heartbeat_sequence);
     update_machine(now, *machine, heartbeat);
     apply_heartbeat(now, *machine, heartbeat, 0);
     try_reconcile(now);
@@ -107,7 +107,7 @@
     // the tasks of cancelled jobs running.
     HeartbeatBody response;
     if (staleness_.is_fresh(now)) {
-        response = heartbeat_response(*machine, heartbeat, current);
+        response = heartbeat_response(*machine, heartbeat, is_newest);
     }
     machines_.on_lease_renewed(now, *machine);
     requests_.respond(request_id, 200, std::move(response));
@@ -168,20 +168,20 @@
     }
 }
 
-// Returns the response with the machine's fencing token and commands. `current`: no newer heartbeat
-// of the machine has been received.
+// Returns the response with the machine's fencing token and commands. `is_newest`: no newer
+// heartbeat of the machine has been received.
 HeartbeatBody PartitionLeader::heartbeat_response(Machine& machine, const Heartbeat& heartbeat,
-                                                  bool current) {
+                                                  bool is_newest) {
     HeartbeatBody response;
     response.fencing_token = machine.fencing_token();
-    if (current && machine.fenced && failover_.loaded()) {
+    if (is_newest && machine.fenced && failover_.loaded()) {
         add_corrective_commands(machine, response.commands);
     } else {
         add_cancellation_stops(heartbeat, response.commands);
     }
-    if (current && machine.fenced) {
-        auto starts = machines_.take_commands_for_response(machine);
-        response.commands.insert(response.commands.end(), starts.begin(), starts.end());
+    if (is_newest && machine.fenced) {
+        auto queued = machines_.take_commands_for_response(machine);
+        response.commands.insert(response.commands.end(), queued.begin(), queued.end());
     }
     return response;
 }
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -104,7 +104,7 @@
     // Machines and what is placed on them.
     Machine* admit_heartbeat(Time now, RequestId request_id, const Heartbeat& heartbeat);
     void update_machine(Time now, Machine& machine, const Heartbeat& heartbeat);
-    HeartbeatBody heartbeat_response(Machine& machine, const Heartbeat& heartbeat, bool current);
+    HeartbeatBody heartbeat_response(Machine& machine, const Heartbeat& heartbeat, bool is_newest);
     void apply_heartbeat(Time now, Machine& machine, const Heartbeat& heartbeat,
                          OutboundRequestId command_request) override;
     void on_task_removed(Time now, const std::string& name,
