--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -307,6 +307,8 @@
     }
 }
 
+// Handles a reported task of this partition that has no placement on the machine: adopts it if it
+// may continue, and otherwise keeps its status so that it is stopped or cleared.
 void PartitionLeader::adopt_own(Time now, Machine& machine, const TaskStatus& status) {
     Job* job = jobs_.find(status.task.job);
     if (borrower_.adopt_local(status.task, status.attempt, machine.name)) {
