--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -104,8 +104,9 @@
         leader->handle_heartbeat(now, in.request_id, in.heartbeat);
         return;
     }
-    const std::string node = holder < 0 ? "" : partition_map_.at(holder).leader;
-    requests_.respond(in.request_id, 421, LeaderRedirect{node == settings_.node ? "" : node});
+    const std::string leader_name = holder < 0 ? "" : partition_map_.at(holder).leader;
+    requests_.respond(in.request_id, 421,
+                      LeaderRedirect{leader_name == settings_.node ? "" : leader_name});
 }
 
 void Controller::handle_input(Time now, const PeerSyncReceived& in) {
--- a/src/core/local_peer_sync.cpp
+++ b/src/core/local_peer_sync.cpp
@@ -46,7 +46,7 @@
         leader->drain_into(outputs);
         for (auto& request : outputs.requests) {
             const auto* sync = std::get_if<PeerSyncCall>(&request.body);
-            if (sync && sync->node == node_) {
+            if (sync && sync->node == controller_name_) {
                 pending_requests_.push_back({partition, std::move(request)});
             } else {
                 out.requests.push_back(std::move(request));
--- a/src/core/local_peer_sync.h
+++ b/src/core/local_peer_sync.h
@@ -17,9 +17,9 @@
 // Called only from the controller's event loop.
 class LocalPeerSync {
   public:
-    // `node`: this controller's name. Both references must outlive this object.
-    LocalPeerSync(const std::string& node, PartitionLeaderMap& leaders)
-        : node_(node), leaders_(leaders) {}
+    // Both references must outlive this object.
+    LocalPeerSync(const std::string& controller_name, PartitionLeaderMap& leaders)
+        : controller_name_(controller_name), leaders_(leaders) {}
 
     // Appends the outputs of all leaders to `out`. Peer syncs between them are delivered at once,
     // and the outputs that result from them are appended as well.
@@ -33,7 +33,7 @@
     void drain_leaders(Outputs& out);
     void deliver(Time now, const LocalRequest& local, Outputs& out);
 
-    const std::string& node_;
+    const std::string& controller_name_;
     PartitionLeaderMap& leaders_;
     std::deque<LocalRequest> pending_requests_; // empty between calls of `collect`
 };
--- a/src/core/partition_leaders.h
+++ b/src/core/partition_leaders.h
@@ -12,8 +12,8 @@
 
 class PartitionLeaders {
   public:
-    // `node`: this controller's name.
-    explicit PartitionLeaders(const std::string& node) : local_peer_sync_(node, leaders_) {}
+    explicit PartitionLeaders(const std::string& controller_name)
+        : local_peer_sync_(controller_name, leaders_) {}
     PartitionLeaders(const PartitionLeaders&) = delete;
     PartitionLeaders& operator=(const PartitionLeaders&) = delete;
 
