--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -164,7 +164,7 @@
 Machine* Autoscaler::add_listed(Time now, const Instance& instance, const ShardId& shard,
                                 const OwnedShards::Shard& own) {
     const InstanceType* type = types_.find(instance.type);
-    // The provider's list lags, so machines that the shard's previous owner released may still be
+    // The provider's list lags, so machines that the shard's previous leader released may still be
     // in it. Skipping a running machine is harmless, since it sends heartbeats.
     bool may_be_released = own.since > leadership_.since() &&
                            instance.state == InstanceState::running &&
