--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -1,4 +1,3 @@
-// Implementation of the autoscaler; see the header.
 #include "core/autoscaling/autoscaler.h"
 
 #include <algorithm>
@@ -7,7 +6,7 @@
 namespace scheduler {
 
 namespace {
-constexpr std::size_t kMaxReleasesPerRequest = 100; // the cloud provider's limit
+constexpr std::size_t kMaxReleasesPerRequest = 100; // limit of the cloud provider
 } // namespace
 
 Autoscaler::Autoscaler(const Leadership& leadership, const ClusterSettings& settings,
@@ -18,22 +17,23 @@
       machines_(machines), planner_(planner), demand_(demand), requests_(requests),
       delegate_(delegate) {}
 
-void Autoscaler::run(Time now, bool may_suspect) {
-    next_ = now + kPlanningIntervalHeartbeats * settings_.heartbeat_interval_s;
+void Autoscaler::run(Time now, bool allow_silent_release) {
+    next_run_at_ = now + kPlanningIntervalHeartbeats * settings_.heartbeat_interval_s;
     demand_.expire_provisioned(now);
     ClusterDemand cluster_demand = demand_.cluster_demand(now);
-    // Not before the others have reported their capacity, or it would be provisioned once more.
-    if (is_provisioner() && (delegate_.heard_from_all_peers() ||
-                             now - leadership_.since() > settings_.worker_lease_s)) {
+    // Before all peers have reported their capacity, existing machines would be provisioned again.
+    // Peers that have not reported after one worker lease time are no longer waited for.
+    if (is_provisioner() &&
+        (delegate_.all_peers_reported() || now - leadership_.since() > settings_.worker_lease_s)) {
         scale_out(now, cluster_demand);
     }
     update_cordons(now, cluster_demand);
-    auto surplus = planner_.plan_scale_in(now, machines_, cluster_demand, may_suspect);
+    auto surplus = planner_.plan_scale_in(now, machines_, cluster_demand, allow_silent_release);
     std::erase_if(surplus, [&](const auto& name) {
         const Machine& machine = *machines_.find(name);
         return !owned_shards_.may_lend(machine.shard) || delegate_.has_unacked_exits(now, machine);
     });
-    if (!surplus.empty() && now >= next_release_) {
+    if (!surplus.empty() && now >= next_release_at_) {
         scale_in(now, surplus);
     }
 }
@@ -52,39 +52,40 @@
         slots[machine.zone] += machine.type.slots();
     }
     for (const auto& [name, provisioned] : demand_.provisioned()) {
-        const InstanceType* type = types_.find(provisioned.order.type);
-        slots[provisioned.order.zone] += type ? type->slots() : 0;
+        const InstanceType* type = types_.find(provisioned.request.type);
+        slots[provisioned.request.zone] += type ? type->slots() : 0;
     }
     return slots;
 }
 
 void Autoscaler::scale_out(Time now, const ClusterDemand& cluster_demand) {
-    for (const ScaleOut& order :
+    for (const ScaleOut& request :
          planner_.plan_scale_out(now, cluster_demand, types_.all(), slots_by_zone())) {
-        requests_.log(LogLevel::info, "event=scale_out_requested order=" + order.order_id +
-                                          " zone=" + order.zone +
-                                          " spot=" + (order.spot ? "1" : "0") +
-                                          " count=" + std::to_string(order.count));
-        requests_.send(order, [this, order](Time at, OutboundResponse& response) {
-            on_scale_out_response(at, order, response);
+        requests_.log(LogLevel::info, "event=scale_out_requested order=" + request.order_id +
+                                          " zone=" + request.zone +
+                                          " spot=" + (request.spot ? "1" : "0") +
+                                          " count=" + std::to_string(request.count));
+        requests_.send(request, [this, request](Time at, OutboundResponse& response) {
+            on_scale_out_response(at, request, response);
         });
     }
 }
 
-void Autoscaler::on_scale_out_response(Time now, const ScaleOut& order,
+void Autoscaler::on_scale_out_response(Time now, const ScaleOut& request,
                                        const OutboundResponse& response) {
-    planner_.on_scale_out_response(now, order, response.status, response.accepted_machines.size());
-    const InstanceType* type = types_.find(order.type);
+    planner_.on_scale_out_response(now, request, response.status,
+                                   response.accepted_machines.size());
+    const InstanceType* type = types_.find(request.type);
     for (const auto& name : response.accepted_machines) {
         if (!type || machines_.find(name) || planner_.was_released(now, name)) {
             continue;
         }
-        ShardId shard = shard_of_machine(settings_, name, order.zone);
+        ShardId shard = shard_of_machine(settings_, name, request.zone);
         if (const OwnedShards::Shard* own = owned_shards_.find(shard)) {
-            machines_.add(now, name, *type, order.zone, order.spot, shard, own->term);
+            machines_.add(now, name, *type, request.zone, request.spot, shard, own->term);
             demand_.invalidate();
         } else {
-            demand_.add_provisioned(now, name, order);
+            demand_.add_provisioned(now, name, request);
         }
     }
 }
@@ -121,13 +122,13 @@
             continue;
         }
         if (status != 200) {
-            machine->releasing = false; // it is still surplus, and released again before long
-            next_release_ = now + settings_.heartbeat_interval_s;
+            machine->releasing = false; // it is still surplus, so its release will be retried
+            next_release_at_ = now + settings_.heartbeat_interval_s;
             delegate_.update_slot_lists(*machine);
             continue;
         }
-        // The provider's rate limit is shared by all partitions.
-        next_release_ = now + settings_.heartbeat_interval_s / 2;
+        // All partitions share the provider's rate limit.
+        next_release_at_ = now + settings_.heartbeat_interval_s / 2;
         planner_.on_released(now, name);
         delegate_.on_machine_released(now, name);
     }
@@ -135,17 +136,17 @@
 }
 
 void Autoscaler::list_instances(Time now) {
-    if (now >= next_list_ && !listing_) {
+    if (now >= next_list_at_ && !list_in_flight_) {
         list_instances_after("");
     }
 }
 
-// Lists the machines whose names come after this one, page by page.
+// Lists the machines whose names come after `after`, page by page.
 void Autoscaler::list_instances_after(std::string after) {
-    listing_ = true;
+    list_in_flight_ = true;
     requests_.send(ListInstances{std::move(after)}, [this](Time at, OutboundResponse& response) {
-        listing_ = false;
-        next_list_ = at + settings_.list_lag_s;
+        list_in_flight_ = false;
+        next_list_at_ = at + settings_.list_lag_s;
         if (response.status != 200) {
             return;
         }
@@ -158,12 +159,13 @@
     });
 }
 
-// Adds a listed machine that is not known. Returns null if it is not to be added.
+// Adds a listed machine that is not known yet, and returns it. Returns null if the machine is of an
+// unknown type or may have been released already.
 Machine* Autoscaler::add_listed(Time now, const Instance& instance, const ShardId& shard,
                                 const OwnedShards::Shard& own) {
     const InstanceType* type = types_.find(instance.type);
-    // The list lags: machines that the shard's previous owner released show in it for a while. A
-    // machine that is up sends heartbeats.
+    // The provider's list lags, so machines that the shard's previous leader released may still be
+    // in it. Skipping a running machine is harmless, since it sends heartbeats.
     bool may_be_released = own.since > leadership_.since() &&
                            instance.state == InstanceState::running &&
                            now - own.since < 2 * settings_.list_lag_s;
@@ -172,9 +174,9 @@
     }
     Machine& machine =
         machines_.add(now, instance.name, *type, instance.zone, instance.spot, shard, own.term);
-    machine.age_at_known_s = instance.age_s;
+    machine.age_when_added_s = instance.age_s;
     machine.endpoint = instance.endpoint;
-    // The machine may be up and run tasks, but if so it is in the machine registry as well.
+    // No reconciliation is needed: a machine that may run tasks is in the machine registry as well.
     return &machine;
 }
 
--- a/src/core/local_peer_sync.cpp
+++ b/src/core/local_peer_sync.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-// Ids of requests from the network stay below it.
+// The id of the one local request in progress. Ids of requests from the network are lower.
 constexpr RequestId kLocalRequestId = 1ULL << 62;
 
 template <typename T> void append(std::vector<T>& to, std::vector<T>& from) {
     std::move(from.begin(), from.end(), std::back_inserter(to));
 }
 
-// Moves the response to the local request, if there is one, from `out` into `response`.
+// Moves the response to the local request, if `out` contains it, into `response`.
 void take_local_response(Outputs& out, OutboundResponse& response) {
     std::erase_if(out.responses, [&](Response& candidate) {
         if (candidate.request_id != kLocalRequestId) {
@@ -33,31 +33,32 @@
 
 void LocalPeerSync::collect(Time now, Outputs& out) {
     drain_leaders(out);
-    while (!pending_.empty()) {
-        LocalRequest local = std::move(pending_.front());
-        pending_.pop_front();
+    while (!pending_requests_.empty()) {
+        LocalRequest local = std::move(pending_requests_.front());
+        pending_requests_.pop_front();
         deliver(now, local, out);
     }
 }
 
 void LocalPeerSync::drain_leaders(Outputs& out) {
     for (auto& [partition, leader] : leaders_) {
-        Outputs own;
-        leader->drain_into(own);
-        for (auto& request : own.requests) {
+        Outputs outputs;
+        leader->drain_into(outputs);
+        for (auto& request : outputs.requests) {
             const auto* sync = std::get_if<PeerSyncCall>(&request.body);
-            if (sync && sync->node == node_) {
-                pending_.push_back({partition, std::move(request)});
+            if (sync && sync->node == controller_name_) {
+                pending_requests_.push_back({partition, std::move(request)});
             } else {
                 out.requests.push_back(std::move(request));
             }
         }
-        append(out.responses, own.responses);
-        append(out.log, own.log);
+        append(out.responses, outputs.responses);
+        append(out.log, outputs.log);
     }
 }
 
-// Without a leader of the callee's partition the caller gets a response of status 0.
+// If the callee's partition is not led here any more, the caller receives a response with status 0,
+// as for a failed connection.
 void LocalPeerSync::deliver(Time now, const LocalRequest& local, Outputs& out) {
     const PeerSyncRequest& sync = std::get<PeerSyncCall>(local.request.body).sync;
     OutboundResponse response;
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -9,7 +9,8 @@
 namespace scheduler {
 
 namespace {
-constexpr std::size_t kMostCommands = 200; // keeps a response well under the 64 KiB allowed
+// Keeps a heartbeat response well below its limit of 64 KiB.
+constexpr std::size_t kMaxCommandsPerResponse = 200;
 } // namespace
 
 PartitionLeader::PartitionLeader(Time now, int partition, const ClusterSettings& settings,
@@ -58,9 +59,9 @@
                 {job_cache_, jobs_, machines_, quotas_, registry_, queue_, demand_, reconciliation_,
                  lender_, borrower_, staleness_},
                 requests_, *this) {
-    for (const auto& [team, its_part] : partitions_of_teams(settings_)) {
+    for (const auto& [team, team_partition] : partitions_of_teams(settings_)) {
         quotas_.configure(*quota_config_.team(team), quota_config_.is_blocked(team));
-        if (its_part == partition) {
+        if (team_partition == partition) {
             own_teams_.insert(team);
         }
     }
@@ -71,7 +72,7 @@
 
 // ---- Heartbeats ----
 
-// Machines that the registry has recorded durably may run tasks from now on.
+// Allows tasks on the machines whose registry entries have become durable.
 void PartitionLeader::on_machines_registered(Time now, const OutboundResponse& response,
                                              const std::vector<std::string>& names) {
     leadership_.check_committed(requests_, response, "roster");
@@ -92,27 +93,29 @@
     if (!machine) {
         return;
     }
-    bool current = heartbeat.agent_epoch > machine->agent_epoch ||
-                   (heartbeat.agent_epoch == machine->agent_epoch &&
-                    heartbeat.sequence > machine->heartbeat_sequence);
+    bool is_newest = heartbeat.agent_epoch > machine->agent_epoch ||
+                     (heartbeat.agent_epoch == machine->agent_epoch &&
+                      heartbeat.sequence > machine->heartbeat_sequence);
     update_machine(now, *machine, heartbeat);
     apply_heartbeat(now, *machine, heartbeat, 0);
     try_reconcile(now);
     schedule_on(now, *machine);
-    // Without a fencing token in the response, the worker stays with this controller and its lease
-    // runs on unrenewed (one that has never seen a token has no tasks, yet counts its lease from
-    // here). A leader that does not know of cancellations, since it has only just become leader or
-    // since the key-value store refuses it, would keep their tasks alive by every response.
+    // A response without a fencing token keeps the worker with this controller but does not renew
+    // its lease (a worker that has never seen a token has no tasks, but its lease starts now). It
+    // is sent while this leader may not know of recent cancellations, because it has only just
+    // become leader or the key-value store refuses its requests: renewing leases would then keep
+    // the tasks of cancelled jobs running.
     HeartbeatBody response;
     if (staleness_.is_fresh(now)) {
-        response = heartbeat_response(*machine, heartbeat, current);
+        response = heartbeat_response(*machine, heartbeat, is_newest);
     }
     machines_.on_lease_renewed(now, *machine);
     requests_.respond(request_id, 200, std::move(response));
     send_commands(now);
 }
 
-// The machine that the heartbeat is of, added if it is not known; none: it has been refused.
+// Returns the machine that sent the heartbeat; adds it if it is not known. Returns null after
+// responding with 503 if the machine is not accepted.
 Machine* PartitionLeader::admit_heartbeat(Time now, RequestId request_id,
                                           const Heartbeat& heartbeat) {
     auto refuse = [&](const char* reason) -> Machine* {
@@ -128,12 +131,13 @@
         return refuse("not entitled");
     }
     ShardId shard = shard_of_machine(settings_, heartbeat.machine, heartbeat.zone);
-    if (!owned_shards_.may_serve(shard)) { // it is migrating, or has migrated
+    if (!owned_shards_.may_serve(shard)) { // the shard is migrating, or has migrated
         return refuse("share not held");
     }
     Machine* machine = machines_.find(heartbeat.machine);
     if (!machine) {
-        if (planner_.was_released(now, heartbeat.machine)) { // delayed, from a terminated machine
+        // A delayed heartbeat of a machine that has been terminated.
+        if (planner_.was_released(now, heartbeat.machine)) {
             return refuse("released");
         }
         machine = &machines_.add(now, heartbeat.machine, *type, heartbeat.zone, heartbeat.spot,
@@ -147,7 +151,8 @@
     return machine;
 }
 
-// Takes over what the heartbeat says of the machine itself, and registers the machine if need be.
+// Updates the machine's own attributes from the heartbeat, and registers the machine if it is not
+// registered yet.
 void PartitionLeader::update_machine(Time now, Machine& machine, const Heartbeat& heartbeat) {
     machine.endpoint = heartbeat.endpoint;
     machine.zone = heartbeat.zone;
@@ -163,35 +168,37 @@
     }
 }
 
-// The fencing token and the commands for the machine. `current`: the heartbeat is its newest.
+// Returns the response with the machine's fencing token and commands. `is_newest`: no newer
+// heartbeat of the machine has been received.
 HeartbeatBody PartitionLeader::heartbeat_response(Machine& machine, const Heartbeat& heartbeat,
-                                                  bool current) {
+                                                  bool is_newest) {
     HeartbeatBody response;
     response.fencing_token = machine.fencing_token();
-    if (current && machine.fenced && failover_.loaded()) {
+    if (is_newest && machine.fenced && failover_.loaded()) {
         add_corrective_commands(machine, response.commands);
     } else {
-        stop_cancelled(heartbeat, response.commands);
+        add_cancellation_stops(heartbeat, response.commands);
     }
-    if (current && machine.fenced) {
-        auto starts = machines_.send_in_response(machine);
-        response.commands.insert(response.commands.end(), starts.begin(), starts.end());
+    if (is_newest && machine.fenced) {
+        auto queued = machines_.take_commands_for_response(machine);
+        response.commands.insert(response.commands.end(), queued.begin(), queued.end());
     }
     return response;
 }
 
 void PartitionLeader::apply_heartbeat(Time now, Machine& machine, const Heartbeat& heartbeat,
-                                      OutboundRequestId orders) {
-    HeartbeatResult result = machines_.apply_heartbeat(now, machine, heartbeat, orders);
+                                      OutboundRequestId command_request) {
+    HeartbeatResult result = machines_.apply_heartbeat(now, machine, heartbeat, command_request);
     for (const auto& removed : result.removed) {
         on_task_removed(now, machine.name, removed);
     }
     if (machine.fenced) {
-        reconciliation_.on_inventory(machine); // from here on its inventories are complete
+        reconciliation_.on_inventory(machine); // its inventories are complete from now on
     }
     if (result.is_newer) {
         adopt_reported(now, machine);
-        if (machine.fenced && failover_.loaded()) { // for tasks on borrowed slots not listed here
+        // Resolves the launches on borrowed slots that the inventory does not include.
+        if (machine.fenced && failover_.loaded()) {
             borrower_.on_inventory_complete(now, machine.name);
         }
     }
@@ -224,7 +231,7 @@
     }
     bool failed = removed.reason == ExitReason::error || removed.reason == ExitReason::unknown;
     if (!leadership_.is_own_attempt(placement.attempt)) {
-        // On a lent slot: the leader of its job's partition hears of it by peer sync.
+        // A remote task: the leader of its job's partition learns of the exit by peer sync.
         if (machine && failed) {
             ++machine->consecutive_errors;
         }
@@ -232,63 +239,64 @@
     }
     quotas_.remove_usage(placement.team, placement.cpus, placement.gpus);
     bool suspect_machine =
-        on_task_gone(now, removed.task, removed.reason, machine ? machine->zone : "");
+        on_own_task_gone(now, removed.task, removed.reason, machine ? machine->zone : "");
     if (machine && failed && suspect_machine) {
         ++machine->consecutive_errors;
     }
 }
 
-// A placed task of ours is on no machine any more. Says whether its failure, if it is one,
-// counts against the machine.
-bool PartitionLeader::on_task_gone(Time now, const TaskId& task, ExitReason why,
-                                   const std::string& zone) {
+// Handles a placed task of this partition that is no longer on any machine. Returns false if the
+// task failed but its job rather than the machine is to blame.
+bool PartitionLeader::on_own_task_gone(Time now, const TaskId& task, ExitReason reason,
+                                       const std::string& zone) {
     Job* job = jobs_.find(task.job);
     if (!job) {
         return true;
     }
     jobs_.mark_waiting(*job, task.index, zone);
-    bool counts = true;
-    if (job->open() && why == ExitReason::done) {
+    bool blames_machine = true;
+    if (job->open() && reason == ExitReason::done) {
         jobs_.mark_done(*job, task.index);
         job->failures = 0;
         if (job->complete()) {
             job_persistence_.finish_job(now, *job);
         }
-    } else if (why == ExitReason::error || why == ExitReason::unknown) {
+    } else if (reason == ExitReason::error || reason == ExitReason::unknown) {
         requests_.log(LogLevel::info,
                       "event=task_failed task=" + task.job + "/" + std::to_string(task.index));
-        // A job that has failed on machine after machine is at fault itself, so it no longer
-        // counts against the machines.
-        counts = job->failures < policy_.quarantine_errors;
+        // A job whose tasks failed this many times in a row on different machines is itself the
+        // likely cause, so further failures do not count against the machines.
+        blames_machine = job->failures < policy_.quarantine_errors;
         ++job->failures;
-        if (!counts) {
+        if (!blames_machine) {
             double steps = std::min(6.0, job->failures - policy_.quarantine_errors);
             job->backoff_until = now + settings_.heartbeat_interval_s * std::pow(2.0, steps);
         }
     }
     if (job->spec.kind == JobKind::gang) {
-        gang_scheduler_.on_task_gone(now, *job, why);
+        gang_scheduler_.on_task_gone(now, *job, reason);
     }
-    forget_if_over(task.job);
-    return counts;
+    remove_job_if_cancelled(task.job);
+    return blames_machine;
 }
 
-// Tasks that an earlier leader started come to light through the inventory in a heartbeat. Only one
-// under our fencing token counts: a heartbeat that comes late, of a machine that was released long
-// ago or of one that has since ended the task, cannot show it. Once such a heartbeat was believed
-// by a leader that had just started and no longer knew the machine; the true placements of its
-// tasks were then taken for unexpected ones, and the tasks started again while they ran.
+// Adopts the tasks that the machine reported and an earlier leader started. Only inventories under
+// this leader's fencing token are used: a delayed heartbeat, of a machine that was released long
+// ago or that has ended the task since, cannot have this token. Without this check, a leader that
+// had just started and did not know the machine adopted the tasks of such a heartbeat; the real
+// placements of these tasks were then treated as unexpected, and the tasks were started again while
+// they were running.
 void PartitionLeader::adopt_reported(Time now, Machine& machine) {
     if (!failover_.loaded() || !machine.fenced) {
         return;
     }
-    std::vector<TaskStatus> listed = std::move(machine.unexpected);
+    std::vector<TaskStatus> reported = std::move(machine.unexpected);
     machine.unexpected.clear();
-    for (const auto& status : listed) {
+    for (const auto& status : reported) {
         if (leadership_.is_own_attempt(status.attempt)) {
             adopt_own(now, machine, status);
         } else if (status.stage == TaskStage::exited) {
-            machine.finished.push_back(status); // until its job's leader says its end is durable
+            machine.finished.push_back(status); // until the job's leader reports the exit durable
         } else if (machine.tasks.contains(status.task)) {
             machine.unexpected.push_back(status);
         } else {
@@ -299,10 +307,12 @@
     }
 }
 
+// Handles a reported task of this partition that has no placement on the machine: adopts it if it
+// may continue, and otherwise keeps its status so that it is stopped or cleared.
 void PartitionLeader::adopt_own(Time now, Machine& machine, const TaskStatus& status) {
     Job* job = jobs_.find(status.task.job);
     if (borrower_.adopt_local(status.task, status.attempt, machine.name)) {
-        // It ran on a borrowed slot, and the machine's shard has migrated to us.
+        // It ran on a borrowed slot, and the machine's shard has migrated to this partition.
         if (!job || status.stage == TaskStage::exited) {
             machine.finished.push_back(status);
             on_remote_exit(now, status.task, status.exit_reason, machine.zone);
@@ -315,19 +325,19 @@
         machine.unexpected.push_back(status);
         return;
     }
-    bool waits =
+    bool is_waiting =
         job->tasks[status.task.index] == TaskState::waiting && !machine.tasks.contains(status.task);
     if (status.stage == TaskStage::exited) {
         if (status.exit_reason == ExitReason::done && job->open()) {
             machine.finished.push_back(status); // cleared once durable
-            if (waits) {
+            if (is_waiting) {
                 on_found_done(now, *job, status.task.index);
             }
         } else {
             machine.unexpected.push_back(status);
         }
-    } else if (waits && (job->spec.kind != JobKind::gang ||
-                         gangs_.adopt(now, status.task.job, status.attempt))) {
+    } else if (is_waiting && (job->spec.kind != JobKind::gang ||
+                              gangs_.adopt(now, status.task.job, status.attempt))) {
         MachineTable::adopt(now, machine, status, placement_for(job->spec));
         jobs_.mark_placed(*job, status.task.index, machine.zone);
         quotas_.add_usage(job->spec.team, job->spec.cpus, job->spec.gpus);
@@ -342,27 +352,28 @@
            (status.task.index < job->spec.tasks && jobs_.is_durable(*job, status.task.index));
 }
 
-// For a heartbeat that corrective commands are too early or too late for: one that is not the
-// newest, of a machine that has not shown our fencing token, or before the jobs are read. Nothing
-// but tasks of cancelled jobs is stopped then, but these are, or a machine that comes back from a
-// network partition for a single heartbeat would keep them for two leases.
-void PartitionLeader::stop_cancelled(const Heartbeat& heartbeat,
-                                     std::vector<WorkerCommand>& out) const {
+// Adds stops for the reported tasks of cancelled jobs. Used when corrective commands are not
+// possible: the heartbeat is not the newest, the machine has not confirmed the fencing token, or
+// the jobs are not loaded yet. Tasks of cancelled jobs are stopped even then; otherwise a machine
+// that returns from a network partition for a single heartbeat would keep them for two leases.
+void PartitionLeader::add_cancellation_stops(const Heartbeat& heartbeat,
+                                             std::vector<WorkerCommand>& out) const {
     for (const auto& status : heartbeat.tasks) {
-        if (status.stage != TaskStage::exited && out.size() < kMostCommands &&
+        if (status.stage != TaskStage::exited && out.size() < kMaxCommandsPerResponse &&
             job_cache_.outcome(status.task.job) == Outcome::cancelled) {
             out.push_back({CommandType::stop, status.task, status.attempt, 0});
         }
     }
 }
 
-// Clears and stops for what is on the machine and should not be, all jobs being known and the
-// machine fenced: else it may be a job's rightful task. Both can be repeated.
+// Adds clears and stops for tasks that should not be on the machine. Requires that all jobs are
+// loaded and the machine is fenced; otherwise such a task could be a valid one. Clears and stops
+// are idempotent.
 void PartitionLeader::add_corrective_commands(Machine& machine, std::vector<WorkerCommand>& out) {
-    machine.forget_remote_commands();
+    machine.drop_obsolete_remote_commands();
     add_clears(machine, out);
     for (const auto& status : machine.unexpected) {
-        if (out.size() >= kMostCommands) {
+        if (out.size() >= kMaxCommandsPerResponse) {
             break;
         }
         bool exited = status.stage == TaskStage::exited;
@@ -371,34 +382,37 @@
     }
     for (const auto& [task, placement] : machine.tasks) {
         std::optional<double> grace_s = stop_grace_s(machine, task, placement);
-        if (grace_s && placement.via == Placement::Via::reported && out.size() < kMostCommands) {
+        if (grace_s && placement.launch_state == Placement::LaunchState::reported &&
+            out.size() < kMaxCommandsPerResponse) {
             out.push_back({CommandType::stop, task, placement.attempt, *grace_s});
         }
     }
 }
 
-// Clears for the exited tasks whose end is durable: here, or with the leader that placed them.
+// Adds clears for the exited tasks whose exit is durable, as recorded here or, for remote tasks, by
+// the leader that placed them.
 void PartitionLeader::add_clears(const Machine& machine, std::vector<WorkerCommand>& out) {
     for (const auto& status : machine.finished) {
         bool remote = !leadership_.is_own_attempt(status.attempt);
         bool durable =
             remote ? machine.remote_clears.contains(launch_id(status.attempt, status.task.index))
                    : end_is_durable(status);
-        if (durable && out.size() < kMostCommands) {
+        if (durable && out.size() < kMaxCommandsPerResponse) {
             out.push_back({CommandType::clear, status.task, status.attempt, 0});
         }
     }
 }
 
-// How long the task may take to save its work if it is to be stopped; none: it goes on.
+// Returns the grace time for the task to save its work, in seconds, or nullopt if the task is not
+// to be stopped.
 std::optional<double> PartitionLeader::stop_grace_s(const Machine& machine, const TaskId& task,
                                                     const Placement& placement) {
     if (!leadership_.is_own_attempt(placement.attempt)) {
         if (jobs_.final_outcome(task.job) == Outcome::cancelled) {
             return 0;
         }
-        auto told = machine.remote_stops.find(launch_id(placement.attempt, task.index));
-        return told != machine.remote_stops.end() ? std::optional<double>(told->second)
+        auto stop = machine.remote_stops.find(launch_id(placement.attempt, task.index));
+        return stop != machine.remote_stops.end() ? std::optional<double>(stop->second)
                                                   : std::nullopt;
     }
     const Job* job = jobs_.find(task.job);
@@ -406,7 +420,7 @@
         return 0;
     }
     if (job->spec.kind == JobKind::service && (machine.draining || machine.cordoned)) {
-        // Replicas move off a machine that is to go; a task of an array may end there.
+        // Replicas are moved off a machine that will be released. Array tasks may finish there.
         return job->spec.save_s;
     }
     if (job->spec.kind == JobKind::gang) {
@@ -422,15 +436,15 @@
     if (!leadership_.is_active(now) || !staleness_.is_fresh(now)) {
         return;
     }
-    int room = settings_.max_concurrent_commands - commands_in_flight_;
+    int available = settings_.max_concurrent_commands - commands_in_flight_;
     for (Machine* sendable :
-         machines_.machines_with_commands(static_cast<std::size_t>(std::max(0, room)))) {
+         machines_.machines_with_commands(static_cast<std::size_t>(std::max(0, available)))) {
         const std::string& name = sendable->name;
         ++effort_;
         std::uint64_t token = sendable->fencing_token();
-        auto commands = machines_.send_directly(*sendable);
+        auto commands = machines_.take_commands_for_request(*sendable);
         ++commands_in_flight_;
-        OutboundRequestId call = requests_.send(
+        OutboundRequestId request_id = requests_.send(
             WorkerCommands{name, sendable->endpoint, token, sendable->agent_epoch, commands},
             [this, name = name](Time at, OutboundResponse& response) {
                 --commands_in_flight_;
@@ -450,13 +464,13 @@
                 schedule_on(at, *machine);
                 send_commands(at);
             });
-        machines_.on_sent_directly(*sendable, commands, call);
+        machines_.on_commands_sent(*sendable, commands, request_id);
     }
 }
 
 void PartitionLeader::expire_leases(Time now) {
     for (Machine* machine : machines_.expired_machines(now)) {
-        // While a shard may be another partition's, that one may renew the leases there.
+        // If the shard may have moved to another partition, its leader may be renewing the leases.
         if ((!machine->reporting && machine->tasks.empty()) ||
             !owned_shards_.may_serve(machine->shard)) {
             continue;
@@ -496,9 +510,9 @@
         ids.push_back(id);
     }
     for (const auto& id : ids) {
-        forget_if_over(id);
+        remove_job_if_cancelled(id);
     }
-    // A gang attempt of an earlier leader goes on if it is whole, and is ended if not.
+    // A gang attempt of an earlier leader continues if it is complete, and is ended otherwise.
     for (const auto& id : ids) {
         const Job* job = jobs_.find(id);
         if (job && job->open() && job->placed > 0 && !job->waiting.empty()) {
@@ -516,14 +530,14 @@
     borrower_.sync_due_peers(now);
 }
 
-// ---- Delegates of the classes that it wires ----
+// ---- Implementations of the delegate interfaces ----
 
-void PartitionLeader::on_remote_exit(Time now, const TaskId& task, ExitReason why,
+void PartitionLeader::on_remote_exit(Time now, const TaskId& task, ExitReason reason,
                                      const std::string& zone) {
     if (Job* job = jobs_.find(task.job)) {
         quotas_.remove_usage(job->spec.team, job->spec.cpus, job->spec.gpus);
     }
-    on_task_gone(now, task, why, zone);
+    on_own_task_gone(now, task, reason, zone);
 }
 
 void PartitionLeader::on_found_done(Time now, Job& job, std::uint32_t task) {
@@ -546,8 +560,9 @@
 }
 
 bool PartitionLeader::has_schedulable_tasks(Time now, const Job& job) const {
-    // After an outage for all, a leader whose leadership had outlived it once started replicas of a
-    // job that had been cancelled before, until the first response of its watch.
+    // Without the staleness check, a leader whose leadership had outlasted a cluster-wide outage of
+    // the store started replicas of a job that was cancelled before, until the first response of
+    // its watch.
     return staleness_.is_fresh(now) &&
            (failover_.reconciled() || (failover_.loaded() && !job.in_doubt)) && job.open() &&
            !job.waiting.empty() && now >= job.backoff_until &&
@@ -579,16 +594,17 @@
     slots_.forget(name);
     reconciliation_.on_inventory(machine);
     lender_.on_machine_removed(machine);
-    bool on_roster = machine.registered || machine.registration_pending;
+    bool in_registry = machine.registered || machine.registration_pending;
     int home = machine.shard.home_partition;
     std::string zone = machine.zone;
-    for (const auto& g : machines_.remove(name)) {
-        if (leadership_.is_own_attempt(g.placement.attempt)) {
-            quotas_.remove_usage(g.placement.team, g.placement.cpus, g.placement.gpus);
-            on_task_gone(now, g.task, ExitReason::none, zone);
+    for (const auto& removed : machines_.remove(name)) {
+        if (leadership_.is_own_attempt(removed.placement.attempt)) {
+            quotas_.remove_usage(removed.placement.team, removed.placement.cpus,
+                                 removed.placement.gpus);
+            on_own_task_gone(now, removed.task, ExitReason::none, zone);
         }
     }
-    if (on_roster) {
+    if (in_registry) {
         registry_.remove(now, home, name);
     }
 }
@@ -603,8 +619,9 @@
     send_commands(now);
 }
 
-// A task that ended here would be run again if the machine went before its job's leader has heard
-// of the end, which takes no longer than a peer sync or two. A silent machine is not waited for.
+// If the machine were released before the leader of a remote task's job learned of the task's exit,
+// the task would be run again. The leader learns of it within one or two peer syncs. A machine
+// whose heartbeats are late is not waited for.
 bool PartitionLeader::has_unacked_exits(Time now, const Machine& machine) const {
     return machine.reporting && now - machine.last_heartbeat < 2 * settings_.heartbeat_interval_s &&
            machine.empty() && lender_.has_unacked_exits(machine);
@@ -626,7 +643,7 @@
         queue_.on_job_done(job->spec);
     }
     jobs_.record_outcome(id, Outcome::done);
-    drop_job(id);
+    remove_job(id);
 }
 
 void PartitionLeader::on_outcome_found(Time now, const std::string& id, Outcome outcome) {
@@ -634,34 +651,36 @@
         cancel_job(now, id);
     } else if (outcome == Outcome::done) {
         jobs_.record_outcome(id, Outcome::done);
-        drop_job(id);
+        remove_job(id);
     }
 }
 
 void PartitionLeader::cancel_job(Time now, const std::string& id) {
     if (failover_.loaded() && !jobs_.find(id)) {
-        // Its remote tasks here are to stop, and it never starts.
+        // The job is not known here: its remote tasks on these machines are stopped, and it is
+        // never started.
         jobs_.record_outcome(id, Outcome::cancelled);
     } else if (jobs_.cancel(id)) {
         requests_.log(LogLevel::info, "event=job_cancelled job=" + id);
-        borrower_.stop_job(id, 0); // on other partitions' machines, by their leaders
-        // Starts that have not been sent yet are never sent.
-        for (auto& [name, m] : machines_.all()) {
-            for (const auto& g : machines_.cancel_queued_starts(m, &id)) {
-                quotas_.remove_usage(g.placement.team, g.placement.cpus, g.placement.gpus);
-                jobs_.mark_waiting(*jobs_.find(id), g.task.index, m.zone);
-                update_slot_lists(m);
+        borrower_.stop_job(id, 0); // tasks on borrowed slots, through the lenders
+        // Starts that have not been sent yet are dropped.
+        for (auto& [name, machine] : machines_.all()) {
+            for (const auto& removed : machines_.cancel_queued_starts(machine, &id)) {
+                quotas_.remove_usage(removed.placement.team, removed.placement.cpus,
+                                     removed.placement.gpus);
+                jobs_.mark_waiting(*jobs_.find(id), removed.task.index, machine.zone);
+                update_slot_lists(machine);
             }
-            stop_at_once(m, id);
+            queue_immediate_stops(machine, id);
         }
         send_commands(now);
     }
-    forget_if_over(id);
+    remove_job_if_cancelled(id);
 }
 
-// A task whose image is still being fetched would start before the next heartbeat's response
-// brings its stop.
-void PartitionLeader::stop_at_once(Machine& machine, const std::string& job) {
+// Queues a direct stop of each of the job's tasks on the machine. If the stop were only sent in the
+// next heartbeat response, a task whose image is still being fetched could start before.
+void PartitionLeader::queue_immediate_stops(Machine& machine, const std::string& job) {
     for (auto it = machine.tasks.lower_bound({job, 0});
          it != machine.tasks.end() && it->first.job == job; ++it) {
         if (leadership_.is_own_attempt(it->second.attempt)) {
@@ -670,18 +689,18 @@
     }
 }
 
-// The pending queue may point to the job.
-void PartitionLeader::drop_job(const std::string& id) {
+// Clears the pending queue as well, since it may hold a pointer to the job.
+void PartitionLeader::remove_job(const std::string& id) {
     queue_.clear();
     gangs_.on_attempt_gone(id);
     jobs_.drop(id);
 }
 
-void PartitionLeader::forget_if_over(const std::string& id) {
+void PartitionLeader::remove_job_if_cancelled(const std::string& id) {
     Job* job = jobs_.find(id);
     if (job && failover_.reconciled() && job->outcome == Outcome::cancelled && job->placed == 0) {
         jobs_.record_outcome(id, Outcome::cancelled);
-        drop_job(id);
+        remove_job(id);
     }
 }
 
@@ -690,7 +709,7 @@
 void PartitionLeader::apply_quota(Time now, const TeamQuota& quota) {
     quotas_.configure(quota, quota_config_.is_blocked(quota.name));
     if (!own_teams_.contains(quota.name)) {
-        return; // another partition's team: its usage is counted there
+        return; // the team belongs to another partition, which counts its usage
     }
     quota_evictor_.mark_over_guarantee(quota.name);
     queue_.invalidate();
@@ -706,8 +725,8 @@
     borrower_.sync_due_peers(now);
 }
 
-// Whether the configuration that earlier leaders applied is known, and recent enough to start tasks
-// by.
+// Updates whether the quota configuration that earlier leaders applied is known here, and is recent
+// enough to start tasks under it.
 void PartitionLeader::refresh_quota_config(Time now) {
     if (bool known = quota_config_.is_known(now, leadership_.since());
         known != quota_config_known_) {
@@ -717,9 +736,9 @@
     }
 }
 
-// ---- Figures ----
+// ---- Statistics ----
 
-// Where this partition's slots are, and what is pending: a line every few heartbeats.
+// Logs how this partition's slots are used and what is pending, once every two heartbeat intervals.
 void PartitionLeader::log_stats(Time now) {
     double total = 0;
     double running = 0;
@@ -727,65 +746,66 @@
     double sent = 0;
     double idle = 0;
     double gathering = 0;
-    double closed = 0; // on machines that take nothing
-    int up = 0;
-    auto taken = [](const InstanceType& type, const Placement& placement) {
+    double closed = 0; // idle, on machines that accept no tasks
+    int reporting = 0;
+    auto slots_used = [](const InstanceType& type, const Placement& placement) {
         return type.gpus > 0 ? placement.gpus : placement.cpus;
     };
-    for (const auto& [name, m] : machines_.all()) {
-        if (!m.reporting) {
+    for (const auto& [name, machine] : machines_.all()) {
+        if (!machine.reporting) {
             continue;
         }
-        ++up;
-        total += m.type.slots();
-        for (const auto& [task, p] : m.tasks) {
-            bool listed = p.via == Placement::Via::reported;
-            (!listed                          ? sent
-             : p.stage == TaskStage::fetching ? fetching
-             : p.stage == TaskStage::waiting  ? gathering
-                                              : running) += taken(m.type, p);
+        ++reporting;
+        total += machine.type.slots();
+        for (const auto& [task, placement] : machine.tasks) {
+            bool reported = placement.launch_state == Placement::LaunchState::reported;
+            (!reported                                ? sent
+             : placement.stage == TaskStage::fetching ? fetching
+             : placement.stage == TaskStage::waiting  ? gathering
+                                                      : running) +=
+                slots_used(machine.type, placement);
         }
-        for (const auto& [attempt, lot] : m.lent_slots) {
-            sent += taken(m.type, lot.placement);
+        for (const auto& [attempt, lent] : machine.lent_slots) {
+            sent += slots_used(machine.type, lent.placement);
         }
-        (slot_finder_.is_schedulable(m) ? idle : closed) += m.free_slots();
+        (slot_finder_.is_schedulable(machine) ? idle : closed) += machine.free_slots();
     }
     std::size_t waiting = 0;
     for (const auto& [id, job] : jobs_.all()) {
         waiting += job->open() ? job->waiting.size() : 0;
     }
-    if (up == 0 && jobs_.all().empty()) {
+    if (reporting == 0 && jobs_.all().empty()) {
         return;
     }
-    auto count = [](double d) { return std::to_string(std::llround(d)); };
+    auto count = [](double slots) { return std::to_string(std::llround(slots)); };
     requests_.log(LogLevel::info,
                   "event=partition_sampled partition=" + std::to_string(leadership_.partition()) +
-                      " machines=" + std::to_string(up) + " slots=" + count(total) +
+                      " machines=" + std::to_string(reporting) + " slots=" + count(total) +
                       " running=" + count(running) + " fetching=" + count(fetching) +
                       " gathering=" + count(gathering) + " sent=" + count(sent) +
                       " idle=" + count(idle) + " closed=" + count(closed) + " jobs=" +
                       std::to_string(jobs_.all().size()) + " waiting=" + std::to_string(waiting));
     if (autoscaler_.is_provisioner()) {
-        ClusterDemand all = demand_.cluster_demand(now);
+        ClusterDemand cluster = demand_.cluster_demand(now);
         requests_.log(LogLevel::info, "event=capacity_sampled wants_on_demand=" +
-                                          count(all.demand.on_demand_slots) +
-                                          " wants_any=" + count(all.demand.any_kind_slots) +
-                                          " has_ordinary=" + count(all.on_demand_slots) +
-                                          " has_spot=" + count(all.spot_slots));
+                                          count(cluster.demand.on_demand_slots) +
+                                          " wants_any=" + count(cluster.demand.any_kind_slots) +
+                                          " has_ordinary=" + count(cluster.on_demand_slots) +
+                                          " has_spot=" + count(cluster.spot_slots));
     }
 }
 
-// ---- Time ----
+// ---- Timer ----
 
-void PartitionLeader::tick(Time now, double capacity, bool may_move) {
+void PartitionLeader::tick(Time now, double cpu_headroom, bool may_migrate) {
     failover_.retry_failed_loads(now);
     if (!failover_.loaded() || !leadership_.is_active(now)) {
         return;
     }
-    if (bool knows = staleness_.is_fresh(now); knows != was_fresh_) {
-        was_fresh_ = knows;
+    if (bool known = staleness_.is_fresh(now); known != were_cancellations_known_) {
+        were_cancellations_known_ = known;
         requests_.log(LogLevel::info, std::string("event=cancellations_") +
-                                          (knows ? "known" : "not_known") +
+                                          (known ? "known" : "not_known") +
                                           " partition=" + std::to_string(leadership_.partition()));
     }
     refresh_quota_config(now);
@@ -809,17 +829,18 @@
     }
     job_persistence_.persist_completed_tasks(now);
     autoscaler_.list_instances(now);
-    if (now >= next_stats_) {
-        next_stats_ = now + 2 * settings_.heartbeat_interval_s;
+    if (now >= next_stats_at_) {
+        next_stats_at_ = now + 2 * settings_.heartbeat_interval_s;
         log_stats(now);
     }
-    if (autoscaler_.due(now)) {
-        demand_.set_local_state(capacity, shard_manager_.accepts_shards(now));
-        ClusterDemand all = demand_.cluster_demand(now);
-        queue_.update_load(now, all.on_demand_slots + all.spot_slots, all.demand.remaining_slot_s);
+    if (autoscaler_.is_run_due(now)) {
+        demand_.set_local_state(cpu_headroom, shard_manager_.accepts_shards(now));
+        ClusterDemand cluster = demand_.cluster_demand(now);
+        queue_.update_load(now, cluster.on_demand_slots + cluster.spot_slots,
+                           cluster.demand.remaining_slot_s);
         autoscaler_.run(now, reconciliation_.all_reconciled() &&
                                  now - leadership_.since() > machines_.max_lease_s());
-        if (may_move) {
+        if (may_migrate) {
             shard_manager_.balance(now);
         }
     }
