--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -4,25 +4,25 @@
 namespace scheduler::wire {
 
 namespace {
-Heartbeat report_of(const Fields& f) {
+Heartbeat unpack_heartbeat(const Fields& fields) {
     Heartbeat heartbeat;
-    heartbeat.machine = short_text(f, "pot");
-    heartbeat.endpoint = short_text(f, "endpoint");
-    heartbeat.type = short_text(f, "bench");
-    heartbeat.zone = short_text(f, "house");
-    heartbeat.spot = f.flag("cuttings");
-    heartbeat.agent_epoch = f.integer("season");
-    heartbeat.sequence = f.integer("tick");
-    heartbeat.fencing_token = f.integer("warrant");
-    heartbeat.preemption_notice_s = f.maybe_amount("frost_s");
-    for (const auto* item : f.list("petals")) {
-        Fields t(*item);
+    heartbeat.machine = short_text(fields, "pot");
+    heartbeat.endpoint = short_text(fields, "endpoint");
+    heartbeat.type = short_text(fields, "bench");
+    heartbeat.zone = short_text(fields, "house");
+    heartbeat.spot = fields.flag("cuttings");
+    heartbeat.agent_epoch = fields.integer("season");
+    heartbeat.sequence = fields.integer("tick");
+    heartbeat.fencing_token = fields.integer("warrant");
+    heartbeat.preemption_notice_s = fields.optional_amount("frost_s");
+    for (const auto* item : fields.list("petals")) {
+        Fields task_fields(*item);
         TaskStatus status;
-        status.task = task_of(t.text("petal"));
-        status.attempt = t.integer("sowing");
-        status.stage = enum_of<TaskStage>(t.text("stage"), kStages, "stage");
-        if (auto why = t.maybe_text("wilt")) {
-            status.exit_reason = enum_of<ExitReason>(*why, kWhys, "wilt");
+        status.task = parse_task_id(task_fields.text("petal"));
+        status.attempt = task_fields.integer("sowing");
+        status.stage = parse_enum<TaskStage>(task_fields.text("stage"), kTaskStageNames, "stage");
+        if (auto exit_reason = task_fields.optional_text("wilt")) {
+            status.exit_reason = parse_enum<ExitReason>(*exit_reason, kExitReasonNames, "wilt");
         }
         if (status.stage == TaskStage::exited && status.exit_reason == ExitReason::none) {
             throw MessageError("wilt: missing");
@@ -32,217 +32,220 @@
     return heartbeat;
 }
 
-std::string packed(const msgpack::sbuffer& b) { return {b.data(), b.size()}; }
+std::string buffer_to_string(const msgpack::sbuffer& buffer) {
+    return {buffer.data(), buffer.size()};
+}
 
-void pack_commands(Packer& p, const std::vector<WorkerCommand>& commands) {
-    key(p, "tending");
-    p.pack_array(static_cast<std::uint32_t>(commands.size()));
+void pack_commands(Packer& packer, const std::vector<WorkerCommand>& commands) {
+    pack_key(packer, "tending");
+    packer.pack_array(static_cast<std::uint32_t>(commands.size()));
     for (const auto& command : commands) {
-        p.pack_map(command.type == CommandType::stop ? 4 : 3);
-        field(p, "chore", name_of(command.type, kOps));
-        field(p, "petal", to_string(command.task));
-        field(p, "sowing", command.attempt);
+        packer.pack_map(command.type == CommandType::stop ? 4 : 3);
+        pack_field(packer, "chore", enum_name(command.type, kCommandTypeNames));
+        pack_field(packer, "petal", to_string(command.task));
+        pack_field(packer, "sowing", command.attempt);
         if (command.type == CommandType::stop) {
-            field(p, "wither_s", command.grace_s);
+            pack_field(packer, "wither_s", command.grace_s);
         }
     }
 }
 
-std::string escaped(const std::string& s) {
+std::string percent_encode(const std::string& text) {
     static constexpr char kHex[] = "0123456789ABCDEF";
-    std::string out;
-    for (unsigned char c : s) {
+    std::string encoded;
+    for (unsigned char c : text) {
         if (std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == '/') {
-            out.push_back(static_cast<char>(c));
+            encoded.push_back(static_cast<char>(c));
         } else {
-            out += '%';
-            out += kHex[c >> 4];
-            out += kHex[c & 15];
+            encoded += '%';
+            encoded += kHex[c >> 4];
+            encoded += kHex[c & 15];
         }
     }
-    return out;
+    return encoded;
 }
 
-KeyedRecord item_of(const Fields& f, const std::string& key) {
-    return {key, record_of(key, f.need("data")), f.integer("graft")};
+KeyedRecord unpack_keyed_record(const Fields& fields, const std::string& key) {
+    return {key, unpack_record(key, fields.required("data")), fields.integer("graft")};
 }
 
-Instance host_of(const Fields& f) {
+Instance unpack_instance(const Fields& fields) {
     Instance instance;
-    instance.name = f.text("uid");
-    instance.endpoint = f.maybe_text("endpoint").value_or("");
-    instance.type = f.text("bench");
-    instance.zone = f.text("house");
-    instance.spot = f.flag("cuttings");
-    instance.state = enum_of<InstanceState>(f.text("stage"), kHostStages, "stage");
-    instance.age_s = f.amount("held_s");
+    instance.name = fields.text("uid");
+    instance.endpoint = fields.optional_text("endpoint").value_or("");
+    instance.type = fields.text("bench");
+    instance.zone = fields.text("house");
+    instance.spot = fields.flag("cuttings");
+    instance.state = parse_enum<InstanceState>(fields.text("stage"), kInstanceStateNames, "stage");
+    instance.age_s = fields.amount("held_s");
     return instance;
 }
 
 } // namespace
 
 Heartbeat parse_heartbeat(const std::string& body) {
-    auto handle = unpack(body);
-    return report_of(Fields(handle.get()));
+    auto handle = unpack_body(body);
+    return unpack_heartbeat(Fields(handle.get()));
 }
 
 std::string encode_response(const ResponseBody& body) {
     msgpack::sbuffer buffer;
-    Packer p(buffer);
+    Packer packer(buffer);
     if (const auto* job = std::get_if<JobStatusBody>(&body)) {
-        p.pack_map(2 + (job->done ? 1 : 0) + (job->running ? 1 : 0));
-        field(p, "uid", job->id);
-        field(p, "stage", job->stage == "cancelled" ? std::string("aborted") : job->stage);
+        packer.pack_map(2 + (job->done ? 1 : 0) + (job->running ? 1 : 0));
+        pack_field(packer, "uid", job->id);
+        pack_field(packer, "stage",
+                   job->stage == "cancelled" ? std::string("aborted") : job->stage);
         if (job->done) {
-            field(p, "done", *job->done);
+            pack_field(packer, "done", *job->done);
         }
         if (job->running) {
-            field(p, "running", *job->running);
+            pack_field(packer, "running", *job->running);
         }
-    } else if (const auto* report = std::get_if<HeartbeatBody>(&body)) {
-        p.pack_map(2);
-        field(p, "warrant", report->fencing_token);
-        pack_commands(p, report->commands);
+    } else if (const auto* heartbeat = std::get_if<HeartbeatBody>(&body)) {
+        packer.pack_map(2);
+        pack_field(packer, "warrant", heartbeat->fencing_token);
+        pack_commands(packer, heartbeat->commands);
     } else if (const auto* redirect = std::get_if<LeaderRedirect>(&body)) {
-        p.pack_map(redirect->node.empty() ? 0 : 1);
+        packer.pack_map(redirect->node.empty() ? 0 : 1);
         if (!redirect->node.empty()) {
-            field(p, "gardener", redirect->node);
+            pack_field(packer, "gardener", redirect->node);
         }
-    } else if (const auto* exchange = std::get_if<PeerSyncResponse>(&body)) {
-        pack_peer_sync_response(p, *exchange);
-    } else if (const auto* promise = std::get_if<LeaseExtensionResponse>(&body)) {
-        pack_lease_extension_response(p, *promise);
-    } else if (const auto* standing = std::get_if<QuotaStatus>(&body)) {
-        pack_quota_status(p, *standing);
+    } else if (const auto* peer_sync = std::get_if<PeerSyncResponse>(&body)) {
+        pack_peer_sync_response(packer, *peer_sync);
+    } else if (const auto* extension = std::get_if<LeaseExtensionResponse>(&body)) {
+        pack_lease_extension_response(packer, *extension);
+    } else if (const auto* quota_status = std::get_if<QuotaStatus>(&body)) {
+        pack_quota_status(packer, *quota_status);
     } else {
-        p.pack_map(1);
-        field(p, "error", std::get<TextBody>(body).text);
+        packer.pack_map(1);
+        pack_field(packer, "error", std::get<TextBody>(body).text);
     }
-    return packed(buffer);
+    return buffer_to_string(buffer);
 }
 
-HttpRequest encode_request(const OutboundBody& call) {
-    HttpRequest out;
+HttpRequest encode_request(const OutboundBody& request) {
+    HttpRequest http;
     msgpack::sbuffer buffer;
-    Packer p(buffer);
-    if (const auto* get = std::get_if<StoreGet>(&call)) {
-        out.method = "GET";
-        out.path = "/kv/" + escaped(get->key);
-    } else if (const auto* range = std::get_if<StoreRange>(&call)) {
-        out.method = "GET";
-        out.path = "/kv?starts=" + escaped(range->prefix) + "&limit=1000";
+    Packer packer(buffer);
+    if (const auto* get = std::get_if<StoreGet>(&request)) {
+        http.method = "GET";
+        http.path = "/kv/" + percent_encode(get->key);
+    } else if (const auto* range = std::get_if<StoreRange>(&request)) {
+        http.method = "GET";
+        http.path = "/kv?starts=" + percent_encode(range->prefix) + "&limit=1000";
         if (!range->after.empty()) {
-            out.path += "&since=" + escaped(range->after);
+            http.path += "&since=" + percent_encode(range->after);
         }
-    } else if (const auto* transaction = std::get_if<StoreTransaction>(&call)) {
-        out.method = "POST";
-        out.path = "/txn";
-        p.pack_map(2);
-        key(p, "when");
-        p.pack_array(static_cast<std::uint32_t>(transaction->conditions.size()));
+    } else if (const auto* transaction = std::get_if<StoreTransaction>(&request)) {
+        http.method = "POST";
+        http.path = "/txn";
+        packer.pack_map(2);
+        pack_key(packer, "when");
+        packer.pack_array(static_cast<std::uint32_t>(transaction->conditions.size()));
         for (const auto& condition : transaction->conditions) {
-            p.pack_map(2);
-            field(p, "key", condition.key);
-            field(p, "graft", condition.version);
+            packer.pack_map(2);
+            pack_field(packer, "key", condition.key);
+            pack_field(packer, "graft", condition.version);
         }
-        key(p, "then");
-        p.pack_array(static_cast<std::uint32_t>(transaction->writes.size()));
-        for (const auto& c : transaction->writes) {
-            if (!c.value) {
-                p.pack_map(1);
-                field(p, "drop", c.key);
+        pack_key(packer, "then");
+        packer.pack_array(static_cast<std::uint32_t>(transaction->writes.size()));
+        for (const auto& write : transaction->writes) {
+            if (!write.value) {
+                packer.pack_map(1);
+                pack_field(packer, "drop", write.key);
                 continue;
             }
-            p.pack_map(c.lease ? 3 : 2);
-            field(p, "set", c.key);
-            key(p, "data");
-            pack_record(p, *c.value);
-            if (c.lease) {
-                field(p, "lease", *c.lease);
+            packer.pack_map(write.lease ? 3 : 2);
+            pack_field(packer, "set", write.key);
+            pack_key(packer, "data");
+            pack_record(packer, *write.value);
+            if (write.lease) {
+                pack_field(packer, "lease", *write.lease);
             }
         }
-    } else if (const auto* grant = std::get_if<StoreLeaseGrant>(&call)) {
-        out.method = "POST";
-        out.path = "/holds";
-        p.pack_map(1);
-        field(p, "ttl_ms", static_cast<std::uint64_t>(grant->ttl_s * 1000));
-    } else if (const auto* renew = std::get_if<StoreLeaseRenewal>(&call)) {
-        out.method = "POST";
-        out.path = "/holds/" + std::to_string(renew->lease) + "/renew";
-        p.pack_map(0);
-    } else if (const auto* watch = std::get_if<StoreWatch>(&call)) {
-        out.method = "GET";
-        out.path = "/changes?starts=" + escaped(watch->prefix) +
-                   "&since=" + std::to_string(watch->from_revision) +
-                   "&wait_ms=" + std::to_string(static_cast<int>(watch->wait_s * 1000));
-        out.wait_s = watch->wait_s;
-    } else if (std::holds_alternative<ListInstanceTypes>(call)) {
-        out.service = Service::cloud;
-        out.method = "GET";
-        out.path = "/catalog";
-    } else if (const auto* list = std::get_if<ListInstances>(&call)) {
-        out.service = Service::cloud;
-        out.method = "GET";
-        out.path = "/hosts?limit=500";
+    } else if (const auto* grant = std::get_if<StoreLeaseGrant>(&request)) {
+        http.method = "POST";
+        http.path = "/holds";
+        packer.pack_map(1);
+        pack_field(packer, "ttl_ms", static_cast<std::uint64_t>(grant->ttl_s * 1000));
+    } else if (const auto* renew = std::get_if<StoreLeaseRenewal>(&request)) {
+        http.method = "POST";
+        http.path = "/holds/" + std::to_string(renew->lease) + "/renew";
+        packer.pack_map(0);
+    } else if (const auto* watch = std::get_if<StoreWatch>(&request)) {
+        http.method = "GET";
+        http.path = "/changes?starts=" + percent_encode(watch->prefix) +
+                    "&since=" + std::to_string(watch->from_revision) +
+                    "&wait_ms=" + std::to_string(static_cast<int>(watch->wait_s * 1000));
+        http.wait_s = watch->wait_s;
+    } else if (std::holds_alternative<ListInstanceTypes>(request)) {
+        http.service = Service::cloud;
+        http.method = "GET";
+        http.path = "/catalog";
+    } else if (const auto* list = std::get_if<ListInstances>(&request)) {
+        http.service = Service::cloud;
+        http.method = "GET";
+        http.path = "/hosts?limit=500";
         if (!list->after.empty()) {
-            out.path += "&since=" + escaped(list->after);
+            http.path += "&since=" + percent_encode(list->after);
         }
-    } else if (const auto* order = std::get_if<ScaleOut>(&call)) {
-        out.service = Service::cloud;
-        out.method = "POST";
-        out.path = "/hosts";
-        p.pack_map(5);
-        field(p, "order", order->order_id);
-        field(p, "bench", order->type);
-        field(p, "house", order->zone);
-        field(p, "cuttings", order->spot);
-        field(p, "count", order->count);
-    } else if (const auto* release = std::get_if<ScaleIn>(&call)) {
-        out.service = Service::cloud;
-        out.method = "POST";
-        out.path = "/hosts/release";
-        p.pack_map(1);
-        field(p, "pots", release->machines);
-    } else if (const auto* peer = std::get_if<PeerSyncCall>(&call)) {
-        out.service = Service::peer;
-        out.method = "POST";
-        out.path = kPeerSyncPath;
-        out.endpoint = peer->node;
-        pack_peer_sync_request(p, peer->sync);
-    } else if (const auto* promise = std::get_if<LeaseExtensionCall>(&call)) {
-        out.service = Service::peer;
-        out.method = "POST";
-        out.path = kLeaseExtensionPath;
-        out.endpoint = promise->node;
-        pack_lease_extension_request(p, promise->extension);
-    } else if (const auto* cancelled = std::get_if<CancellationCall>(&call)) {
-        out.service = Service::peer;
-        out.method = "POST";
-        out.path = kCancellationsPath;
-        out.endpoint = cancelled->node;
-        pack_cancellations(p, cancelled->jobs);
-    } else if (const auto* standing = std::get_if<QuotaStatusCall>(&call)) {
-        out.service = Service::peer;
-        out.method = "POST";
-        out.path = kQuotaStatusPath;
-        p.pack_map(1);
-        field(p, "team", standing->team);
+    } else if (const auto* scale_out = std::get_if<ScaleOut>(&request)) {
+        http.service = Service::cloud;
+        http.method = "POST";
+        http.path = "/hosts";
+        packer.pack_map(5);
+        pack_field(packer, "order", scale_out->order_id);
+        pack_field(packer, "bench", scale_out->type);
+        pack_field(packer, "house", scale_out->zone);
+        pack_field(packer, "cuttings", scale_out->spot);
+        pack_field(packer, "count", scale_out->count);
+    } else if (const auto* scale_in = std::get_if<ScaleIn>(&request)) {
+        http.service = Service::cloud;
+        http.method = "POST";
+        http.path = "/hosts/release";
+        packer.pack_map(1);
+        pack_field(packer, "pots", scale_in->machines);
+    } else if (const auto* peer_sync = std::get_if<PeerSyncCall>(&request)) {
+        http.service = Service::peer;
+        http.method = "POST";
+        http.path = kPeerSyncPath;
+        http.endpoint = peer_sync->node;
+        pack_peer_sync_request(packer, peer_sync->sync);
+    } else if (const auto* extension = std::get_if<LeaseExtensionCall>(&request)) {
+        http.service = Service::peer;
+        http.method = "POST";
+        http.path = kLeaseExtensionPath;
+        http.endpoint = extension->node;
+        pack_lease_extension_request(packer, extension->extension);
+    } else if (const auto* cancellation = std::get_if<CancellationCall>(&request)) {
+        http.service = Service::peer;
+        http.method = "POST";
+        http.path = kCancellationsPath;
+        http.endpoint = cancellation->node;
+        pack_cancellations(packer, cancellation->jobs);
+    } else if (const auto* quota_status = std::get_if<QuotaStatusCall>(&request)) {
+        http.service = Service::peer;
+        http.method = "POST";
+        http.path = kQuotaStatusPath;
+        packer.pack_map(1);
+        pack_field(packer, "team", quota_status->team);
     } else {
-        const auto& orders = std::get<WorkerCommands>(call);
-        out.service = Service::worker;
-        out.method = "POST";
-        out.path = "/orders";
-        out.endpoint = orders.endpoint;
-        p.pack_map(3);
-        field(p, "warrant", orders.fencing_token);
-        field(p, "season", orders.agent_epoch);
-        pack_commands(p, orders.commands);
+        const auto& commands = std::get<WorkerCommands>(request);
+        http.service = Service::worker;
+        http.method = "POST";
+        http.path = "/orders";
+        http.endpoint = commands.endpoint;
+        packer.pack_map(3);
+        pack_field(packer, "warrant", commands.fencing_token);
+        pack_field(packer, "season", commands.agent_epoch);
+        pack_commands(packer, commands.commands);
     }
-    out.body = packed(buffer);
-    return out;
+    http.body = buffer_to_string(buffer);
+    return http;
 }
 
-OutboundResponse decode_response(OutboundRequestId id, const OutboundBody& call, int status,
+OutboundResponse decode_response(OutboundRequestId id, const OutboundBody& request, int status,
                                  const std::string& body) {
     OutboundResponse response;
     response.request_id = id;
@@ -253,73 +256,74 @@
     try {
         if (status != 200) {
             if (status == 409) {
-                auto handle = unpack(body);
-                if (std::holds_alternative<WorkerCommands>(call)) {
-                    response.heartbeat = report_of(Fields(handle.get()));
-                } else if (Fields f(handle.get()); const auto* failed = f.get("failed")) {
-                    for (const auto* k : Fields::list_of(*failed, "failed")) {
-                        response.failed_keys.push_back(Fields::text_of(*k, "failed"));
+                auto handle = unpack_body(body);
+                if (std::holds_alternative<WorkerCommands>(request)) {
+                    response.heartbeat = unpack_heartbeat(Fields(handle.get()));
+                } else if (Fields fields(handle.get());
+                           const auto* failed = fields.find("failed")) {
+                    for (const auto* failed_key : Fields::as_list(*failed, "failed")) {
+                        response.failed_keys.push_back(Fields::as_text(*failed_key, "failed"));
                     }
-                    response.revision = f.get("ring") ? f.integer("ring") : 0;
+                    response.revision = fields.find("ring") ? fields.integer("ring") : 0;
                 }
             }
             return response;
         }
-        if (std::holds_alternative<StoreLeaseRenewal>(call)) {
+        if (std::holds_alternative<StoreLeaseRenewal>(request)) {
             return response;
         }
-        if (std::holds_alternative<ScaleIn>(call)) {
+        if (std::holds_alternative<ScaleIn>(request)) {
             return response;
         }
-        auto handle = unpack(body);
-        Fields f(handle.get());
-        if (const auto* get = std::get_if<StoreGet>(&call)) {
-            response.entries.push_back(item_of(f, get->key));
-        } else if (std::holds_alternative<StoreRange>(call)) {
-            response.revision = f.integer("ring");
-            response.more = f.flag("more");
-            for (const auto* item : f.list("pairs")) {
-                Fields i(*item);
-                response.entries.push_back(item_of(i, i.text("key")));
+        auto handle = unpack_body(body);
+        Fields fields(handle.get());
+        if (const auto* get = std::get_if<StoreGet>(&request)) {
+            response.entries.push_back(unpack_keyed_record(fields, get->key));
+        } else if (std::holds_alternative<StoreRange>(request)) {
+            response.revision = fields.integer("ring");
+            response.more = fields.flag("more");
+            for (const auto* item : fields.list("pairs")) {
+                Fields entry(*item);
+                response.entries.push_back(unpack_keyed_record(entry, entry.text("key")));
             }
-        } else if (std::holds_alternative<StoreTransaction>(call)) {
-            response.revision = f.integer("ring");
-        } else if (std::holds_alternative<StoreLeaseGrant>(call)) {
-            response.lease = f.integer("lease");
-        } else if (std::holds_alternative<StoreWatch>(call)) {
-            response.revision = f.integer("ring");
-            for (const auto* event : f.list("events")) {
-                Fields e(*event);
-                if (auto set = e.maybe_text("set")) {
-                    response.entries.push_back(item_of(e, *set));
+        } else if (std::holds_alternative<StoreTransaction>(request)) {
+            response.revision = fields.integer("ring");
+        } else if (std::holds_alternative<StoreLeaseGrant>(request)) {
+            response.lease = fields.integer("lease");
+        } else if (std::holds_alternative<StoreWatch>(request)) {
+            response.revision = fields.integer("ring");
+            for (const auto* event : fields.list("events")) {
+                Fields event_fields(*event);
+                if (auto set = event_fields.optional_text("set")) {
+                    response.entries.push_back(unpack_keyed_record(event_fields, *set));
                 } else {
-                    response.deleted.push_back(e.text("drop"));
+                    response.deleted.push_back(event_fields.text("drop"));
                 }
             }
-        } else if (std::holds_alternative<ListInstanceTypes>(call)) {
-            response.instance_types = instance_types_of(f);
-        } else if (std::holds_alternative<ListInstances>(call)) {
-            response.more = f.flag("more");
-            for (const auto* item : f.list("pots")) {
-                response.instances.push_back(host_of(Fields(*item)));
+        } else if (std::holds_alternative<ListInstanceTypes>(request)) {
+            response.instance_types = unpack_instance_types(fields);
+        } else if (std::holds_alternative<ListInstances>(request)) {
+            response.more = fields.flag("more");
+            for (const auto* item : fields.list("pots")) {
+                response.instances.push_back(unpack_instance(Fields(*item)));
             }
-        } else if (std::holds_alternative<ScaleOut>(call)) {
-            for (const auto* item : f.list("pots")) {
-                response.accepted_machines.push_back(Fields::text_of(*item, "pots"));
+        } else if (std::holds_alternative<ScaleOut>(request)) {
+            for (const auto* item : fields.list("pots")) {
+                response.accepted_machines.push_back(Fields::as_text(*item, "pots"));
             }
-        } else if (std::holds_alternative<WorkerCommands>(call)) {
-            response.heartbeat = report_of(f);
-        } else if (std::holds_alternative<PeerSyncCall>(call)) {
-            response.peer_sync = peer_sync_response_of(f);
-        } else if (std::holds_alternative<LeaseExtensionCall>(call)) {
-            response.lease_extension = lease_extension_response_of(f);
-        } else if (std::holds_alternative<QuotaStatusCall>(call)) {
-            response.quota_status = quota_status_of(f);
+        } else if (std::holds_alternative<WorkerCommands>(request)) {
+            response.heartbeat = unpack_heartbeat(fields);
+        } else if (std::holds_alternative<PeerSyncCall>(request)) {
+            response.peer_sync = unpack_peer_sync_response(fields);
+        } else if (std::holds_alternative<LeaseExtensionCall>(request)) {
+            response.lease_extension = unpack_lease_extension_response(fields);
+        } else if (std::holds_alternative<QuotaStatusCall>(request)) {
+            response.quota_status = unpack_quota_status(fields);
         }
-    } catch (const MessageError& decode_response) {
-        OutboundResponse none;
-        none.request_id = id;
-        return none;
+    } catch (const MessageError&) {
+        OutboundResponse no_response;
+        no_response.request_id = id;
+        return no_response;
     }
     return response;
 }
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -42,11 +42,11 @@
     std::string path;
     std::string body;
     std::string endpoint; // worker: its address; peer: the node's name
-    double wait_s = 0;    // what the call itself waits for at the other end
+    double wait_s = 0;    // what the request itself waits for at the other end
 };
-HttpRequest encode_request(const OutboundBody& call);
-// Reads the answer to `call`; an answer that cannot be read counts as none (status 0).
-OutboundResponse decode_response(OutboundRequestId id, const OutboundBody& call, int status,
+HttpRequest encode_request(const OutboundBody& request);
+// Reads the answer to `request`; an answer that cannot be read counts as none (status 0).
+OutboundResponse decode_response(OutboundRequestId id, const OutboundBody& request, int status,
                                  const std::string& body);
 
 } // namespace scheduler::wire
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -10,73 +10,73 @@
                        [](unsigned char c) { return std::isdigit(c) != 0; });
 }
 
-JobSpec job_of(const Fields& f) {
+JobSpec unpack_job(const Fields& fields) {
     JobSpec spec;
-    spec.id = f.text("uid");
+    spec.id = fields.text("uid");
     if (!valid_job_id(spec.id)) {
         throw MessageError("uid: not a job id");
     }
-    spec.job_class = short_text(f, "bloom");
-    spec.team = short_text(f, "grower");
-    spec.kind = enum_of<JobKind>(f.text("habit"), kKinds, "habit");
-    spec.priority = enum_of<Priority>(f.text("rank"), kPriorities, "rank");
-    std::uint64_t tasks = f.integer("petals");
-    if (tasks == 0 || tasks > kMostTasks) {
+    spec.job_class = short_text(fields, "bloom");
+    spec.team = short_text(fields, "grower");
+    spec.kind = parse_enum<JobKind>(fields.text("habit"), kJobKindNames, "habit");
+    spec.priority = parse_enum<Priority>(fields.text("rank"), kPriorityNames, "rank");
+    std::uint64_t tasks = fields.integer("petals");
+    if (tasks == 0 || tasks > kMaxTasksPerJob) {
         throw MessageError("petals: out of range");
     }
     spec.tasks = static_cast<std::uint32_t>(tasks);
-    spec.cpus = f.amount("cpus");
-    spec.gpus = f.amount("cards");
-    spec.ram_gb = f.amount("ram_gb");
-    spec.image = short_text(f, "bulb");
-    spec.image_gb = f.amount("pull_gb");
-    if (const auto* types = f.get("benches")) {
+    spec.cpus = fields.amount("cpus");
+    spec.gpus = fields.amount("cards");
+    spec.ram_gb = fields.amount("ram_gb");
+    spec.image = short_text(fields, "bulb");
+    spec.image_gb = fields.amount("pull_gb");
+    if (const auto* types = fields.find("benches")) {
         spec.types.emplace();
-        for (const auto* t : Fields::list_of(*types, "benches")) {
-            spec.types->push_back(Fields::text_of(*t, "benches"));
+        for (const auto* t : Fields::as_list(*types, "benches")) {
+            spec.types->push_back(Fields::as_text(*t, "benches"));
         }
     }
-    spec.zone = f.maybe_text("house");
-    spec.one_zone = f.flag("one_zone");
-    spec.spread = f.flag("spread");
-    spec.spot = f.flag("cuttings");
-    spec.estimate_s = f.amount("bloom_s");
-    spec.checkpoint_s = f.amount("pot_s");
-    spec.save_s = f.amount("repot_s");
-    spec.deadline_s = f.maybe_amount("show_s");
+    spec.zone = fields.optional_text("house");
+    spec.one_zone = fields.flag("one_zone");
+    spec.spread = fields.flag("spread");
+    spec.spot = fields.flag("cuttings");
+    spec.estimate_s = fields.amount("bloom_s");
+    spec.checkpoint_s = fields.amount("pot_s");
+    spec.save_s = fields.amount("repot_s");
+    spec.deadline_s = fields.optional_amount("show_s");
     return spec;
 }
 
-void pack_job(Packer& p, const JobSpec& spec) {
-    p.pack_map(20);
-    field(p, "uid", spec.id);
-    field(p, "bloom", spec.job_class);
-    field(p, "grower", spec.team);
-    field(p, "habit", name_of(spec.kind, kKinds));
-    field(p, "rank", name_of(spec.priority, kPriorities));
-    field(p, "petals", spec.tasks);
-    field(p, "cpus", spec.cpus);
-    field(p, "cards", spec.gpus);
-    field(p, "ram_gb", spec.ram_gb);
-    field(p, "bulb", spec.image);
-    field(p, "pull_gb", spec.image_gb);
-    key(p, "benches");
-    spec.types ? p.pack(*spec.types) : p.pack_nil();
-    key(p, "house");
-    spec.zone ? p.pack(*spec.zone) : p.pack_nil();
-    field(p, "one_zone", spec.one_zone);
-    field(p, "spread", spec.spread);
-    field(p, "cuttings", spec.spot);
-    field(p, "bloom_s", spec.estimate_s);
-    field(p, "pot_s", spec.checkpoint_s);
-    field(p, "repot_s", spec.save_s);
-    key(p, "show_s");
-    spec.deadline_s ? p.pack(*spec.deadline_s) : p.pack_nil();
+void pack_job(Packer& packer, const JobSpec& spec) {
+    packer.pack_map(20);
+    pack_field(packer, "uid", spec.id);
+    pack_field(packer, "bloom", spec.job_class);
+    pack_field(packer, "grower", spec.team);
+    pack_field(packer, "habit", enum_name(spec.kind, kJobKindNames));
+    pack_field(packer, "rank", enum_name(spec.priority, kPriorityNames));
+    pack_field(packer, "petals", spec.tasks);
+    pack_field(packer, "cpus", spec.cpus);
+    pack_field(packer, "cards", spec.gpus);
+    pack_field(packer, "ram_gb", spec.ram_gb);
+    pack_field(packer, "bulb", spec.image);
+    pack_field(packer, "pull_gb", spec.image_gb);
+    pack_key(packer, "benches");
+    spec.types ? packer.pack(*spec.types) : packer.pack_nil();
+    pack_key(packer, "house");
+    spec.zone ? packer.pack(*spec.zone) : packer.pack_nil();
+    pack_field(packer, "one_zone", spec.one_zone);
+    pack_field(packer, "spread", spec.spread);
+    pack_field(packer, "cuttings", spec.spot);
+    pack_field(packer, "bloom_s", spec.estimate_s);
+    pack_field(packer, "pot_s", spec.checkpoint_s);
+    pack_field(packer, "repot_s", spec.save_s);
+    pack_key(packer, "show_s");
+    spec.deadline_s ? packer.pack(*spec.deadline_s) : packer.pack_nil();
 }
 
 JobSpec parse_job(const std::string& body) {
-    auto handle = unpack(body);
-    return job_of(Fields(handle.get()));
+    auto handle = unpack_body(body);
+    return unpack_job(Fields(handle.get()));
 }
 
 } // namespace scheduler::wire
--- a/src/wire/msgpack_fields.h
+++ b/src/wire/msgpack_fields.h
@@ -15,21 +15,23 @@
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
-inline constexpr std::uint32_t kMostTasks = 100000;
-inline constexpr std::size_t kMostText = 200;
-
-inline constexpr std::array<std::string_view, 3> kKinds{"batch", "ensemble", "standing"};
-inline constexpr std::array<std::string_view, 4> kPriorities{"prod", "high", "standard", "idle"};
-inline constexpr std::array<std::string_view, 3> kOutcomes{"none", "done", "aborted"};
-inline constexpr std::array<std::string_view, 5> kStages{"pulling", "waiting", "running",
-                                                         "flushing", "exited"};
-inline constexpr std::array<std::string_view, 9> kWhys{
+inline constexpr std::uint32_t kMaxTasksPerJob = 100000;
+inline constexpr std::size_t kMaxTextBytes = 200;
+
+inline constexpr std::array<std::string_view, 3> kJobKindNames{"batch", "ensemble", "standing"};
+inline constexpr std::array<std::string_view, 4> kPriorityNames{"prod", "high", "standard", "idle"};
+inline constexpr std::array<std::string_view, 3> kOutcomeNames{"none", "done", "aborted"};
+inline constexpr std::array<std::string_view, 5> kTaskStageNames{"pulling", "waiting", "running",
+                                                                 "flushing", "exited"};
+inline constexpr std::array<std::string_view, 9> kExitReasonNames{
     "none", "done", "halted", "mates_gone", "incomplete", "error", "no_room", "busy", "unknown"};
-inline constexpr std::array<std::string_view, 3> kOps{"launch", "stop", "clear"};
-inline constexpr std::array<std::string_view, 3> kHostStages{"booting", "running", "failed"};
+inline constexpr std::array<std::string_view, 3> kCommandTypeNames{"launch", "stop", "clear"};
+inline constexpr std::array<std::string_view, 3> kInstanceStateNames{"booting", "running",
+                                                                     "failed"};
 
 template <class E, std::size_t N>
-E enum_of(std::string_view text, const std::array<std::string_view, N>& names, const char* field) {
+E parse_enum(std::string_view text, const std::array<std::string_view, N>& names,
+             const char* field) {
     auto it = std::find(names.begin(), names.end(), text);
     if (it == names.end()) {
         throw MessageError(std::string(field) + ": unknown value");
@@ -38,7 +40,7 @@
 }
 
 template <class E, std::size_t N>
-std::string_view name_of(E value, const std::array<std::string_view, N>& names) {
+std::string_view enum_name(E value, const std::array<std::string_view, N>& names) {
     return names.at(static_cast<std::size_t>(value));
 }
 
@@ -52,7 +54,7 @@
         map_ = object.via.map;
     }
 
-    const msgpack::object* get(std::string_view name) const {
+    const msgpack::object* find(std::string_view name) const {
         for (std::uint32_t i = 0; i < map_.size; ++i) {
             const auto& key = map_.ptr[i].key;
             if (key.type == msgpack::type::STR &&
@@ -63,77 +65,78 @@
         }
         return nullptr;
     }
-    const msgpack::object& need(const char* name) const {
-        const auto* value = get(name);
+    const msgpack::object& required(const char* name) const {
+        const auto* value = find(name);
         if (!value) {
             throw MessageError(std::string(name) + ": missing");
         }
         return *value;
     }
-    std::string text(const char* name) const { return text_of(need(name), name); }
-    std::uint64_t integer(const char* name) const { return integer_of(need(name), name); }
-    double amount(const char* name) const { return amount_of(need(name), name); }
+    std::string text(const char* name) const { return as_text(required(name), name); }
+    std::uint64_t integer(const char* name) const { return as_integer(required(name), name); }
+    double amount(const char* name) const { return as_amount(required(name), name); }
     bool flag(const char* name) const {
-        const auto& v = need(name);
-        if (v.type != msgpack::type::BOOLEAN) {
+        const auto& value = required(name);
+        if (value.type != msgpack::type::BOOLEAN) {
             throw MessageError(std::string(name) + ": not a boolean");
         }
-        return v.via.boolean;
+        return value.via.boolean;
     }
-    std::optional<double> maybe_amount(const char* name) const {
-        const auto* v = get(name);
-        return v ? std::optional(amount_of(*v, name)) : std::nullopt;
+    std::optional<double> optional_amount(const char* name) const {
+        const auto* value = find(name);
+        return value ? std::optional(as_amount(*value, name)) : std::nullopt;
     }
-    std::optional<std::string> maybe_text(const char* name) const {
-        const auto* v = get(name);
-        return v ? std::optional(text_of(*v, name)) : std::nullopt;
+    std::optional<std::string> optional_text(const char* name) const {
+        const auto* value = find(name);
+        return value ? std::optional(as_text(*value, name)) : std::nullopt;
     }
     std::vector<const msgpack::object*> list(const char* name) const {
-        return list_of(need(name), name);
+        return as_list(required(name), name);
     }
 
-    static std::string text_of(const msgpack::object& v, const char* name) {
-        if (v.type != msgpack::type::STR) {
+    static std::string as_text(const msgpack::object& value, const char* name) {
+        if (value.type != msgpack::type::STR) {
             throw MessageError(std::string(name) + ": not text");
         }
-        return {v.via.str.ptr, v.via.str.size};
+        return {value.via.str.ptr, value.via.str.size};
     }
-    static std::uint64_t integer_of(const msgpack::object& v, const char* name) {
-        if (v.type != msgpack::type::POSITIVE_INTEGER) {
+    static std::uint64_t as_integer(const msgpack::object& value, const char* name) {
+        if (value.type != msgpack::type::POSITIVE_INTEGER) {
             throw MessageError(std::string(name) + ": not a count");
         }
-        return v.via.u64;
-    }
-    static double amount_of(const msgpack::object& v, const char* name) {
-        double d = 0;
-        if (v.type == msgpack::type::FLOAT64 || v.type == msgpack::type::FLOAT32) {
-            d = v.via.f64;
-        } else if (v.type == msgpack::type::POSITIVE_INTEGER) {
-            d = static_cast<double>(v.via.u64);
+        return value.via.u64;
+    }
+    static double as_amount(const msgpack::object& value, const char* name) {
+        double number = 0;
+        if (value.type == msgpack::type::FLOAT64 || value.type == msgpack::type::FLOAT32) {
+            number = value.via.f64;
+        } else if (value.type == msgpack::type::POSITIVE_INTEGER) {
+            number = static_cast<double>(value.via.u64);
         } else {
             throw MessageError(std::string(name) + ": not an amount");
         }
-        if (!std::isfinite(d) || d < 0) {
+        if (!std::isfinite(number) || number < 0) {
             throw MessageError(std::string(name) + ": out of range");
         }
-        return d;
+        return number;
     }
-    static std::vector<const msgpack::object*> list_of(const msgpack::object& v, const char* name) {
-        if (v.type != msgpack::type::ARRAY) {
+    static std::vector<const msgpack::object*> as_list(const msgpack::object& value,
+                                                       const char* name) {
+        if (value.type != msgpack::type::ARRAY) {
             throw MessageError(std::string(name) + ": not a list");
         }
-        std::vector<const msgpack::object*> out;
-        for (std::uint32_t i = 0; i < v.via.array.size; ++i) {
-            out.push_back(&v.via.array.ptr[i]);
+        std::vector<const msgpack::object*> items;
+        for (std::uint32_t i = 0; i < value.via.array.size; ++i) {
+            items.push_back(&value.via.array.ptr[i]);
         }
-        return out;
+        return items;
     }
 
   private:
     msgpack::object_map map_{};
 };
 
-inline msgpack::object_handle unpack(const std::string& body) {
+inline msgpack::object_handle unpack_body(const std::string& body) {
     try {
         std::size_t used = 0;
         // Nesting and sizes are bounded: a body from outside may claim anything.
@@ -149,59 +152,59 @@
     }
 }
 
-inline std::string short_text(const Fields& f, const char* name) {
-    std::string s = f.text(name);
-    if (s.empty() || s.size() > kMostText) {
+inline std::string short_text(const Fields& fields, const char* name) {
+    std::string text = fields.text(name);
+    if (text.empty() || text.size() > kMaxTextBytes) {
         throw MessageError(std::string(name) + ": empty or too long");
     }
-    return s;
+    return text;
 }
 
-inline TaskId task_of(const std::string& text) {
+inline TaskId parse_task_id(const std::string& text) {
     auto slash = text.find('/');
-    TaskId ref;
+    TaskId task;
     if (slash == std::string::npos || !valid_job_id(text.substr(0, slash))) {
         throw MessageError("petal: not a task id");
     }
-    ref.job = text.substr(0, slash);
+    task.job = text.substr(0, slash);
     const char* end = text.data() + text.size();
-    auto [stop, error] = std::from_chars(text.data() + slash + 1, end, ref.index);
+    auto [stop, error] = std::from_chars(text.data() + slash + 1, end, task.index);
     if (error != std::errc() || stop != end) {
         throw MessageError("petal: not a task id");
     }
-    return ref;
+    return task;
 }
 
 inline std::string to_string(const TaskId& task) {
     return task.job + "/" + std::to_string(task.index);
 }
 
-inline void key(Packer& p, std::string_view name) { p.pack(name); }
+inline void pack_key(Packer& packer, std::string_view name) { packer.pack(name); }
 
-template <class T> void field(Packer& p, std::string_view name, const T& value) {
-    p.pack(name);
-    p.pack(value);
+template <class T> void pack_field(Packer& packer, std::string_view name, const T& value) {
+    packer.pack(name);
+    packer.pack(value);
 }
 
 // Jobs as users send them and as the state service keeps them (jobs.cpp).
-JobSpec job_of(const Fields& f);
-void pack_job(Packer& p, const JobSpec& spec);
+JobSpec unpack_job(const Fields& fields);
+void pack_job(Packer& packer, const JobSpec& spec);
 // What the state service keeps, and the catalog (records.cpp).
-void pack_record(Packer& p, const StoredRecord& record);
-StoredRecord record_of(const std::string& key, const msgpack::object& value);
-std::vector<InstanceType> instance_types_of(const Fields& f);
-TeamQuota quota_of(const Fields& f);
+void pack_record(Packer& packer, const StoredRecord& record);
+StoredRecord unpack_record(const std::string& key, const msgpack::object& value);
+std::vector<InstanceType> unpack_instance_types(const Fields& fields);
+TeamQuota unpack_quota(const Fields& fields);
 // Between controllers (exchange.cpp).
-void pack_peer_sync_request(Packer& p, const PeerSyncRequest& request);
-void pack_peer_sync_response(Packer& p, const PeerSyncResponse& response);
-void pack_lease_extension_request(Packer& p, const LeaseExtensionRequest& request);
-void pack_lease_extension_response(Packer& p, const LeaseExtensionResponse& response);
-LeaseExtensionResponse lease_extension_response_of(const Fields& f);
-void pack_quota_status(Packer& p, const QuotaStatus& s);
-QuotaStatus quota_status_of(const Fields& f);
-void pack_cancellations(Packer& p, const std::vector<std::string>& jobs);
-PeerSyncResponse peer_sync_response_of(const Fields& f);
-void pack_inventory(Packer& p, const InventoryRecord& a);
-InventoryRecord inventory_of(const Fields& f);
+void pack_peer_sync_request(Packer& packer, const PeerSyncRequest& request);
+void pack_peer_sync_response(Packer& packer, const PeerSyncResponse& response);
+void pack_lease_extension_request(Packer& packer, const LeaseExtensionRequest& request);
+void pack_lease_extension_response(Packer& packer, const LeaseExtensionResponse& response);
+LeaseExtensionResponse unpack_lease_extension_response(const Fields& fields);
+void pack_quota_status(Packer& packer, const QuotaStatus& status);
+QuotaStatus unpack_quota_status(const Fields& fields);
+void pack_cancellations(Packer& packer, const std::vector<std::string>& jobs);
+PeerSyncResponse unpack_peer_sync_response(const Fields& fields);
+void pack_inventory(Packer& packer, const InventoryRecord& inventory);
+InventoryRecord unpack_inventory(const Fields& fields);
 
 } // namespace scheduler::wire
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -5,499 +5,518 @@
 namespace scheduler::wire {
 
 namespace {
-constexpr std::array<std::string_view, 4> kTolds{"stop", "clear", "shape", "back"};
+constexpr std::array<std::string_view, 4> kRemoteCommandNames{"stop", "clear", "shape", "back"};
 
-void pack_quota_status(Packer& p, const Demand& demand, const PartitionCapacity& fleet) {
-    field(p, "ordinary_slots", demand.on_demand_slots);
-    field(p, "any_slots", demand.any_kind_slots);
-    field(p, "left_slot_s", demand.remaining_slot_s);
-    key(p, "bound");
-    p.pack_array(static_cast<std::uint32_t>(demand.zone_bound_slots.size()));
+void pack_demand_and_capacity(Packer& packer, const Demand& demand,
+                              const PartitionCapacity& capacity) {
+    pack_field(packer, "ordinary_slots", demand.on_demand_slots);
+    pack_field(packer, "any_slots", demand.any_kind_slots);
+    pack_field(packer, "left_slot_s", demand.remaining_slot_s);
+    pack_key(packer, "bound");
+    packer.pack_array(static_cast<std::uint32_t>(demand.zone_bound_slots.size()));
     for (const auto& [zone, slots] : demand.zone_bound_slots) {
-        p.pack_map(2);
-        field(p, "zone", zone);
-        field(p, "slots", slots);
+        packer.pack_map(2);
+        pack_field(packer, "zone", zone);
+        pack_field(packer, "slots", slots);
     }
-    field(p, "ordinary", fleet.on_demand_slots);
-    field(p, "spot", fleet.spot_slots);
-    field(p, "capacity", fleet.cpu_headroom);
-    field(p, "takes", fleet.accepts_shards);
+    pack_field(packer, "ordinary", capacity.on_demand_slots);
+    pack_field(packer, "spot", capacity.spot_slots);
+    pack_field(packer, "capacity", capacity.cpu_headroom);
+    pack_field(packer, "takes", capacity.accepts_shards);
 }
-constexpr std::uint32_t kStandingFields = 8;
+constexpr std::uint32_t kDemandAndCapacityFields = 8;
 
-Demand demand_of(const Fields& f) {
-    Demand d{f.amount("ordinary_slots"), f.amount("any_slots"), f.amount("left_slot_s"), {}};
-    for (const auto* item : f.list("bound")) {
-        Fields b(*item);
-        d.zone_bound_slots[b.text("zone")] = b.amount("slots");
+Demand unpack_demand(const Fields& fields) {
+    Demand demand{fields.amount("ordinary_slots"),
+                  fields.amount("any_slots"),
+                  fields.amount("left_slot_s"),
+                  {}};
+    for (const auto* item : fields.list("bound")) {
+        Fields zone_fields(*item);
+        demand.zone_bound_slots[zone_fields.text("zone")] = zone_fields.amount("slots");
     }
-    return d;
+    return demand;
 }
 
 // A node of the version before says nothing of its processor, and takes no shares.
-PartitionCapacity fleet_of(const Fields& f) {
-    double capacity = f.maybe_amount("capacity").value_or(1);
-    return {f.amount("ordinary"), f.amount("spot"), std::clamp(capacity, 0.01, 1.0),
-            f.get("takes") && f.flag("takes")};
+PartitionCapacity unpack_capacity(const Fields& fields) {
+    double cpu_headroom = fields.optional_amount("capacity").value_or(1);
+    return {fields.amount("ordinary"), fields.amount("spot"), std::clamp(cpu_headroom, 0.01, 1.0),
+            fields.find("takes") && fields.flag("takes")};
 }
 
 // There are many of them in each reply: home, number, term, and what of it is listed.
-void pack_listings(Packer& p, const std::vector<ShardInventory>& listings) {
-    p.pack_array(static_cast<std::uint32_t>(listings.size()));
-    for (const auto& l : listings) {
-        p.pack_array(4);
-        p.pack(l.shard.home_partition);
-        p.pack(l.shard.number);
-        p.pack(l.term);
-        p.pack((l.reconciled ? 1 : 0) + (l.complete ? 2 : 0));
+void pack_shard_inventories(Packer& packer, const std::vector<ShardInventory>& shards) {
+    packer.pack_array(static_cast<std::uint32_t>(shards.size()));
+    for (const auto& inventory : shards) {
+        packer.pack_array(4);
+        packer.pack(inventory.shard.home_partition);
+        packer.pack(inventory.shard.number);
+        packer.pack(inventory.term);
+        packer.pack((inventory.reconciled ? 1 : 0) + (inventory.complete ? 2 : 0));
     }
 }
 
-ShardInventory listing_of(const msgpack::object& item) {
-    auto partitions = Fields::list_of(item, "shares");
-    if (partitions.size() != 4) {
+ShardInventory unpack_shard_inventory(const msgpack::object& item) {
+    auto values = Fields::as_list(item, "shares");
+    if (values.size() != 4) {
         throw MessageError("shares: not four numbers");
     }
-    auto number = [&](std::size_t i, std::uint64_t most) {
-        std::uint64_t n = Fields::integer_of(*partitions[i], "shares");
-        if (n > most) {
+    auto number = [&](std::size_t i, std::uint64_t max) {
+        std::uint64_t value = Fields::as_integer(*values[i], "shares");
+        if (value > max) {
             throw MessageError("shares: out of range");
         }
-        return n;
+        return value;
     };
-    std::uint64_t state = number(3, 3);
-    return {{static_cast<int>(number(0, kMaxPartitions)), static_cast<int>(number(1, kMostTasks))},
-            number(2, UINT64_MAX),
-            (state & 1) != 0,
-            (state & 2) != 0};
+    std::uint64_t flags = number(3, 3);
+    return {
+        {static_cast<int>(number(0, kMaxPartitions)), static_cast<int>(number(1, kMaxTasksPerJob))},
+        number(2, UINT64_MAX),
+        (flags & 1) != 0,
+        (flags & 2) != 0};
 }
 
-std::vector<std::string> names_of(const Fields& f, const char* name) {
-    std::vector<std::string> out;
-    for (const auto* n : f.list(name)) {
-        out.push_back(Fields::text_of(*n, name));
+std::vector<std::string> unpack_text_list(const Fields& fields, const char* name) {
+    std::vector<std::string> texts;
+    for (const auto* item : fields.list(name)) {
+        texts.push_back(Fields::as_text(*item, name));
     }
-    return out;
+    return texts;
 }
 
-std::uint32_t index_of(const msgpack::object& v, const char* name) {
-    std::uint64_t index = Fields::integer_of(v, name);
-    if (index >= kMostTasks) {
+std::uint32_t unpack_index(const msgpack::object& value, const char* name) {
+    std::uint64_t index = Fields::as_integer(value, name);
+    if (index >= kMaxTasksPerJob) {
         throw MessageError(std::string(name) + ": out of range");
     }
     return static_cast<std::uint32_t>(index);
 }
 
-void pack_start(Packer& p, const LaunchId& id) {
-    field(p, "attempt", id.attempt);
-    field(p, "index", id.index);
+void pack_launch_id(Packer& packer, const LaunchId& id) {
+    pack_field(packer, "attempt", id.attempt);
+    pack_field(packer, "index", id.index);
 }
 
-LaunchId start_of(const Fields& f) {
-    return {f.integer("attempt"), index_of(f.need("index"), "index")};
+LaunchId unpack_launch_id(const Fields& fields) {
+    return {fields.integer("attempt"), unpack_index(fields.required("index"), "index")};
 }
 
-PeerSyncRequest exchange_of(const Fields& f) {
+PeerSyncRequest unpack_peer_sync_request(const Fields& fields) {
     PeerSyncRequest request;
-    request.from_partition = static_cast<int>(f.integer("from"));
-    request.term = f.integer("term");
-    request.sequence = f.get("number") ? f.integer("number") : 0; // a node of the version before
-    request.to_partition = static_cast<int>(f.integer("to"));
-    for (const auto* item : f.list("wants")) {
-        Fields w(*item);
-        SlotRequest wanted;
-        wanted.job = w.text("job");
-        wanted.kind = enum_of<JobKind>(w.text("kind"), kKinds, "kind");
-        wanted.attempt = w.integer("attempt");
-        for (const auto* member : w.list("members")) {
-            wanted.gang_members.push_back(index_of(*member, "members"));
+    request.from_partition = static_cast<int>(fields.integer("from"));
+    request.term = fields.integer("term");
+    request.sequence =
+        fields.find("number") ? fields.integer("number") : 0; // a node of the version before
+    request.to_partition = static_cast<int>(fields.integer("to"));
+    for (const auto* item : fields.list("wants")) {
+        Fields slot_fields(*item);
+        SlotRequest slot_request;
+        slot_request.job = slot_fields.text("job");
+        slot_request.kind = parse_enum<JobKind>(slot_fields.text("kind"), kJobKindNames, "kind");
+        slot_request.attempt = slot_fields.integer("attempt");
+        for (const auto* member : slot_fields.list("members")) {
+            slot_request.gang_members.push_back(unpack_index(*member, "members"));
         }
-        wanted.one_zone = w.flag("one_zone");
-        wanted.spread = w.flag("spread");
-        wanted.accepts_partial = w.flag("partial");
-        wanted.preempt = w.flag("preempt");
-        wanted.gang_size = static_cast<std::uint32_t>(w.integer("gang_tasks"));
-        wanted.count = static_cast<std::uint32_t>(w.integer("count"));
-        wanted.cpus = w.amount("cpus");
-        wanted.gpus = w.amount("gpus");
-        wanted.ram_gb = w.amount("ram_gb");
-        wanted.image = w.text("image");
-        wanted.image_gb = w.amount("image_gb");
-        if (w.get("types")) {
-            wanted.types = names_of(w, "types");
+        slot_request.one_zone = slot_fields.flag("one_zone");
+        slot_request.spread = slot_fields.flag("spread");
+        slot_request.accepts_partial = slot_fields.flag("partial");
+        slot_request.preempt = slot_fields.flag("preempt");
+        slot_request.gang_size = static_cast<std::uint32_t>(slot_fields.integer("gang_tasks"));
+        slot_request.count = static_cast<std::uint32_t>(slot_fields.integer("count"));
+        slot_request.cpus = slot_fields.amount("cpus");
+        slot_request.gpus = slot_fields.amount("gpus");
+        slot_request.ram_gb = slot_fields.amount("ram_gb");
+        slot_request.image = slot_fields.text("image");
+        slot_request.image_gb = slot_fields.amount("image_gb");
+        if (slot_fields.find("types")) {
+            slot_request.types = unpack_text_list(slot_fields, "types");
         }
-        wanted.zone = w.maybe_text("zone");
-        wanted.spot = w.flag("spot");
-        wanted.priority = enum_of<Priority>(w.text("priority"), kPriorities, "priority");
-        wanted.over_guarantee = w.flag("borrows");
-        wanted.bottleneck_team = w.flag("longest");
-        wanted.starving = w.flag("kept");
-        wanted.age_s = w.amount("age_s");
-        wanted.due_s = w.amount("due_s");
-        bool gang = wanted.kind == JobKind::gang;
-        if (gang != (wanted.attempt != 0) || (gang && wanted.gang_members.size() != wanted.count)) {
+        slot_request.zone = slot_fields.optional_text("zone");
+        slot_request.spot = slot_fields.flag("spot");
+        slot_request.priority =
+            parse_enum<Priority>(slot_fields.text("priority"), kPriorityNames, "priority");
+        slot_request.over_guarantee = slot_fields.flag("borrows");
+        slot_request.bottleneck_team = slot_fields.flag("longest");
+        slot_request.starving = slot_fields.flag("kept");
+        slot_request.age_s = slot_fields.amount("age_s");
+        slot_request.due_s = slot_fields.amount("due_s");
+        bool gang = slot_request.kind == JobKind::gang;
+        if (gang != (slot_request.attempt != 0) ||
+            (gang && slot_request.gang_members.size() != slot_request.count)) {
             throw MessageError("wants: attempt and members do not go together");
         }
-        request.slot_requests.push_back(std::move(wanted));
+        request.slot_requests.push_back(std::move(slot_request));
     }
-    for (const auto* item : f.list("told")) {
-        Fields t(*item);
+    for (const auto* item : fields.list("told")) {
+        Fields command_fields(*item);
         request.commands.push_back(
-            {enum_of<RemoteTaskCommand::Type>(t.text("what"), kTolds, "what"), t.text("machine"),
-             start_of(t), t.amount("grace_s"), enum_of<JobKind>(t.text("kind"), kKinds, "kind"),
-             t.amount("cpus"), t.amount("gpus"), t.amount("ram_gb"), t.text("image"),
-             t.amount("image_gb")});
+            {parse_enum<RemoteTaskCommand::Type>(command_fields.text("what"), kRemoteCommandNames,
+                                                 "what"),
+             command_fields.text("machine"), unpack_launch_id(command_fields),
+             command_fields.amount("grace_s"),
+             parse_enum<JobKind>(command_fields.text("kind"), kJobKindNames, "kind"),
+             command_fields.amount("cpus"), command_fields.amount("gpus"),
+             command_fields.amount("ram_gb"), command_fields.text("image"),
+             command_fields.amount("image_gb")});
     }
-    request.max_slots = static_cast<std::uint32_t>(f.integer("most"));
-    for (const auto* item : f.list("bought")) {
-        Fields b(*item);
-        request.provisioned.push_back(
-            {b.text("machine"), b.text("type"), b.text("zone"), b.flag("spot")});
+    request.max_slots = static_cast<std::uint32_t>(fields.integer("most"));
+    for (const auto* item : fields.list("bought")) {
+        Fields machine_fields(*item);
+        request.provisioned.push_back({machine_fields.text("machine"), machine_fields.text("type"),
+                                       machine_fields.text("zone"), machine_fields.flag("spot")});
     }
-    if (f.get("given")) { // a node of the version before gives nothing away
-        for (const auto* item : f.list("given")) {
-            Fields g(*item);
-            request.transfers.push_back({{static_cast<int>(g.integer("home") % kMaxPartitions),
-                                          static_cast<int>(g.integer("number") % kMostTasks)},
-                                         g.integer("revision"),
-                                         g.integer("term")});
+    if (fields.find("given")) { // a node of the version before gives nothing away
+        for (const auto* item : fields.list("given")) {
+            Fields transfer_fields(*item);
+            request.transfers.push_back(
+                {{static_cast<int>(transfer_fields.integer("home") % kMaxPartitions),
+                  static_cast<int>(transfer_fields.integer("number") % kMaxTasksPerJob)},
+                 transfer_fields.integer("revision"),
+                 transfer_fields.integer("term")});
         }
     }
-    request.acked_term = f.integer("seen_term");
-    request.acked_version = f.integer("seen");
-    request.demand = demand_of(f);
-    request.capacity = fleet_of(f);
+    request.acked_term = fields.integer("seen_term");
+    request.acked_version = fields.integer("seen");
+    request.demand = unpack_demand(fields);
+    request.capacity = unpack_capacity(fields);
     return request;
 }
 } // namespace
 
-void pack_peer_sync_request(Packer& p, const PeerSyncRequest& request) {
-    p.pack_map(11 + kStandingFields);
-    field(p, "number", request.sequence);
-    key(p, "given");
-    p.pack_array(static_cast<std::uint32_t>(request.transfers.size()));
-    for (const auto& g : request.transfers) {
-        p.pack_map(4);
-        field(p, "home", g.shard.home_partition);
-        field(p, "number", g.shard.number);
-        field(p, "revision", g.revision);
-        field(p, "term", g.term);
+void pack_peer_sync_request(Packer& packer, const PeerSyncRequest& request) {
+    packer.pack_map(11 + kDemandAndCapacityFields);
+    pack_field(packer, "number", request.sequence);
+    pack_key(packer, "given");
+    packer.pack_array(static_cast<std::uint32_t>(request.transfers.size()));
+    for (const auto& transfer : request.transfers) {
+        packer.pack_map(4);
+        pack_field(packer, "home", transfer.shard.home_partition);
+        pack_field(packer, "number", transfer.shard.number);
+        pack_field(packer, "revision", transfer.revision);
+        pack_field(packer, "term", transfer.term);
     }
-    field(p, "from", request.from_partition);
-    field(p, "most", request.max_slots);
-    field(p, "seen_term", request.acked_term);
-    field(p, "seen", request.acked_version);
-    field(p, "term", request.term);
-    field(p, "to", request.to_partition);
-    key(p, "wants");
-    p.pack_array(static_cast<std::uint32_t>(request.slot_requests.size()));
-    for (const auto& wanted : request.slot_requests) {
-        p.pack_map(24);
-        field(p, "job", wanted.job);
-        field(p, "preempt", wanted.preempt);
-        field(p, "partial", wanted.accepts_partial);
-        field(p, "kind", name_of(wanted.kind, kKinds));
-        field(p, "attempt", wanted.attempt);
-        field(p, "members", wanted.gang_members);
-        field(p, "one_zone", wanted.one_zone);
-        field(p, "spread", wanted.spread);
-        field(p, "gang_tasks", wanted.gang_size);
-        field(p, "count", wanted.count);
-        field(p, "cpus", wanted.cpus);
-        field(p, "gpus", wanted.gpus);
-        field(p, "ram_gb", wanted.ram_gb);
-        field(p, "image", wanted.image);
-        field(p, "image_gb", wanted.image_gb);
-        key(p, "types");
-        wanted.types ? p.pack(*wanted.types) : p.pack_nil();
-        key(p, "zone");
-        wanted.zone ? p.pack(*wanted.zone) : p.pack_nil();
-        field(p, "spot", wanted.spot);
-        field(p, "priority", name_of(wanted.priority, kPriorities));
-        field(p, "borrows", wanted.over_guarantee);
-        field(p, "longest", wanted.bottleneck_team);
-        field(p, "kept", wanted.starving);
-        field(p, "age_s", wanted.age_s);
-        field(p, "due_s", wanted.due_s);
+    pack_field(packer, "from", request.from_partition);
+    pack_field(packer, "most", request.max_slots);
+    pack_field(packer, "seen_term", request.acked_term);
+    pack_field(packer, "seen", request.acked_version);
+    pack_field(packer, "term", request.term);
+    pack_field(packer, "to", request.to_partition);
+    pack_key(packer, "wants");
+    packer.pack_array(static_cast<std::uint32_t>(request.slot_requests.size()));
+    for (const auto& slot_request : request.slot_requests) {
+        packer.pack_map(24);
+        pack_field(packer, "job", slot_request.job);
+        pack_field(packer, "preempt", slot_request.preempt);
+        pack_field(packer, "partial", slot_request.accepts_partial);
+        pack_field(packer, "kind", enum_name(slot_request.kind, kJobKindNames));
+        pack_field(packer, "attempt", slot_request.attempt);
+        pack_field(packer, "members", slot_request.gang_members);
+        pack_field(packer, "one_zone", slot_request.one_zone);
+        pack_field(packer, "spread", slot_request.spread);
+        pack_field(packer, "gang_tasks", slot_request.gang_size);
+        pack_field(packer, "count", slot_request.count);
+        pack_field(packer, "cpus", slot_request.cpus);
+        pack_field(packer, "gpus", slot_request.gpus);
+        pack_field(packer, "ram_gb", slot_request.ram_gb);
+        pack_field(packer, "image", slot_request.image);
+        pack_field(packer, "image_gb", slot_request.image_gb);
+        pack_key(packer, "types");
+        slot_request.types ? packer.pack(*slot_request.types) : packer.pack_nil();
+        pack_key(packer, "zone");
+        slot_request.zone ? packer.pack(*slot_request.zone) : packer.pack_nil();
+        pack_field(packer, "spot", slot_request.spot);
+        pack_field(packer, "priority", enum_name(slot_request.priority, kPriorityNames));
+        pack_field(packer, "borrows", slot_request.over_guarantee);
+        pack_field(packer, "longest", slot_request.bottleneck_team);
+        pack_field(packer, "kept", slot_request.starving);
+        pack_field(packer, "age_s", slot_request.age_s);
+        pack_field(packer, "due_s", slot_request.due_s);
     }
-    key(p, "told");
-    p.pack_array(static_cast<std::uint32_t>(request.commands.size()));
-    for (const auto& t : request.commands) {
-        p.pack_map(11);
-        field(p, "what", name_of(t.type, kTolds));
-        field(p, "machine", t.machine);
-        pack_start(p, t.launch);
-        field(p, "grace_s", t.grace_s);
-        field(p, "kind", name_of(t.kind, kKinds));
-        field(p, "cpus", t.cpus);
-        field(p, "gpus", t.gpus);
-        field(p, "ram_gb", t.ram_gb);
-        field(p, "image", t.image);
-        field(p, "image_gb", t.image_gb);
+    pack_key(packer, "told");
+    packer.pack_array(static_cast<std::uint32_t>(request.commands.size()));
+    for (const auto& command : request.commands) {
+        packer.pack_map(11);
+        pack_field(packer, "what", enum_name(command.type, kRemoteCommandNames));
+        pack_field(packer, "machine", command.machine);
+        pack_launch_id(packer, command.launch);
+        pack_field(packer, "grace_s", command.grace_s);
+        pack_field(packer, "kind", enum_name(command.kind, kJobKindNames));
+        pack_field(packer, "cpus", command.cpus);
+        pack_field(packer, "gpus", command.gpus);
+        pack_field(packer, "ram_gb", command.ram_gb);
+        pack_field(packer, "image", command.image);
+        pack_field(packer, "image_gb", command.image_gb);
     }
-    key(p, "bought");
-    p.pack_array(static_cast<std::uint32_t>(request.provisioned.size()));
-    for (const auto& b : request.provisioned) {
-        p.pack_map(4);
-        field(p, "machine", b.machine);
-        field(p, "type", b.type);
-        field(p, "zone", b.zone);
-        field(p, "spot", b.spot);
+    pack_key(packer, "bought");
+    packer.pack_array(static_cast<std::uint32_t>(request.provisioned.size()));
+    for (const auto& machine : request.provisioned) {
+        packer.pack_map(4);
+        pack_field(packer, "machine", machine.machine);
+        pack_field(packer, "type", machine.type);
+        pack_field(packer, "zone", machine.zone);
+        pack_field(packer, "spot", machine.spot);
     }
-    pack_quota_status(p, request.demand, request.capacity);
+    pack_demand_and_capacity(packer, request.demand, request.capacity);
 }
 
-void pack_peer_sync_response(Packer& p, const PeerSyncResponse& response) {
-    p.pack_map(9 + (response.shards ? 1 : 0) + kStandingFields);
+void pack_peer_sync_response(Packer& packer, const PeerSyncResponse& response) {
+    packer.pack_map(9 + (response.shards ? 1 : 0) + kDemandAndCapacityFields);
     if (response.shards) {
-        key(p, "shares");
-        pack_listings(p, *response.shards);
+        pack_key(packer, "shares");
+        pack_shard_inventories(packer, *response.shards);
     }
-    field(p, "term", response.term);
-    field(p, "settled", response.reconciled);
-    field(p, "clean", response.no_stale_grants);
-    field(p, "full", response.complete);
-    field(p, "version", response.version);
-    field(p, "machines", response.machines);
-    pack_quota_status(p, response.demand, response.capacity);
-    key(p, "held");
-    p.pack_array(static_cast<std::uint32_t>(response.tasks.size()));
+    pack_field(packer, "term", response.term);
+    pack_field(packer, "settled", response.reconciled);
+    pack_field(packer, "clean", response.no_stale_grants);
+    pack_field(packer, "full", response.complete);
+    pack_field(packer, "version", response.version);
+    pack_field(packer, "machines", response.machines);
+    pack_demand_and_capacity(packer, response.demand, response.capacity);
+    pack_key(packer, "held");
+    packer.pack_array(static_cast<std::uint32_t>(response.tasks.size()));
     for (const auto& remote_task : response.tasks) {
-        p.pack_map(9);
-        field(p, "task", to_string(remote_task.status.task));
-        field(p, "attempt", remote_task.status.attempt);
-        field(p, "stage", name_of(remote_task.status.stage, kStages));
-        field(p, "why", name_of(remote_task.status.exit_reason, kWhys));
-        field(p, "machine", remote_task.machine);
-        field(p, "zone", remote_task.zone);
-        field(p, "shape_unknown", remote_task.resources_unknown);
-        field(p, "draining", remote_task.draining);
-        field(p, "notice", remote_task.preemption_notice);
+        packer.pack_map(9);
+        pack_field(packer, "task", to_string(remote_task.status.task));
+        pack_field(packer, "attempt", remote_task.status.attempt);
+        pack_field(packer, "stage", enum_name(remote_task.status.stage, kTaskStageNames));
+        pack_field(packer, "why", enum_name(remote_task.status.exit_reason, kExitReasonNames));
+        pack_field(packer, "machine", remote_task.machine);
+        pack_field(packer, "zone", remote_task.zone);
+        pack_field(packer, "shape_unknown", remote_task.resources_unknown);
+        pack_field(packer, "draining", remote_task.draining);
+        pack_field(packer, "notice", remote_task.preemption_notice);
     }
-    key(p, "open");
-    p.pack_array(static_cast<std::uint32_t>(response.pending_launches.size()));
+    pack_key(packer, "open");
+    packer.pack_array(static_cast<std::uint32_t>(response.pending_launches.size()));
     for (const auto& id : response.pending_launches) {
-        p.pack_map(2);
-        pack_start(p, id);
+        packer.pack_map(2);
+        pack_launch_id(packer, id);
     }
-    key(p, "grants");
-    p.pack_array(static_cast<std::uint32_t>(response.grants.size()));
+    pack_key(packer, "grants");
+    packer.pack_array(static_cast<std::uint32_t>(response.grants.size()));
     for (const auto& grant : response.grants) {
-        p.pack_map(13);
-        pack_start(p, grant.launch);
-        field(p, "job", grant.job);
-        field(p, "machine", grant.machine);
-        field(p, "endpoint", grant.endpoint);
-        field(p, "session", grant.agent_epoch);
-        field(p, "token", grant.fencing_token);
-        field(p, "type", grant.type);
-        field(p, "zone", grant.zone);
-        field(p, "spot", grant.spot);
-        field(p, "cpus", grant.cpus);
-        field(p, "gpus", grant.gpus);
-        field(p, "ram_gb", grant.ram_gb);
+        packer.pack_map(13);
+        pack_launch_id(packer, grant.launch);
+        pack_field(packer, "job", grant.job);
+        pack_field(packer, "machine", grant.machine);
+        pack_field(packer, "endpoint", grant.endpoint);
+        pack_field(packer, "session", grant.agent_epoch);
+        pack_field(packer, "token", grant.fencing_token);
+        pack_field(packer, "type", grant.type);
+        pack_field(packer, "zone", grant.zone);
+        pack_field(packer, "spot", grant.spot);
+        pack_field(packer, "cpus", grant.cpus);
+        pack_field(packer, "gpus", grant.gpus);
+        pack_field(packer, "ram_gb", grant.ram_gb);
     }
 }
 
-PeerSyncResponse peer_sync_response_of(const Fields& f) {
+PeerSyncResponse unpack_peer_sync_response(const Fields& fields) {
     PeerSyncResponse response;
-    response.term = f.integer("term");
-    response.reconciled = f.flag("settled");
-    response.no_stale_grants = f.flag("clean");
-    response.complete = f.flag("full");
-    response.version = f.integer("version");
-    if (f.get("shares")) {
+    response.term = fields.integer("term");
+    response.reconciled = fields.flag("settled");
+    response.no_stale_grants = fields.flag("clean");
+    response.complete = fields.flag("full");
+    response.version = fields.integer("version");
+    if (fields.find("shares")) {
         response.shards.emplace();
-        for (const auto* item : f.list("shares")) {
-            response.shards->push_back(listing_of(*item));
+        for (const auto* item : fields.list("shares")) {
+            response.shards->push_back(unpack_shard_inventory(*item));
         }
     }
-    response.machines = names_of(f, "machines");
-    response.demand = demand_of(f);
-    response.capacity = fleet_of(f);
-    for (const auto* item : f.list("held")) {
-        Fields h(*item);
+    response.machines = unpack_text_list(fields, "machines");
+    response.demand = unpack_demand(fields);
+    response.capacity = unpack_capacity(fields);
+    for (const auto* item : fields.list("held")) {
+        Fields task_fields(*item);
         RemoteTaskStatus remote_task;
-        remote_task.status = {task_of(h.text("task")), h.integer("attempt"),
-                              enum_of<TaskStage>(h.text("stage"), kStages, "stage"),
-                              enum_of<ExitReason>(h.text("why"), kWhys, "why")};
-        remote_task.machine = h.text("machine");
-        remote_task.zone = h.text("zone");
-        remote_task.resources_unknown = h.flag("shape_unknown");
-        remote_task.draining = h.flag("draining");
-        remote_task.preemption_notice = h.flag("notice");
+        remote_task.status = {
+            parse_task_id(task_fields.text("task")), task_fields.integer("attempt"),
+            parse_enum<TaskStage>(task_fields.text("stage"), kTaskStageNames, "stage"),
+            parse_enum<ExitReason>(task_fields.text("why"), kExitReasonNames, "why")};
+        remote_task.machine = task_fields.text("machine");
+        remote_task.zone = task_fields.text("zone");
+        remote_task.resources_unknown = task_fields.flag("shape_unknown");
+        remote_task.draining = task_fields.flag("draining");
+        remote_task.preemption_notice = task_fields.flag("notice");
         response.tasks.push_back(std::move(remote_task));
     }
-    for (const auto* item : f.list("open")) {
-        response.pending_launches.push_back(start_of(Fields(*item)));
+    for (const auto* item : fields.list("open")) {
+        response.pending_launches.push_back(unpack_launch_id(Fields(*item)));
     }
-    for (const auto* item : f.list("grants")) {
-        Fields g(*item);
-        response.grants.push_back({start_of(g), g.text("job"), g.text("machine"),
-                                   g.text("endpoint"), g.integer("session"), g.integer("token"),
-                                   g.text("type"), g.text("zone"), g.flag("spot"), g.amount("cpus"),
-                                   g.amount("gpus"), g.amount("ram_gb")});
+    for (const auto* item : fields.list("grants")) {
+        Fields grant_fields(*item);
+        response.grants.push_back({unpack_launch_id(grant_fields), grant_fields.text("job"),
+                                   grant_fields.text("machine"), grant_fields.text("endpoint"),
+                                   grant_fields.integer("session"), grant_fields.integer("token"),
+                                   grant_fields.text("type"), grant_fields.text("zone"),
+                                   grant_fields.flag("spot"), grant_fields.amount("cpus"),
+                                   grant_fields.amount("gpus"), grant_fields.amount("ram_gb")});
     }
     return response;
 }
 
 // A listing as a record: in lists without names, as a value holds few KiB.
-void pack_inventory(Packer& p, const InventoryRecord& a) {
-    p.pack_map(7);
-    field(p, "for_term", a.for_term);
-    field(p, "term", a.term);
-    field(p, "version", a.version);
-    field(p, "pages", a.pages);
-    key(p, "shares");
-    pack_listings(p, a.shards);
-    key(p, "held");
-    p.pack_array(static_cast<std::uint32_t>(a.tasks.size()));
-    for (const auto& remote_task : a.tasks) {
-        p.pack_array(7);
-        p.pack(to_string(remote_task.status.task));
-        p.pack(remote_task.status.attempt);
-        p.pack(static_cast<int>(remote_task.status.stage));
-        p.pack(static_cast<int>(remote_task.status.exit_reason));
-        p.pack(remote_task.machine);
-        p.pack(remote_task.zone);
-        p.pack((remote_task.resources_unknown ? 1 : 0) + (remote_task.draining ? 2 : 0) +
-               (remote_task.preemption_notice ? 4 : 0));
+void pack_inventory(Packer& packer, const InventoryRecord& inventory) {
+    packer.pack_map(7);
+    pack_field(packer, "for_term", inventory.for_term);
+    pack_field(packer, "term", inventory.term);
+    pack_field(packer, "version", inventory.version);
+    pack_field(packer, "pages", inventory.pages);
+    pack_key(packer, "shares");
+    pack_shard_inventories(packer, inventory.shards);
+    pack_key(packer, "held");
+    packer.pack_array(static_cast<std::uint32_t>(inventory.tasks.size()));
+    for (const auto& remote_task : inventory.tasks) {
+        packer.pack_array(7);
+        packer.pack(to_string(remote_task.status.task));
+        packer.pack(remote_task.status.attempt);
+        packer.pack(static_cast<int>(remote_task.status.stage));
+        packer.pack(static_cast<int>(remote_task.status.exit_reason));
+        packer.pack(remote_task.machine);
+        packer.pack(remote_task.zone);
+        packer.pack((remote_task.resources_unknown ? 1 : 0) + (remote_task.draining ? 2 : 0) +
+                    (remote_task.preemption_notice ? 4 : 0));
     }
-    key(p, "open");
-    p.pack_array(static_cast<std::uint32_t>(a.pending_launches.size()));
-    for (const auto& id : a.pending_launches) {
-        p.pack_array(2);
-        p.pack(id.attempt);
-        p.pack(id.index);
+    pack_key(packer, "open");
+    packer.pack_array(static_cast<std::uint32_t>(inventory.pending_launches.size()));
+    for (const auto& id : inventory.pending_launches) {
+        packer.pack_array(2);
+        packer.pack(id.attempt);
+        packer.pack(id.index);
     }
 }
 
-InventoryRecord inventory_of(const Fields& f) {
-    InventoryRecord a;
-    a.for_term = f.integer("for_term");
-    a.term = f.integer("term");
-    a.version = f.integer("version");
-    a.pages = index_of(f.need("pages"), "pages");
-    for (const auto* item : f.list("shares")) {
-        a.shards.push_back(listing_of(*item));
+InventoryRecord unpack_inventory(const Fields& fields) {
+    InventoryRecord inventory;
+    inventory.for_term = fields.integer("for_term");
+    inventory.term = fields.integer("term");
+    inventory.version = fields.integer("version");
+    inventory.pages = unpack_index(fields.required("pages"), "pages");
+    for (const auto* item : fields.list("shares")) {
+        inventory.shards.push_back(unpack_shard_inventory(*item));
     }
-    for (const auto* item : f.list("held")) {
-        auto h = Fields::list_of(*item, "held");
-        if (h.size() != 7 || Fields::integer_of(*h[2], "held") >= kStages.size() ||
-            Fields::integer_of(*h[3], "held") >= kWhys.size()) {
+    for (const auto* item : fields.list("held")) {
+        auto values = Fields::as_list(*item, "held");
+        if (values.size() != 7 ||
+            Fields::as_integer(*values[2], "held") >= kTaskStageNames.size() ||
+            Fields::as_integer(*values[3], "held") >= kExitReasonNames.size()) {
             throw MessageError("held: not a task");
         }
-        std::uint64_t flags = Fields::integer_of(*h[6], "held");
-        a.tasks.push_back(
-            {{task_of(Fields::text_of(*h[0], "held")), Fields::integer_of(*h[1], "held"),
-              static_cast<TaskStage>(Fields::integer_of(*h[2], "held")),
-              static_cast<ExitReason>(Fields::integer_of(*h[3], "held"))},
-             Fields::text_of(*h[4], "held"),
-             Fields::text_of(*h[5], "held"),
+        std::uint64_t flags = Fields::as_integer(*values[6], "held");
+        inventory.tasks.push_back(
+            {{parse_task_id(Fields::as_text(*values[0], "held")),
+              Fields::as_integer(*values[1], "held"),
+              static_cast<TaskStage>(Fields::as_integer(*values[2], "held")),
+              static_cast<ExitReason>(Fields::as_integer(*values[3], "held"))},
+             Fields::as_text(*values[4], "held"),
+             Fields::as_text(*values[5], "held"),
              (flags & 1) != 0,
              (flags & 2) != 0,
              (flags & 4) != 0});
     }
-    for (const auto* item : f.list("open")) {
-        auto id = Fields::list_of(*item, "open");
+    for (const auto* item : fields.list("open")) {
+        auto id = Fields::as_list(*item, "open");
         if (id.size() != 2) {
             throw MessageError("open: not a start");
         }
-        a.pending_launches.push_back(
-            {Fields::integer_of(*id[0], "open"), index_of(*id[1], "open")});
+        inventory.pending_launches.push_back(
+            {Fields::as_integer(*id[0], "open"), unpack_index(*id[1], "open")});
     }
-    return a;
+    return inventory;
 }
 
-void pack_lease_extension_request(Packer& p, const LeaseExtensionRequest& request) {
-    p.pack_map(5);
-    field(p, "part", request.partition);
-    field(p, "term", request.term);
-    field(p, "for_s", request.duration_s);
-    field(p, "silent_s", request.cancellations_age_s);
-    field(p, "config", request.quota_revision);
+void pack_lease_extension_request(Packer& packer, const LeaseExtensionRequest& request) {
+    packer.pack_map(5);
+    pack_field(packer, "part", request.partition);
+    pack_field(packer, "term", request.term);
+    pack_field(packer, "for_s", request.duration_s);
+    pack_field(packer, "silent_s", request.cancellations_age_s);
+    pack_field(packer, "config", request.quota_revision);
 }
 
-void pack_lease_extension_response(Packer& p, const LeaseExtensionResponse& response) {
-    p.pack_map(4);
-    field(p, "reaches", response.store_reachable);
-    field(p, "given", response.granted);
-    field(p, "cancelled", response.cancelled_jobs);
-    key(p, "teams");
-    p.pack_array(static_cast<std::uint32_t>(response.quota_changes.size()));
+void pack_lease_extension_response(Packer& packer, const LeaseExtensionResponse& response) {
+    packer.pack_map(4);
+    pack_field(packer, "reaches", response.store_reachable);
+    pack_field(packer, "given", response.granted);
+    pack_field(packer, "cancelled", response.cancelled_jobs);
+    pack_key(packer, "teams");
+    packer.pack_array(static_cast<std::uint32_t>(response.quota_changes.size()));
     for (const auto& change : response.quota_changes) {
-        p.pack_map(3);
-        field(p, "team", change.team);
-        field(p, "revision", change.revision);
-        key(p, "record");
-        pack_record(p, QuotaRecord{change.quota.value_or(TeamQuota{})});
+        packer.pack_map(3);
+        pack_field(packer, "team", change.team);
+        pack_field(packer, "revision", change.revision);
+        pack_key(packer, "record");
+        pack_record(packer, QuotaRecord{change.quota.value_or(TeamQuota{})});
     }
 }
 
-LeaseExtensionResponse lease_extension_response_of(const Fields& f) {
+LeaseExtensionResponse unpack_lease_extension_response(const Fields& fields) {
     LeaseExtensionResponse response{
-        f.flag("reaches"), f.flag("given"), names_of(f, "cancelled"), {}};
-    if (f.get("teams")) { // a node of the version before says nothing of them
-        for (const auto* item : f.list("teams")) {
-            Fields c(*item);
-            response.quota_changes.push_back(
-                {c.text("team"), quota_of(Fields(c.need("record"))), c.integer("revision")});
+        fields.flag("reaches"), fields.flag("given"), unpack_text_list(fields, "cancelled"), {}};
+    if (fields.find("teams")) { // a node of the version before says nothing of them
+        for (const auto* item : fields.list("teams")) {
+            Fields quota_fields(*item);
+            response.quota_changes.push_back({quota_fields.text("team"),
+                                              unpack_quota(Fields(quota_fields.required("record"))),
+                                              quota_fields.integer("revision")});
         }
     }
     return response;
 }
 
-void pack_quota_status(Packer& p, const QuotaStatus& s) {
-    p.pack_map(7);
-    field(p, "revision", s.revision);
-    field(p, "age_s", s.age_s);
-    field(p, "team", s.quota.name);
-    key(p, "record");
-    pack_record(p, QuotaRecord{s.quota});
-    field(p, "in_force", s.effective_revision);
-    field(p, "since_s", s.effective_for_s);
-    field(p, "held", s.blocked);
+void pack_quota_status(Packer& packer, const QuotaStatus& status) {
+    packer.pack_map(7);
+    pack_field(packer, "revision", status.revision);
+    pack_field(packer, "age_s", status.age_s);
+    pack_field(packer, "team", status.quota.name);
+    pack_key(packer, "record");
+    pack_record(packer, QuotaRecord{status.quota});
+    pack_field(packer, "in_force", status.effective_revision);
+    pack_field(packer, "since_s", status.effective_for_s);
+    pack_field(packer, "held", status.blocked);
 }
-QuotaStatus quota_status_of(const Fields& f) {
-    QuotaStatus s;
-    s.revision = f.integer("revision");
-    s.age_s = f.amount("age_s");
-    s.quota = quota_of(Fields(f.need("record")));
-    s.quota.name = f.text("team");
-    s.effective_revision = f.integer("in_force");
-    s.effective_for_s = f.amount("since_s");
-    s.blocked = f.flag("held");
-    return s;
+QuotaStatus unpack_quota_status(const Fields& fields) {
+    QuotaStatus status;
+    status.revision = fields.integer("revision");
+    status.age_s = fields.amount("age_s");
+    status.quota = unpack_quota(Fields(fields.required("record")));
+    status.quota.name = fields.text("team");
+    status.effective_revision = fields.integer("in_force");
+    status.effective_for_s = fields.amount("since_s");
+    status.blocked = fields.flag("held");
+    return status;
 }
 std::string parse_quota_status_query(const std::string& body) {
-    auto handle = unpack(body);
+    auto handle = unpack_body(body);
     return Fields(handle.get()).text("team");
 }
 LeaseExtensionRequest parse_lease_extension_request(const std::string& body) {
-    auto handle = unpack(body);
-    Fields f(handle.get());
+    auto handle = unpack_body(body);
+    Fields fields(handle.get());
     LeaseExtensionRequest request;
-    request.partition = static_cast<int>(std::min<std::uint64_t>(f.integer("part"), 1 << 20));
-    request.term = f.integer("term");
-    request.duration_s = f.amount("for_s");
-    request.cancellations_age_s = f.amount("silent_s");
-    request.quota_revision = f.get("config") ? f.integer("config") : 0;
+    request.partition = static_cast<int>(std::min<std::uint64_t>(fields.integer("part"), 1 << 20));
+    request.term = fields.integer("term");
+    request.duration_s = fields.amount("for_s");
+    request.cancellations_age_s = fields.amount("silent_s");
+    request.quota_revision = fields.find("config") ? fields.integer("config") : 0;
     return request;
 }
 
-void pack_cancellations(Packer& p, const std::vector<std::string>& jobs) {
-    p.pack_map(1);
-    field(p, "jobs", jobs);
+void pack_cancellations(Packer& packer, const std::vector<std::string>& jobs) {
+    packer.pack_map(1);
+    pack_field(packer, "jobs", jobs);
 }
 
 std::vector<std::string> parse_cancellations(const std::string& body) {
-    auto handle = unpack(body);
-    return names_of(Fields(handle.get()), "jobs");
+    auto handle = unpack_body(body);
+    return unpack_text_list(Fields(handle.get()), "jobs");
 }
 
 PeerSyncRequest parse_peer_sync_request(const std::string& body) {
-    auto handle = unpack(body);
-    return exchange_of(Fields(handle.get()));
+    auto handle = unpack_body(body);
+    return unpack_peer_sync_request(Fields(handle.get()));
 }
 
 } // namespace scheduler::wire
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -6,27 +6,27 @@
 
 namespace {
 // Bits as hex text, four tasks a character: values may not be binary.
-std::string hex_of(const std::vector<bool>& bits) {
+std::string bits_to_hex(const std::vector<bool>& bits) {
     static constexpr char kDigits[] = "0123456789abcdef";
-    std::string out;
+    std::string hex;
     for (std::size_t i = 0; i < bits.size(); i += 4) {
         int nibble = 0;
         for (std::size_t j = 0; j < 4 && i + j < bits.size(); ++j) {
             nibble |= bits[i + j] ? 1 << j : 0;
         }
-        out.push_back(kDigits[nibble]);
+        hex.push_back(kDigits[nibble]);
     }
-    return out;
+    return hex;
 }
 
-std::vector<bool> bits_of(const std::string& hex) {
+std::vector<bool> hex_to_bits(const std::string& hex) {
     std::vector<bool> bits;
-    for (char c : hex) {
+    for (char digit : hex) {
         int nibble = 0;
-        if (c >= '0' && c <= '9') {
-            nibble = c - '0';
-        } else if (c >= 'a' && c <= 'f') {
-            nibble = c - 'a' + 10;
+        if (digit >= '0' && digit <= '9') {
+            nibble = digit - '0';
+        } else if (digit >= 'a' && digit <= 'f') {
+            nibble = digit - 'a' + 10;
         } else {
             throw MessageError("bits: not hex");
         }
@@ -37,33 +37,33 @@
     return bits;
 }
 
-constexpr std::uint64_t kShareFormat = 1;
+constexpr std::uint64_t kShardHoldersFormat = 1;
 
-ShardHoldersRecord shares_of(const Fields& f) {
-    if (f.integer("format") != kShareFormat) {
+ShardHoldersRecord unpack_shard_holders(const Fields& fields) {
+    if (fields.integer("format") != kShardHoldersFormat) {
         throw MessageError("shares: unknown format");
     }
-    ShardHoldersRecord r;
-    for (const auto* holder : f.list("holders")) {
-        r.holders.push_back(static_cast<int>(
-            std::min<std::uint64_t>(Fields::integer_of(*holder, "holders"), kMaxPartitions)));
+    ShardHoldersRecord record;
+    for (const auto* holder : fields.list("holders")) {
+        record.holders.push_back(static_cast<int>(
+            std::min<std::uint64_t>(Fields::as_integer(*holder, "holders"), kMaxPartitions)));
     }
-    return r;
+    return record;
 }
 
-InstanceType type_of(const Fields& f) {
+InstanceType unpack_instance_type(const Fields& fields) {
     InstanceType type;
-    type.name = f.text("sku");
-    type.cpus = f.amount("cpus");
-    type.gpus = f.amount("cards");
-    type.ram_gb = f.amount("ram_gb");
-    type.cache_gb = f.amount("cache_gb");
-    type.fetch_gb_per_s = f.amount("pull_gb_per_s");
-    type.price = f.amount("rate");
-    type.spot_price = f.maybe_amount("market_price").value_or(type.price);
-    type.boot_s = f.amount("startup_s");
-    for (const auto* z : f.list("houses")) {
-        type.zones.push_back(Fields::text_of(*z, "houses"));
+    type.name = fields.text("sku");
+    type.cpus = fields.amount("cpus");
+    type.gpus = fields.amount("cards");
+    type.ram_gb = fields.amount("ram_gb");
+    type.cache_gb = fields.amount("cache_gb");
+    type.fetch_gb_per_s = fields.amount("pull_gb_per_s");
+    type.price = fields.amount("rate");
+    type.spot_price = fields.optional_amount("market_price").value_or(type.price);
+    type.boot_s = fields.amount("startup_s");
+    for (const auto* zone : fields.list("houses")) {
+        type.zones.push_back(Fields::as_text(*zone, "houses"));
     }
     if (type.cpus <= 0 || type.ram_gb <= 0) {
         throw MessageError("catalog: empty machine type");
@@ -71,125 +71,126 @@
     return type;
 }
 
-constexpr std::uint64_t kTeamFormat = 1;
+constexpr std::uint64_t kQuotaFormat = 1;
 
-void pack_types(Packer& p, const std::vector<InstanceType>& types) {
-    p.pack_map(1);
-    key(p, "benches");
-    p.pack_array(static_cast<std::uint32_t>(types.size()));
+void pack_instance_types(Packer& packer, const std::vector<InstanceType>& types) {
+    packer.pack_map(1);
+    pack_key(packer, "benches");
+    packer.pack_array(static_cast<std::uint32_t>(types.size()));
     for (const auto& type : types) {
-        p.pack_map(10);
-        field(p, "sku", type.name);
-        field(p, "cpus", type.cpus);
-        field(p, "cards", type.gpus);
-        field(p, "ram_gb", type.ram_gb);
-        field(p, "cache_gb", type.cache_gb);
-        field(p, "pull_gb_per_s", type.fetch_gb_per_s);
-        field(p, "rate", type.price);
-        field(p, "market_price", type.spot_price);
-        field(p, "startup_s", type.boot_s);
-        field(p, "houses", type.zones);
+        packer.pack_map(10);
+        pack_field(packer, "sku", type.name);
+        pack_field(packer, "cpus", type.cpus);
+        pack_field(packer, "cards", type.gpus);
+        pack_field(packer, "ram_gb", type.ram_gb);
+        pack_field(packer, "cache_gb", type.cache_gb);
+        pack_field(packer, "pull_gb_per_s", type.fetch_gb_per_s);
+        pack_field(packer, "rate", type.price);
+        pack_field(packer, "market_price", type.spot_price);
+        pack_field(packer, "startup_s", type.boot_s);
+        pack_field(packer, "houses", type.zones);
     }
 }
 } // namespace
 
-std::vector<InstanceType> instance_types_of(const Fields& f) {
+std::vector<InstanceType> unpack_instance_types(const Fields& fields) {
     std::vector<InstanceType> types;
-    for (const auto* item : f.list("benches")) {
-        types.push_back(type_of(Fields(*item)));
+    for (const auto* item : fields.list("benches")) {
+        types.push_back(unpack_instance_type(Fields(*item)));
     }
     return types;
 }
 
-TeamQuota quota_of(const Fields& f) {
-    if (f.integer("format") != kTeamFormat) {
+TeamQuota unpack_quota(const Fields& fields) {
+    if (fields.integer("format") != kQuotaFormat) {
         throw MessageError("team: unknown format");
     }
     TeamQuota quota;
-    quota.guaranteed_cpus = f.amount("cpus");
-    quota.max_cpus = f.amount("cpus_max");
-    quota.guaranteed_gpus = f.amount("gpus");
-    quota.max_gpus = f.amount("gpus_max");
+    quota.guaranteed_cpus = fields.amount("cpus");
+    quota.max_cpus = fields.amount("cpus_max");
+    quota.guaranteed_gpus = fields.amount("gpus");
+    quota.max_gpus = fields.amount("gpus_max");
     return quota;
 }
 
-void pack_record(Packer& p, const StoredRecord& record) {
+void pack_record(Packer& packer, const StoredRecord& record) {
     if (const auto* job = std::get_if<JobRecord>(&record)) {
-        p.pack_map(job->spec ? 2 : 1);
-        field(p, "outcome", name_of(job->outcome, kOutcomes));
+        packer.pack_map(job->spec ? 2 : 1);
+        pack_field(packer, "outcome", enum_name(job->outcome, kOutcomeNames));
         if (job->spec) {
-            key(p, "job");
-            pack_job(p, *job->spec);
+            pack_key(packer, "job");
+            pack_job(packer, *job->spec);
         }
     } else if (const auto* progress = std::get_if<ProgressRecord>(&record)) {
-        p.pack_map(1);
-        field(p, "bits", hex_of(progress->done));
+        packer.pack_map(1);
+        pack_field(packer, "bits", bits_to_hex(progress->done));
     } else if (const auto* partition = std::get_if<PartitionRecord>(&record)) {
-        p.pack_map(2);
-        field(p, "node", partition->node);
-        field(p, "knows_shares", partition->supports_sharding);
+        packer.pack_map(2);
+        pack_field(packer, "node", partition->node);
+        pack_field(packer, "knows_shares", partition->supports_sharding);
     } else if (const auto* shards = std::get_if<ShardHoldersRecord>(&record)) {
-        p.pack_map(2);
-        field(p, "format", kShareFormat);
-        field(p, "holders", shards->holders);
+        packer.pack_map(2);
+        pack_field(packer, "format", kShardHoldersFormat);
+        pack_field(packer, "holders", shards->holders);
     } else if (const auto* machine = std::get_if<MachineRecord>(&record)) {
-        p.pack_map(4);
-        field(p, "endpoint", machine->endpoint);
-        field(p, "type", machine->type);
-        field(p, "zone", machine->zone);
-        field(p, "spot", machine->spot);
-    } else if (const auto* account = std::get_if<InventoryRecord>(&record)) {
-        pack_inventory(p, *account);
+        packer.pack_map(4);
+        pack_field(packer, "endpoint", machine->endpoint);
+        pack_field(packer, "type", machine->type);
+        pack_field(packer, "zone", machine->zone);
+        pack_field(packer, "spot", machine->spot);
+    } else if (const auto* inventory = std::get_if<InventoryRecord>(&record)) {
+        pack_inventory(packer, *inventory);
     } else if (const auto* catalog = std::get_if<CatalogRecord>(&record)) {
-        pack_types(p, catalog->types);
+        pack_instance_types(packer, catalog->types);
     } else if (const auto* team = std::get_if<QuotaRecord>(&record)) {
-        p.pack_map(5);
-        field(p, "format", kTeamFormat);
-        field(p, "cpus", team->quota.guaranteed_cpus);
-        field(p, "cpus_max", team->quota.max_cpus);
-        field(p, "gpus", team->quota.guaranteed_gpus);
-        field(p, "gpus_max", team->quota.max_gpus);
+        packer.pack_map(5);
+        pack_field(packer, "format", kQuotaFormat);
+        pack_field(packer, "cpus", team->quota.guaranteed_cpus);
+        pack_field(packer, "cpus_max", team->quota.max_cpus);
+        pack_field(packer, "gpus", team->quota.guaranteed_gpus);
+        pack_field(packer, "gpus_max", team->quota.max_gpus);
     } else {
-        p.pack_nil();
+        packer.pack_nil();
     }
 }
 
-StoredRecord record_of(const std::string& key, const msgpack::object& value) {
+StoredRecord unpack_record(const std::string& key, const msgpack::object& value) {
     try {
-        Fields f(value);
+        Fields fields(value);
         if (key.starts_with("job/")) {
-            JobRecord r;
-            r.outcome = enum_of<Outcome>(f.text("outcome"), kOutcomes, "outcome");
-            if (const auto* job = f.get("job")) {
-                r.spec = job_of(Fields(*job));
+            JobRecord record;
+            record.outcome = parse_enum<Outcome>(fields.text("outcome"), kOutcomeNames, "outcome");
+            if (const auto* job = fields.find("job")) {
+                record.spec = unpack_job(Fields(*job));
             }
-            if (!r.spec && r.outcome == Outcome::none) {
+            if (!record.spec && record.outcome == Outcome::none) {
                 return UnreadableRecord{};
             }
-            return r;
+            return record;
         }
         if (key.starts_with("done/")) {
-            return ProgressRecord{bits_of(f.text("bits"))};
+            return ProgressRecord{hex_to_bits(fields.text("bits"))};
         }
         if (key.starts_with("part/")) {
             if (key.ends_with("/shares")) {
-                return shares_of(f);
+                return unpack_shard_holders(fields);
             }
             // A node of the version before does not say that it knows shares.
-            return PartitionRecord{f.text("node"), f.get("knows_shares") && f.flag("knows_shares")};
+            return PartitionRecord{fields.text("node"),
+                                   fields.find("knows_shares") && fields.flag("knows_shares")};
         }
         if (key.starts_with(kQuotaConfigPrefix)) {
-            return QuotaRecord{quota_of(f)};
+            return QuotaRecord{unpack_quota(fields)};
         }
         if (key == "catalog") {
-            return CatalogRecord{instance_types_of(f)};
+            return CatalogRecord{unpack_instance_types(fields)};
         }
         if (key.starts_with("account/")) {
-            return inventory_of(f);
+            return unpack_inventory(fields);
         }
         if (key.starts_with("machine/")) {
-            return MachineRecord{f.text("endpoint"), f.text("type"), f.text("zone"),
-                                 f.flag("spot")};
+            return MachineRecord{fields.text("endpoint"), fields.text("type"), fields.text("zone"),
+                                 fields.flag("spot")};
         }
     } catch (const MessageError&) {
         return UnreadableRecord{};
