--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -1,4 +1,5 @@
-// The answers of this node, its calls to the others and what they answer.
+// Encodes responses and outbound requests, and decodes the responses to them. Messages between
+// controllers, stored records and jobs have files of their own.
 #include "wire/msgpack_fields.h"
 
 namespace scheduler::wire {
@@ -50,6 +51,7 @@
     }
 }
 
+// Percent-encodes a key for use in a path or a query; slashes stay as they are.
 std::string percent_encode(const std::string& text) {
     static constexpr char kHex[] = "0123456789ABCDEF";
     std::string encoded;
@@ -65,6 +67,8 @@
     return encoded;
 }
 
+// Decodes a key's record and version. The caller passes the key, since not each message contains
+// it.
 KeyedRecord unpack_keyed_record(const Fields& fields, const std::string& key) {
     return {key, unpack_record(key, fields.required("data")), fields.integer("graft")};
 }
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -1,4 +1,4 @@
-// Jobs, as users send them.
+// Encodes and decodes job specifications, as users submit them and as the store keeps them.
 #include "wire/msgpack_fields.h"
 
 namespace scheduler::wire {
--- a/src/wire/msgpack_fields.h
+++ b/src/wire/msgpack_fields.h
@@ -1,5 +1,5 @@
-// Reading and writing MessagePack maps strictly: shared by the files of the codec, each of which
-// speaks with one party.
+// Helpers of the codec to read and write MessagePack maps. Reading is strict: a value of the wrong
+// type or out of range is an error.
 #pragma once
 
 #include <algorithm>
@@ -18,6 +18,7 @@
 inline constexpr std::uint32_t kMaxTasksPerJob = 100000;
 inline constexpr std::size_t kMaxTextBytes = 200;
 
+// The names of enum values on the wire, in the order of the values of the enum.
 inline constexpr std::array<std::string_view, 3> kJobKindNames{"batch", "ensemble", "standing"};
 inline constexpr std::array<std::string_view, 4> kPriorityNames{"prod", "high", "standard", "idle"};
 inline constexpr std::array<std::string_view, 3> kOutcomeNames{"none", "done", "aborted"};
@@ -29,6 +30,7 @@
 inline constexpr std::array<std::string_view, 3> kInstanceStateNames{"booting", "running",
                                                                      "failed"};
 
+// Returns the enum value with that name on the wire; throws MessageError if there is none.
 template <class E, std::size_t N>
 E parse_enum(std::string_view text, const std::array<std::string_view, N>& names,
              const char* field) {
@@ -39,12 +41,14 @@
     return static_cast<E>(it - names.begin());
 }
 
+// Returns the name of an enum value on the wire.
 template <class E, std::size_t N>
 std::string_view enum_name(E value, const std::array<std::string_view, N>& names) {
     return names.at(static_cast<std::size_t>(value));
 }
 
-// A map's fields, read strictly: what is there must have the right type and range.
+// Gives typed access to the fields of a MessagePack map. The accessors throw MessageError if a
+// field has the wrong type or is out of range, or if a required field is missing.
 class Fields {
   public:
     explicit Fields(const msgpack::object& object) {
@@ -54,6 +58,7 @@
         map_ = object.via.map;
     }
 
+    // Returns the value of a field, or nullptr if it is missing or nil.
     const msgpack::object* find(std::string_view name) const {
         for (std::uint32_t i = 0; i < map_.size; ++i) {
             const auto& key = map_.ptr[i].key;
@@ -94,6 +99,7 @@
         return as_list(required(name), name);
     }
 
+    // Conversions of a single value; `name` is the field to report in an error.
     static std::string as_text(const msgpack::object& value, const char* name) {
         if (value.type != msgpack::type::STR) {
             throw MessageError(std::string(name) + ": not text");
@@ -136,10 +142,11 @@
     msgpack::object_map map_{};
 };
 
+// Decodes a body that holds exactly one MessagePack value.
 inline msgpack::object_handle unpack_body(const std::string& body) {
     try {
         std::size_t used = 0;
-        // Nesting and sizes are bounded: a body from outside may claim anything.
+        // Sizes and nesting are limited, because a body from outside may declare any size.
         auto handle =
             msgpack::unpack(body.data(), body.size(), used, nullptr, nullptr,
                             msgpack::unpack_limit(1 << 20, 1 << 20, 1 << 20, 1 << 20, 1 << 20, 32));
@@ -152,6 +159,7 @@
     }
 }
 
+// Returns a required text field of 1 to kMaxTextBytes bytes.
 inline std::string short_text(const Fields& fields, const char* name) {
     std::string text = fields.text(name);
     if (text.empty() || text.size() > kMaxTextBytes) {
@@ -160,6 +168,7 @@
     return text;
 }
 
+// Parses a task id of the form "<job id>/<task index>".
 inline TaskId parse_task_id(const std::string& text) {
     auto slash = text.find('/');
     TaskId task;
@@ -186,15 +195,16 @@
     packer.pack(value);
 }
 
-// Jobs as users send them and as the state service keeps them (jobs.cpp).
+// Job specifications (jobs.cpp).
 JobSpec unpack_job(const Fields& fields);
 void pack_job(Packer& packer, const JobSpec& spec);
-// What the state service keeps, and the catalog (records.cpp).
+// Records in the key-value store, and the catalog of instance types (records.cpp). unpack_record
+// returns UnreadableRecord if the value is malformed or the key is unknown.
 void pack_record(Packer& packer, const StoredRecord& record);
 StoredRecord unpack_record(const std::string& key, const msgpack::object& value);
 std::vector<InstanceType> unpack_instance_types(const Fields& fields);
 TeamQuota unpack_quota(const Fields& fields);
-// Between controllers (exchange.cpp).
+// Messages between controllers (peer_messages.cpp).
 void pack_peer_sync_request(Packer& packer, const PeerSyncRequest& request);
 void pack_peer_sync_response(Packer& packer, const PeerSyncResponse& response);
 void pack_lease_extension_request(Packer& packer, const LeaseExtensionRequest& request);
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -1,4 +1,5 @@
-// Between controllers: names are our own.
+// Encodes and decodes the messages between controllers, and the inventory records, which have the
+// same content.
 #include "core/model/partition_assignment.h"
 #include "wire/msgpack_fields.h"
 
@@ -24,7 +25,7 @@
     pack_field(packer, "capacity", capacity.cpu_headroom);
     pack_field(packer, "takes", capacity.accepts_shards);
 }
-constexpr std::uint32_t kDemandAndCapacityFields = 8;
+constexpr std::uint32_t kDemandAndCapacityFields = 8; // number of fields of the function above
 
 Demand unpack_demand(const Fields& fields) {
     Demand demand{fields.amount("ordinary_slots"),
@@ -38,14 +39,15 @@
     return demand;
 }
 
-// A node of the version before says nothing of its processor, and takes no shares.
+// A controller of the previous version sends no CPU headroom and does not accept shards.
 PartitionCapacity unpack_capacity(const Fields& fields) {
     double cpu_headroom = fields.optional_amount("capacity").value_or(1);
     return {fields.amount("ordinary"), fields.amount("spot"), std::clamp(cpu_headroom, 0.01, 1.0),
             fields.find("takes") && fields.flag("takes")};
 }
 
-// There are many of them in each reply: home, number, term, and what of it is listed.
+// Packs each shard as an array without names, because a response has many: home partition, number,
+// term, and flags (1: reconciled, 2: complete).
 void pack_shard_inventories(Packer& packer, const std::vector<ShardInventory>& shards) {
     packer.pack_array(static_cast<std::uint32_t>(shards.size()));
     for (const auto& inventory : shards) {
@@ -106,8 +108,8 @@
     PeerSyncRequest request;
     request.from_partition = static_cast<int>(fields.integer("from"));
     request.term = fields.integer("term");
-    request.sequence =
-        fields.find("number") ? fields.integer("number") : 0; // a node of the version before
+    // A controller of the previous version sends no sequence.
+    request.sequence = fields.find("number") ? fields.integer("number") : 0;
     request.to_partition = static_cast<int>(fields.integer("to"));
     for (const auto* item : fields.list("wants")) {
         Fields slot_fields(*item);
@@ -166,7 +168,7 @@
         request.provisioned.push_back({machine_fields.text("machine"), machine_fields.text("type"),
                                        machine_fields.text("zone"), machine_fields.flag("spot")});
     }
-    if (fields.find("given")) { // a node of the version before gives nothing away
+    if (fields.find("given")) { // missing from a controller of the previous version
         for (const auto* item : fields.list("given")) {
             Fields transfer_fields(*item);
             request.transfers.push_back(
@@ -357,7 +359,8 @@
     return response;
 }
 
-// A listing as a record: in lists without names, as a value holds few KiB.
+// Packs shards, tasks and launches as arrays without names, because the store limits a value to a
+// few KiB.
 void pack_inventory(Packer& packer, const InventoryRecord& inventory) {
     packer.pack_map(7);
     pack_field(packer, "for_term", inventory.for_term);
@@ -455,7 +458,7 @@
 LeaseExtensionResponse unpack_lease_extension_response(const Fields& fields) {
     LeaseExtensionResponse response{
         fields.flag("reaches"), fields.flag("given"), unpack_text_list(fields, "cancelled"), {}};
-    if (fields.find("teams")) { // a node of the version before says nothing of them
+    if (fields.find("teams")) { // missing from a controller of the previous version
         for (const auto* item : fields.list("teams")) {
             Fields quota_fields(*item);
             response.quota_changes.push_back({quota_fields.text("team"),
@@ -477,6 +480,7 @@
     pack_field(packer, "since_s", status.effective_for_s);
     pack_field(packer, "held", status.blocked);
 }
+
 QuotaStatus unpack_quota_status(const Fields& fields) {
     QuotaStatus status;
     status.revision = fields.integer("revision");
@@ -488,10 +492,12 @@
     status.blocked = fields.flag("held");
     return status;
 }
+
 std::string parse_quota_status_query(const std::string& body) {
     auto handle = unpack_body(body);
     return Fields(handle.get()).text("team");
 }
+
 LeaseExtensionRequest parse_lease_extension_request(const std::string& body) {
     auto handle = unpack_body(body);
     Fields fields(handle.get());
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -1,11 +1,12 @@
-// What the state service keeps, by kind of key, and the cloud's catalog.
+// Encodes and decodes the records in the key-value store and the cloud's catalog of instance types.
 #include "core/model/partition_assignment.h"
 #include "wire/msgpack_fields.h"
 
 namespace scheduler::wire {
 
 namespace {
-// Bits as hex text, four tasks a character: values may not be binary.
+// Encodes one bit for each task as hex digits, four tasks a digit: the store takes no binary
+// values.
 std::string bits_to_hex(const std::vector<bool>& bits) {
     static constexpr char kDigits[] = "0123456789abcdef";
     std::string hex;
@@ -37,6 +38,7 @@
     return bits;
 }
 
+// Version of the record's format; a record of another version is unreadable.
 constexpr std::uint64_t kShardHoldersFormat = 1;
 
 ShardHoldersRecord unpack_shard_holders(const Fields& fields) {
@@ -71,6 +73,7 @@
     return type;
 }
 
+// Version of the record's format; a record of another version is unreadable.
 constexpr std::uint64_t kQuotaFormat = 1;
 
 void pack_instance_types(Packer& packer, const std::vector<InstanceType>& types) {
@@ -175,7 +178,7 @@
             if (key.ends_with("/shares")) {
                 return unpack_shard_holders(fields);
             }
-            // A node of the version before does not say that it knows shares.
+            // A controller of the previous version does not write this field.
             return PartitionRecord{fields.text("node"),
                                    fields.find("knows_shares") && fields.flag("knows_shares")};
         }
