--- a/src/cli/config_command.h
+++ b/src/cli/config_command.h
@@ -8,7 +8,7 @@
 
 namespace scheduler::cli {
 
-struct ConfigPut {
+struct QuotaChanges {
     std::string team;
     std::optional<double> cpus; // none: as it is
     std::optional<double> cpus_max;
@@ -19,8 +19,8 @@
 
 // Exit statuses: 0; 1: it was not done, another change has come or nobody answered; 2: bad use,
 // with the key and the reason on standard error.
-int config_put(const Settings& settings, const ConfigPut& put);
-int config_get(const Settings& settings, const std::string& name);
+int config_put(const Settings& settings, const QuotaChanges& changes);
+int config_get(const Settings& settings, const std::string& team);
 int config_list(const Settings& settings);
 
 } // namespace scheduler::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -55,7 +55,7 @@
 int serve(const cli::Settings& settings) {
     set_up_process();
     set_up_log();
-    Controller core(settings.cluster, policy::defaults(settings.cluster));
+    Controller controller(settings.cluster, policy::defaults(settings.cluster));
     net::EventLoop* loop_pointer = nullptr;
     net::Clients clients(
         {settings.store, settings.cloud, settings.peers, settings.cluster.heartbeat_interval_s,
@@ -63,27 +63,28 @@
          settings.store_threads},
         [&](OutboundResponse response) { loop_pointer->push(std::move(response)); });
     net::EventLoop loop(
-        core, [&](const OutboundRequest& call) { clients.send(call); }, write_log);
+        controller, [&](const OutboundRequest& request) { clients.send(request); }, write_log);
     loop_pointer = &loop;
-    net::Server server(loop, {settings.sockets, settings.cluster.heartbeat_interval_s});
-    net::Server back(loop, {settings.sockets, settings.cluster.heartbeat_interval_s},
-                     net::Server::Side::back);
-    double patience_s = settings.cluster.heartbeat_interval_s;
-    if (!server.bind_within(settings.listen_host, settings.listen_port, patience_s) ||
-        !back.bind_within(settings.back_host, settings.back_port, patience_s)) {
+    net::Server server(loop, {settings.max_sockets, settings.cluster.heartbeat_interval_s});
+    net::Server peer_server(loop, {settings.max_sockets, settings.cluster.heartbeat_interval_s},
+                            net::Server::Routes::peers);
+    double bind_timeout_s = settings.cluster.heartbeat_interval_s;
+    if (!server.bind_with_retries(settings.listen_host, settings.listen_port, bind_timeout_s) ||
+        !peer_server.bind_with_retries(settings.peer_listen_host, settings.peer_listen_port,
+                                       bind_timeout_s)) {
         spdlog::error("event=listen_failed listen={}:{} back={}:{}", settings.listen_host,
-                      settings.listen_port, settings.back_host, settings.back_port);
+                      settings.listen_port, settings.peer_listen_host, settings.peer_listen_port);
         return 1;
     }
     spdlog::info("event=server_started node={} listen={}:{}", settings.cluster.node,
                  settings.listen_host, settings.listen_port);
     std::thread acceptor([&] { server.run(); });
-    std::thread back_acceptor([&] { back.run(); });
+    std::thread peer_acceptor([&] { peer_server.run(); });
     loop.run();
     server.stop();
-    back.stop();
+    peer_server.stop();
     acceptor.join();
-    back_acceptor.join();
+    peer_acceptor.join();
     clients.stop();
     return 0;
 }
@@ -99,24 +100,26 @@
     app.set_version_flag("--version", kVersion);
     CLI::App* check = app.add_subcommand("check", "read the settings, say what is wrong");
     check->add_option("--config", config, "the platform's settings (TOML)");
-    CLI::App* config_verb =
+    CLI::App* config_command =
         app.add_subcommand("config", "guarantees and limits of teams, changed while nodes run");
-    config_verb->require_subcommand(1);
-    cli::ConfigPut put;
-    CLI::App* put_verb = config_verb->add_subcommand("put", "change one team's");
-    CLI::App* get_verb = config_verb->add_subcommand("get", "one team's, and which nodes have it");
-    CLI::App* list_verb = config_verb->add_subcommand("list", "all teams'");
-    for (CLI::App* verb : {put_verb, get_verb, list_verb}) {
-        verb->add_option("--config", config, "the platform's settings (TOML)");
+    config_command->require_subcommand(1);
+    cli::QuotaChanges changes;
+    CLI::App* put_command = config_command->add_subcommand("put", "change one team's");
+    CLI::App* get_command =
+        config_command->add_subcommand("get", "one team's, and which nodes have it");
+    CLI::App* list_command = config_command->add_subcommand("list", "all teams'");
+    for (CLI::App* subcommand : {put_command, get_command, list_command}) {
+        subcommand->add_option("--config", config, "the platform's settings (TOML)");
     }
-    for (CLI::App* verb : {put_verb, get_verb}) {
-        verb->add_option("team", put.team, "the team's name")->required();
+    for (CLI::App* subcommand : {put_command, get_command}) {
+        subcommand->add_option("team", changes.team, "the team's name")->required();
     }
-    put_verb->add_option("--cpus", put.cpus, "guaranteed");
-    put_verb->add_option("--cpus-max", put.cpus_max, "at most; 0: no limit");
-    put_verb->add_option("--gpus", put.gpus, "guaranteed");
-    put_verb->add_option("--gpus-max", put.gpus_max, "at most; 0: no limit");
-    put_verb->add_option("--version", put.version, "only over this version; 0: only if unchanged");
+    put_command->add_option("--cpus", changes.cpus, "guaranteed");
+    put_command->add_option("--cpus-max", changes.cpus_max, "at most; 0: no limit");
+    put_command->add_option("--gpus", changes.gpus, "guaranteed");
+    put_command->add_option("--gpus-max", changes.gpus_max, "at most; 0: no limit");
+    put_command->add_option("--version", changes.version,
+                            "only over this version; 0: only if unchanged");
     try {
         app.parse(argc, argv);
     } catch (const CLI::Success& done) {
@@ -132,21 +135,21 @@
     cli::Settings settings;
     try {
         settings = cli::read_settings(config);
-    } catch (const cli::SettingsError& bad) {
-        std::cerr << "cluster-scheduler: " << bad.what() << "\n";
+    } catch (const cli::SettingsError& error) {
+        std::cerr << "cluster-scheduler: " << error.what() << "\n";
         return 2;
     }
     if (check->parsed()) {
         std::cout << "settings are in order\n";
         return 0;
     }
-    if (put_verb->parsed()) {
-        return cli::config_put(settings, put);
+    if (put_command->parsed()) {
+        return cli::config_put(settings, changes);
     }
-    if (get_verb->parsed()) {
-        return cli::config_get(settings, put.team);
+    if (get_command->parsed()) {
+        return cli::config_get(settings, changes.team);
     }
-    if (list_verb->parsed()) {
+    if (list_command->parsed()) {
         return cli::config_list(settings);
     }
     return serve(settings);
--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -11,26 +11,26 @@
 
 // Direct commands at once: many machines may be silent at once, each holding a thread and a socket
 // until its time is up, and the others must not wait behind them.
-constexpr int kLeastOrders = 16;
-constexpr int kSocketsAnOrder = 40;
+constexpr int kMinConcurrentCommands = 16;
+constexpr int kSocketsPerCommand = 40;
 // Calls to the state service at once, two watches among them: when many answers are lost, each such
 // call holds a thread for seconds. With twelve threads and a third of the answers lost, renewals
 // and questions stood behind them and no node was ready for two minutes.
-constexpr int kLeastStateCalls = 12;
-constexpr int kSocketsAStateCall = 20;
+constexpr int kMinStoreThreads = 12;
+constexpr int kSocketsPerStoreThread = 20;
 
 class Reader {
   public:
     Reader(std::string file, const toml::table& root) : file_(std::move(file)), root_(root) {}
 
-    [[noreturn]] void fail(const std::string& key, const std::string& why,
+    [[noreturn]] void fail(const std::string& key, const std::string& reason,
                            const toml::node* node = nullptr) const {
         std::ostringstream out;
         out << file_;
         if (node && node->source().begin.line > 0) {
             out << ":" << node->source().begin.line;
         }
-        out << ": " << key << ": " << why;
+        out << ": " << key << ": " << reason;
         throw SettingsError(out.str());
     }
     std::string text(const std::string& key) const {
@@ -95,95 +95,99 @@
         out << file << ":" << error.source().begin.line << ": " << error.description();
         throw SettingsError(out.str());
     }
-    Reader r(file, root);
-    Settings s;
-    s.cluster.node = r.text("node");
-    r.address("listen", s.listen_host, s.listen_port);
-    r.address("back", s.back_host, s.back_port);
-    s.cluster.partitions.push_back({s.cluster.node, r.text("zone")});
-    s.cloud = r.text("external.cloud");
-    s.store = r.text("external.state");
-    if (const auto* siblings = r.list("siblings")) {
-        for (const auto& node : *siblings) {
-            const auto* t = node.as_table();
-            auto name = t ? (*t)["node"].value<std::string>() : std::nullopt;
-            auto zone = t ? (*t)["zone"].value<std::string>() : std::nullopt;
-            auto address = t ? (*t)["peer_addr"].value<std::string>() : std::nullopt;
+    Reader reader(file, root);
+    Settings settings;
+    settings.cluster.node = reader.text("node");
+    reader.address("listen", settings.listen_host, settings.listen_port);
+    reader.address("back", settings.peer_listen_host, settings.peer_listen_port);
+    settings.cluster.partitions.push_back({settings.cluster.node, reader.text("zone")});
+    settings.cloud = reader.text("external.cloud");
+    settings.store = reader.text("external.state");
+    if (const auto* peers = reader.list("siblings")) {
+        for (const auto& node : *peers) {
+            const auto* table = node.as_table();
+            auto name = table ? (*table)["node"].value<std::string>() : std::nullopt;
+            auto zone = table ? (*table)["zone"].value<std::string>() : std::nullopt;
+            auto address = table ? (*table)["peer_addr"].value<std::string>() : std::nullopt;
             if (!name || !zone || !address) {
-                r.fail("siblings", "node, zone or peer_addr is missing", &node);
+                reader.fail("siblings", "node, zone or peer_addr is missing", &node);
             }
-            s.cluster.partitions.push_back({*name, *zone});
-            s.peers[*name] = *address;
+            settings.cluster.partitions.push_back({*name, *zone});
+            settings.peers[*name] = *address;
         }
     }
     // Every node must number the parts alike, so they go by name.
     std::sort(
-        s.cluster.partitions.begin(), s.cluster.partitions.end(),
+        settings.cluster.partitions.begin(), settings.cluster.partitions.end(),
         [](const PartitionSettings& a, const PartitionSettings& b) { return a.node < b.node; });
-    for (std::size_t p = 0; p < s.cluster.partitions.size(); ++p) {
-        if (s.cluster.partitions[p].node == s.cluster.node) {
-            s.cluster.home_partition = static_cast<int>(p);
+    for (std::size_t i = 0; i < settings.cluster.partitions.size(); ++i) {
+        if (settings.cluster.partitions[i].node == settings.cluster.node) {
+            settings.cluster.home_partition = static_cast<int>(i);
         }
     }
-    if (const auto* zones = r.list("facts.zones")) {
+    if (const auto* zones = reader.list("facts.zones")) {
         for (const auto& zone : *zones) {
             auto name = zone.value<std::string>();
             if (!name) {
-                r.fail("facts.zones", "not text", &zone);
+                reader.fail("facts.zones", "not text", &zone);
             }
-            s.cluster.zones.push_back(*name);
+            settings.cluster.zones.push_back(*name);
         }
     }
-    if (const auto* teams = r.list("facts.teams")) {
+    if (const auto* teams = reader.list("facts.teams")) {
         for (const auto& node : *teams) {
-            const auto* t = node.as_table();
-            auto name = t ? (*t)["name"].value<std::string>() : std::nullopt;
+            const auto* table = node.as_table();
+            auto name = table ? (*table)["name"].value<std::string>() : std::nullopt;
             if (!name) {
-                r.fail("facts.teams.name", "missing", &node);
+                reader.fail("facts.teams.name", "missing", &node);
             }
             TeamQuota quota;
             quota.name = *name;
-            quota.guaranteed_cpus = r.number((*t)["cpus"], "facts.teams.cpus");
-            quota.max_cpus = r.number((*t)["cpus_max"], "facts.teams.cpus_max");
-            quota.guaranteed_gpus = r.number((*t)["gpus"], "facts.teams.gpus");
-            quota.max_gpus = r.number((*t)["gpus_max"], "facts.teams.gpus_max");
-            s.cluster.teams.push_back(std::move(quota));
+            quota.guaranteed_cpus = reader.number((*table)["cpus"], "facts.teams.cpus");
+            quota.max_cpus = reader.number((*table)["cpus_max"], "facts.teams.cpus_max");
+            quota.guaranteed_gpus = reader.number((*table)["gpus"], "facts.teams.gpus");
+            quota.max_gpus = reader.number((*table)["gpus_max"], "facts.teams.gpus_max");
+            settings.cluster.teams.push_back(std::move(quota));
         }
     }
-    if (const auto* objectives = r.list("facts.objectives")) {
+    if (const auto* objectives = reader.list("facts.objectives")) {
         for (const auto& node : *objectives) {
-            const auto* t = node.as_table();
-            std::string kind = t ? (*t)["kind"].value_or<std::string>("") : "";
+            const auto* table = node.as_table();
+            std::string kind = table ? (*table)["kind"].value_or<std::string>("") : "";
             ServiceLevelObjective objective;
-            objective.job_class = t ? (*t)["class"].value_or<std::string>("") : "";
+            objective.job_class = table ? (*table)["class"].value_or<std::string>("") : "";
             if (kind == "finished" || kind == "wait") {
                 objective.kind = kind == "wait" ? ServiceLevelObjective::Kind::wait
                                                 : ServiceLevelObjective::Kind::finished;
-                objective.within_s = r.number((*t)["within_s"], "facts.objectives.within_s");
+                objective.within_s =
+                    reader.number((*table)["within_s"], "facts.objectives.within_s");
             } else if (kind == "deadline") {
                 objective.kind = ServiceLevelObjective::Kind::deadline;
-                objective.times = (*t)["times"].value_or(1.0);
+                objective.times = (*table)["times"].value_or(1.0);
             } else {
                 continue; // not about one class of jobs
             }
-            s.cluster.objectives.push_back(std::move(objective));
+            settings.cluster.objectives.push_back(std::move(objective));
         }
     }
-    s.cluster.heartbeat_interval_s = r.positive("facts.workers.report_s");
-    s.cluster.worker_lease_s = r.positive("facts.workers.lease_s");
-    s.cluster.cancel_s = r.positive("facts.workers.cancel_s");
-    s.cluster.gang_start_timeout_s = r.positive("facts.workers.gang_wait_s");
-    s.cluster.gang_stop_timeout_s = r.positive("facts.workers.gang_peer_s");
-    s.cluster.store_requests_per_s = r.positive("facts.state.rps");
-    s.cluster.store_writes_per_s = r.positive("facts.state.write_rps");
-    s.cluster.store_value_limit_kb = r.positive("facts.state.value_kb");
-    s.cluster.store_transaction_limit = static_cast<int>(r.positive("facts.state.txn_ops"));
-    s.cluster.cloud_requests_per_s = r.positive("facts.cloud.rps");
-    s.cluster.list_lag_s = r.number("facts.cloud.list_lag_s");
-    s.sockets = static_cast<int>(r.positive("facts.machine_limits.sockets"));
-    s.cluster.max_concurrent_commands = std::max(kLeastOrders, s.sockets / kSocketsAnOrder);
-    s.store_threads = std::max(kLeastStateCalls, s.sockets / kSocketsAStateCall);
-    return s;
+    settings.cluster.heartbeat_interval_s = reader.positive("facts.workers.report_s");
+    settings.cluster.worker_lease_s = reader.positive("facts.workers.lease_s");
+    settings.cluster.cancel_s = reader.positive("facts.workers.cancel_s");
+    settings.cluster.gang_start_timeout_s = reader.positive("facts.workers.gang_wait_s");
+    settings.cluster.gang_stop_timeout_s = reader.positive("facts.workers.gang_peer_s");
+    settings.cluster.store_requests_per_s = reader.positive("facts.state.rps");
+    settings.cluster.store_writes_per_s = reader.positive("facts.state.write_rps");
+    settings.cluster.store_value_limit_kb = reader.positive("facts.state.value_kb");
+    settings.cluster.store_transaction_limit =
+        static_cast<int>(reader.positive("facts.state.txn_ops"));
+    settings.cluster.cloud_requests_per_s = reader.positive("facts.cloud.rps");
+    settings.cluster.list_lag_s = reader.number("facts.cloud.list_lag_s");
+    settings.max_sockets = static_cast<int>(reader.positive("facts.machine_limits.sockets"));
+    settings.cluster.max_concurrent_commands =
+        std::max(kMinConcurrentCommands, settings.max_sockets / kSocketsPerCommand);
+    settings.store_threads =
+        std::max(kMinStoreThreads, settings.max_sockets / kSocketsPerStoreThread);
+    return settings;
 }
 
 } // namespace scheduler::cli
--- a/src/cli/settings.h
+++ b/src/cli/settings.h
@@ -16,12 +16,12 @@
     ClusterSettings cluster;
     std::string listen_host;
     int listen_port = 0;
-    std::string back_host;
-    int back_port = 0;
+    std::string peer_listen_host;
+    int peer_listen_port = 0;
     std::map<std::string, std::string> peers; // node: address
     std::string cloud;
     std::string store;
-    int sockets = 0;
+    int max_sockets = 0;
     int store_threads = 0; // calls to the state service at once
 };
 
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -24,93 +24,94 @@
     client->set_write_timeout(std::chrono::milliseconds(int(timeout_s * 1000)));
     return client;
 }
-} // namespace
-
-namespace {
-OutboundResponse perform_on(httplib::Client& client, const OutboundRequest& call,
-                            const wire::HttpRequest& http, double timeout_s) {
+OutboundResponse send_on(httplib::Client& client, const OutboundRequest& request,
+                         const wire::HttpRequest& http, double timeout_s) {
     client.set_read_timeout(std::chrono::milliseconds(int((timeout_s + http.wait_s) * 1000)));
     httplib::Result result = http.method == "GET"
                                  ? client.Get(http.path)
                                  : client.Post(http.path, http.body, wire::kContentType);
-    return result ? wire::decode_response(call.id, call.body, result->status, result->body)
-                  : wire::decode_response(call.id, call.body, 0, "");
+    return result ? wire::decode_response(request.id, request.body, result->status, result->body)
+                  : wire::decode_response(request.id, request.body, 0, "");
 }
 } // namespace
 
-OutboundResponse send_once(const std::string& address, const OutboundBody& call, double timeout_s) {
-    return perform_on(*connect(address, timeout_s), OutboundRequest{0, call},
-                      wire::encode_request(call), timeout_s);
+OutboundResponse send_once(const std::string& address, const OutboundBody& request,
+                           double timeout_s) {
+    return send_on(*connect(address, timeout_s), OutboundRequest{0, request},
+                   wire::encode_request(request), timeout_s);
 }
 
-Clients::Clients(Endpoints endpoints, Deliver deliver)
-    : endpoints_(std::move(endpoints)), deliver_(std::move(deliver)),
+Clients::Clients(ClientSettings settings, ResponseHandler on_response)
+    : settings_(std::move(settings)), on_response_(std::move(on_response)),
       // The budget lets a second's worth of requests go at once.
-      store_(static_cast<std::size_t>(endpoints_.store_threads),
-             10 * endpoints_.heartbeat_interval_s,
-             static_cast<std::size_t>(
-                 std::max<double>(4 * endpoints_.store_threads, endpoints_.store_requests_per_s))),
-      cloud_(kCloudThreads, 2 * endpoints_.heartbeat_interval_s),
-      workers_(static_cast<std::size_t>(endpoints_.worker_threads),
-               2 * endpoints_.heartbeat_interval_s),
-      peers_(kPeerThreads * std::max<std::size_t>(2, endpoints_.peers.size()),
-             2 * endpoints_.heartbeat_interval_s) {}
+      store_pool_(static_cast<std::size_t>(settings_.store_threads),
+                  10 * settings_.heartbeat_interval_s,
+                  static_cast<std::size_t>(std::max<double>(4 * settings_.store_threads,
+                                                            settings_.store_requests_per_s))),
+      cloud_pool_(kCloudThreads, 2 * settings_.heartbeat_interval_s),
+      worker_pool_(static_cast<std::size_t>(settings_.worker_threads),
+                   2 * settings_.heartbeat_interval_s),
+      peer_pool_(kPeerThreads * std::max<std::size_t>(2, settings_.peers.size()),
+                 2 * settings_.heartbeat_interval_s) {}
 
-void Clients::send(const OutboundRequest& call) {
-    bool orders = std::holds_alternative<WorkerCommands>(call.body);
-    bool cloud = std::holds_alternative<ListInstanceTypes>(call.body) ||
-                 std::holds_alternative<ListInstances>(call.body) ||
-                 std::holds_alternative<ScaleOut>(call.body) ||
-                 std::holds_alternative<ScaleIn>(call.body);
-    bool peer = std::holds_alternative<PeerSyncCall>(call.body) ||
-                std::holds_alternative<LeaseExtensionCall>(call.body) ||
-                std::holds_alternative<CancellationCall>(call.body);
-    ThreadPool& pool = peer ? peers_ : orders ? workers_ : cloud ? cloud_ : store_;
-    if (!pool.enqueue([this, call] { perform(call); })) {
-        OutboundResponse none;
-        none.request_id = call.id;
-        none.never_sent = true;
-        deliver_(none);
+void Clients::send(const OutboundRequest& request) {
+    bool to_worker = std::holds_alternative<WorkerCommands>(request.body);
+    bool to_cloud = std::holds_alternative<ListInstanceTypes>(request.body) ||
+                    std::holds_alternative<ListInstances>(request.body) ||
+                    std::holds_alternative<ScaleOut>(request.body) ||
+                    std::holds_alternative<ScaleIn>(request.body);
+    bool to_peer = std::holds_alternative<PeerSyncCall>(request.body) ||
+                   std::holds_alternative<LeaseExtensionCall>(request.body) ||
+                   std::holds_alternative<CancellationCall>(request.body);
+    ThreadPool& pool = to_peer     ? peer_pool_
+                       : to_worker ? worker_pool_
+                       : to_cloud  ? cloud_pool_
+                                   : store_pool_;
+    if (!pool.enqueue([this, request] { execute(request); })) {
+        OutboundResponse not_sent;
+        not_sent.request_id = request.id;
+        not_sent.never_sent = true;
+        on_response_(not_sent);
     }
 }
 
 void Clients::stop() {
-    store_.stop();
-    cloud_.stop();
-    workers_.stop();
-    peers_.stop();
+    store_pool_.stop();
+    cloud_pool_.stop();
+    worker_pool_.stop();
+    peer_pool_.stop();
 }
 
-void Clients::perform(const OutboundRequest& call) {
-    wire::HttpRequest http = wire::encode_request(call.body);
+void Clients::execute(const OutboundRequest& request) {
+    wire::HttpRequest http = wire::encode_request(request.body);
     // A thread keeps one connection to the state service and one to the cloud.
-    static thread_local std::unique_ptr<httplib::Client> kept;
-    std::unique_ptr<httplib::Client> once;
+    static thread_local std::unique_ptr<httplib::Client> thread_client;
+    std::unique_ptr<httplib::Client> new_client;
     httplib::Client* client = nullptr;
-    double timeout_s = endpoints_.heartbeat_interval_s / 2;
+    double timeout_s = settings_.heartbeat_interval_s / 2;
     if (http.service == wire::Service::worker) {
-        timeout_s = endpoints_.heartbeat_interval_s / 4;
+        timeout_s = settings_.heartbeat_interval_s / 4;
     }
     if (http.service == wire::Service::worker || http.service == wire::Service::peer) {
         std::string address = http.endpoint;
         if (http.service == wire::Service::peer) {
-            auto known = endpoints_.peers.find(http.endpoint);
-            address = known == endpoints_.peers.end() ? "" : known->second;
+            auto peer = settings_.peers.find(http.endpoint);
+            address = peer == settings_.peers.end() ? "" : peer->second;
         }
-        once = connect(address, timeout_s);
-        client = once.get();
+        new_client = connect(address, timeout_s);
+        client = new_client.get();
     } else {
         if (http.service == wire::Service::cloud) {
-            timeout_s = endpoints_.heartbeat_interval_s * 2;
+            timeout_s = settings_.heartbeat_interval_s * 2;
         }
-        if (!kept) {
-            kept =
-                connect(http.service == wire::Service::store ? endpoints_.store : endpoints_.cloud,
+        if (!thread_client) {
+            thread_client =
+                connect(http.service == wire::Service::store ? settings_.store : settings_.cloud,
                         timeout_s);
         }
-        client = kept.get();
+        client = thread_client.get();
     }
-    deliver_(perform_on(*client, call, http, timeout_s));
+    on_response_(send_on(*client, request, http, timeout_s));
 }
 
 } // namespace scheduler::net
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -11,7 +11,7 @@
 
 namespace scheduler::net {
 
-struct Endpoints {
+struct ClientSettings {
     std::string store;
     std::string cloud;
     std::map<std::string, std::string> peers; // by node
@@ -23,24 +23,25 @@
 
 // One call on a connection of its own, for commands: to the state service, or to a controller's
 // address for the others.
-OutboundResponse send_once(const std::string& address, const OutboundBody& call, double timeout_s);
+OutboundResponse send_once(const std::string& address, const OutboundBody& request,
+                           double timeout_s);
 
 class Clients {
   public:
-    using Deliver = std::function<void(OutboundResponse)>;
-    Clients(Endpoints endpoints, Deliver deliver);
-    void send(const OutboundRequest& call);
+    using ResponseHandler = std::function<void(OutboundResponse)>;
+    Clients(ClientSettings settings, ResponseHandler on_response);
+    void send(const OutboundRequest& request);
     void stop();
 
   private:
-    void perform(const OutboundRequest& call);
-
-    Endpoints endpoints_;
-    Deliver deliver_;
-    ThreadPool store_;
-    ThreadPool cloud_;
-    ThreadPool workers_;
-    ThreadPool peers_;
+    void execute(const OutboundRequest& request);
+
+    ClientSettings settings_;
+    ResponseHandler on_response_;
+    ThreadPool store_pool_;
+    ThreadPool cloud_pool_;
+    ThreadPool worker_pool_;
+    ThreadPool peer_pool_;
 };
 
 } // namespace scheduler::net
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -17,10 +17,10 @@
         std::deque<Input> batch;
         {
             std::unique_lock lock(mutex_);
-            double left = next_tick - now();
-            if (left > 0 && queue_.empty() && !stopping_) {
-                wake_.wait_for(lock, std::chrono::duration<double>(left),
-                               [this] { return stopping_ || !queue_.empty(); });
+            double remaining_s = next_tick - now();
+            if (remaining_s > 0 && queue_.empty() && !stopping_) {
+                input_available_.wait_for(lock, std::chrono::duration<double>(remaining_s),
+                                          [this] { return stopping_ || !queue_.empty(); });
             }
             if (stopping_) {
                 return;
@@ -28,11 +28,11 @@
             batch.swap(queue_);
         }
         for (auto& input : batch) {
-            execute(core_.handle(now(), std::move(input)));
+            deliver(controller_.handle(now(), std::move(input)));
         }
         if (now() >= next_tick) {
-            execute(core_.handle(now(), TimerTick{}));
-            next_tick = now() + core_.tick_s();
+            deliver(controller_.handle(now(), TimerTick{}));
+            next_tick = now() + controller_.tick_s();
         }
     }
 }
@@ -40,7 +40,7 @@
 void EventLoop::stop() {
     std::lock_guard lock(mutex_);
     stopping_ = true;
-    wake_.notify_all();
+    input_available_.notify_all();
 }
 
 void EventLoop::push(Input input) {
@@ -48,16 +48,16 @@
         std::lock_guard lock(mutex_);
         queue_.push_back(std::move(input));
     }
-    wake_.notify_one();
+    input_available_.notify_one();
 }
 
-std::future<Response> EventLoop::expect(RequestId id) {
+std::future<Response> EventLoop::add_pending(RequestId id) {
     std::lock_guard lock(pending_mutex_);
     return pending_[id].get_future();
 }
 
-std::optional<Response> EventLoop::wait(std::future<Response>& future, RequestId id,
-                                        double timeout_s) {
+std::optional<Response> EventLoop::await_response(std::future<Response>& future, RequestId id,
+                                                  double timeout_s) {
     if (future.wait_for(std::chrono::duration<double>(timeout_s)) == std::future_status::ready) {
         return future.get();
     }
@@ -66,17 +66,17 @@
     return std::nullopt;
 }
 
-void EventLoop::execute(Outputs outputs) {
-    for (const auto& call : outputs.requests) {
-        send_(call);
+void EventLoop::deliver(Outputs outputs) {
+    for (const auto& request : outputs.requests) {
+        send_(request);
     }
     {
         std::lock_guard lock(pending_mutex_);
-        for (auto& answer : outputs.responses) {
-            auto it = pending_.find(answer.request_id);
-            if (it != pending_.end()) {
-                it->second.set_value(std::move(answer));
-                pending_.erase(it);
+        for (auto& response : outputs.responses) {
+            auto pending = pending_.find(response.request_id);
+            if (pending != pending_.end()) {
+                pending->second.set_value(std::move(response));
+                pending_.erase(pending);
             }
         }
     }
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -15,11 +15,11 @@
 
 class EventLoop {
   public:
-    using SendCall = std::function<void(const OutboundRequest&)>;
+    using SendRequest = std::function<void(const OutboundRequest&)>;
     using WriteLog = std::function<void(const LogLine&)>;
 
-    EventLoop(Controller& core, SendCall send, WriteLog log)
-        : core_(core), send_(std::move(send)), log_(std::move(log)) {}
+    EventLoop(Controller& controller, SendRequest send, WriteLog log)
+        : controller_(controller), send_(std::move(send)), log_(std::move(log)) {}
 
     // Runs until `stop`, on the thread that calls it.
     void run();
@@ -29,21 +29,22 @@
     template <class Request> std::optional<Response> submit(Request request, double timeout_s) {
         const RequestId id = next_request_++;
         request.request_id = id;
-        std::future<Response> future = expect(id);
+        std::future<Response> future = add_pending(id);
         push(Input(std::move(request)));
-        return wait(future, id, timeout_s);
+        return await_response(future, id, timeout_s);
     }
 
   private:
-    std::future<Response> expect(RequestId id);
-    std::optional<Response> wait(std::future<Response>& future, RequestId id, double timeout_s);
-    void execute(Outputs outputs);
+    std::future<Response> add_pending(RequestId id);
+    std::optional<Response> await_response(std::future<Response>& future, RequestId id,
+                                           double timeout_s);
+    void deliver(Outputs outputs);
 
-    Controller& core_;
-    SendCall send_;
+    Controller& controller_;
+    SendRequest send_;
     WriteLog log_;
     std::mutex mutex_;
-    std::condition_variable wake_;
+    std::condition_variable input_available_;
     std::deque<Input> queue_;
     bool stopping_ = false;
     std::mutex pending_mutex_;
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -9,20 +9,20 @@
 namespace scheduler::net {
 
 struct ServerLimits {
-    int sockets = 0;
+    int max_sockets = 0;
     double heartbeat_interval_s = 0;
 };
 
 class Server {
   public:
-    // `outside`: for users, workers and health checks; `back`: for the other controllers.
-    enum class Side { outside, back };
-    Server(EventLoop& loop, ServerLimits limits, Side side = Side::outside);
+    // `external`: for users, workers and health checks; `peers`: for the other controllers.
+    enum class Routes { external, peers };
+    Server(EventLoop& loop, ServerLimits limits, Routes routes = Routes::external);
     ~Server();
     // False: the address cannot be had.
     bool bind(const std::string& host, int port);
     // Tries again for so long: the process of before may not be quite gone when this one starts.
-    bool bind_within(const std::string& host, int port, double seconds);
+    bool bind_with_retries(const std::string& host, int port, double timeout_s);
     void run();
     void stop();
     int port() const { return port_; }
--- a/src/net/thread_pool.cpp
+++ b/src/net/thread_pool.cpp
@@ -8,11 +8,11 @@
 
 bool ThreadPool::enqueue(std::function<void()> work) {
     std::unique_lock lock(mutex_);
-    if (stopping_ || queue_.size() >= most_queued_) {
+    if (stopping_ || queue_.size() >= max_queued_) {
         return false;
     }
     queue_.push_back(std::move(work));
-    if (queue_.size() > idle_ && threads_ < most_) {
+    if (queue_.size() > idle_ && threads_ < max_threads_) {
         ++threads_;
         try {
             std::thread([this] { run(); }).detach();
@@ -37,7 +37,7 @@
                 break;
             }
             ++idle_;
-            bool woken = wake_.wait_for(lock, std::chrono::duration<double>(linger_s_),
+            bool woken = wake_.wait_for(lock, std::chrono::duration<double>(idle_timeout_s_),
                                         [this] { return stopping_ || !queue_.empty(); });
             --idle_;
             if (!woken) {
@@ -53,14 +53,14 @@
         lock.lock();
     }
     --threads_;
-    ended_.notify_all();
+    thread_exited_.notify_all();
 }
 
 void ThreadPool::stop() {
     std::unique_lock lock(mutex_);
     stopping_ = true;
     wake_.notify_all();
-    ended_.wait(lock, [this] { return threads_ == 0; });
+    thread_exited_.wait(lock, [this] { return threads_ == 0; });
 }
 
 } // namespace scheduler::net
--- a/src/net/thread_pool.h
+++ b/src/net/thread_pool.h
@@ -10,9 +10,10 @@
 
 class ThreadPool {
   public:
-    // `queue`: work that may wait besides; 0: four times `most`.
-    ThreadPool(std::size_t most, double linger_s, std::size_t queue = 0)
-        : most_(most), most_queued_(queue > 0 ? queue : 4 * most), linger_s_(linger_s) {}
+    // `max_queued`: work that may wait besides; 0: four times `max_threads`.
+    ThreadPool(std::size_t max_threads, double idle_timeout_s, std::size_t max_queued = 0)
+        : max_threads_(max_threads), max_queued_(max_queued > 0 ? max_queued : 4 * max_threads),
+          idle_timeout_s_(idle_timeout_s) {}
     ~ThreadPool() { stop(); }
     ThreadPool(const ThreadPool&) = delete;
     ThreadPool& operator=(const ThreadPool&) = delete;
@@ -25,12 +26,12 @@
   private:
     void run();
 
-    const std::size_t most_;
-    const std::size_t most_queued_;
-    const double linger_s_;
+    const std::size_t max_threads_;
+    const std::size_t max_queued_;
+    const double idle_timeout_s_;
     std::mutex mutex_;
     std::condition_variable wake_;
-    std::condition_variable ended_;
+    std::condition_variable thread_exited_;
     std::deque<std::function<void()>> queue_;
     std::size_t threads_ = 0;
     std::size_t idle_ = 0;
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -26,7 +26,7 @@
 inline constexpr char kLeaseExtensionPath[] = "/promise";
 inline constexpr char kCancellationsPath[] = "/cancelled";
 inline constexpr char kQuotaStatusPath[] = "/config";
-inline constexpr std::size_t kBodyLimit = std::size_t{64} * 1024; // bytes
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 inline constexpr char kContentType[] = "application/msgpack";
 
 // Each of these decodes the body of a request and throws MessageError if it is malformed.
