--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -10,9 +10,10 @@
 namespace scheduler::net {
 
 namespace {
-// Threads of each pool. A call whose answer is lost holds its thread until its time is up.
+// Sizes of the pools. A request whose response is lost occupies its thread until the timeout.
 constexpr std::size_t kCloudThreads = 3;
-constexpr std::size_t kPeerThreads = 4; // to each peer: both parts' exchanges, promise, notice
+// For each peer: the peer syncs of both partitions, a lease extension and a cancellation broadcast.
+constexpr std::size_t kPeerThreads = 4;
 
 std::unique_ptr<httplib::Client> connect(const std::string& address, double timeout_s) {
     auto colon = address.rfind(':');
@@ -24,6 +25,7 @@
     client->set_write_timeout(std::chrono::milliseconds(int(timeout_s * 1000)));
     return client;
 }
+
 OutboundResponse send_on(httplib::Client& client, const OutboundRequest& request,
                          const wire::HttpRequest& http, double timeout_s) {
     client.set_read_timeout(std::chrono::milliseconds(int((timeout_s + http.wait_s) * 1000)));
@@ -43,7 +45,7 @@
 
 Clients::Clients(ClientSettings settings, ResponseHandler on_response)
     : settings_(std::move(settings)), on_response_(std::move(on_response)),
-      // The budget lets a second's worth of requests go at once.
+      // The store rate limiter allows bursts of one second's worth of requests.
       store_pool_(static_cast<std::size_t>(settings_.store_threads),
                   10 * settings_.heartbeat_interval_s,
                   static_cast<std::size_t>(std::max<double>(4 * settings_.store_threads,
@@ -84,7 +86,7 @@
 
 void Clients::execute(const OutboundRequest& request) {
     wire::HttpRequest http = wire::encode_request(request.body);
-    // A thread keeps one connection to the state service and one to the cloud.
+    // Threads of the store and cloud pools reuse their client; workers and peers get a new one.
     static thread_local std::unique_ptr<httplib::Client> thread_client;
     std::unique_ptr<httplib::Client> new_client;
     httplib::Client* client = nullptr;
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -1,5 +1,5 @@
-// Calls to the state service, the cloud, the workers and the other controllers: blocking clients on
-// pools of threads.
+// HTTP clients for the key-value store, the cloud, the workers and the other controllers. Each kind
+// of server has a thread pool, whose threads block while a request is open.
 #pragma once
 
 #include <functional>
@@ -11,26 +11,32 @@
 
 namespace scheduler::net {
 
+// Addresses of the servers, and the settings for timeouts and for the sizes of the pools.
 struct ClientSettings {
     std::string store;
     std::string cloud;
-    std::map<std::string, std::string> peers; // by node
-    double heartbeat_interval_s = 0;          // the measure of all timeouts
-    int worker_threads = 0;                   // calls to workers at once
-    double store_requests_per_s = 0;          // of the state service, for all nodes
-    int store_threads = 0;                    // calls to the state service at once
+    std::map<std::string, std::string> peers; // addresses of the other controllers, by name
+    double heartbeat_interval_s = 0;          // all timeouts are multiples of it
+    int worker_threads = 0;                   // maximum number of concurrent requests to workers
+    double store_requests_per_s = 0;          // rate limit of the store, for all controllers
+    int store_threads = 0;                    // maximum number of concurrent requests to the store
 };
 
-// One call on a connection of its own, for commands: to the state service, or to a controller's
-// address for the others.
+// Sends one request on a new connection and waits for the response. Used by the command line, with
+// the address of the store or the peer address of a controller.
 OutboundResponse send_once(const std::string& address, const OutboundBody& request,
                            double timeout_s);
 
+// Sends the requests of the controller and passes on the responses to them.
 class Clients {
   public:
     using ResponseHandler = std::function<void(OutboundResponse)>;
+    // `on_response` is called on a thread of a pool, or by `send` if a pool's queue is full.
     Clients(ClientSettings settings, ResponseHandler on_response);
+    // Queues a request and returns at once. Each request gets exactly one response: with status 0
+    // if there was no readable response in time, and with `never_sent` if the queue was full.
     void send(const OutboundRequest& request);
+    // Completes the queued requests, then stops the pools.
     void stop();
 
   private:
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,4 +1,5 @@
-// Owns the core: one thread, one queue of inputs, and the way of each output out of it.
+// Runs the controller on a single thread: feeds it inputs from a queue and delivers its outputs,
+// which are requests to other processes, responses to waiting requests, and log lines.
 #pragma once
 
 #include <atomic>
@@ -21,11 +22,14 @@
     EventLoop(Controller& controller, SendRequest send, WriteLog log)
         : controller_(controller), send_(std::move(send)), log_(std::move(log)) {}
 
-    // Runs until `stop`, on the thread that calls it.
+    // Processes inputs and timer ticks on the calling thread until `stop` is called.
     void run();
+    // Makes `run` return; inputs still in the queue are dropped.
     void stop();
+    // Queues an input for the controller.
     void push(Input input);
-    // Puts a request to the core and waits for its answer; none if it does not come in time.
+    // Passes a request to the controller and waits for its response. Returns nullopt if there is no
+    // response within `timeout_s`. Must not be called on the thread of `run`.
     template <class Request> std::optional<Response> submit(Request request, double timeout_s) {
         const RequestId id = next_request_++;
         request.request_id = id;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -17,19 +17,21 @@
 constexpr int kMaxPathBytes = 256;
 constexpr int kListenBacklog = 128;
 constexpr std::size_t kRejectionThreads = 4;
-constexpr double kBindAttempts = 300;
+constexpr double kBindAttempts = 300; // within the timeout of bind_with_retries
 
-// This thread serves a connection that there is no thread for: it is only told to come back.
+// True while this thread serves a connection beyond the limit, which is rejected with status 503.
 thread_local bool rejecting = false;
 
+// Passes accepted connections to a thread pool, and rejects those that the pool cannot take.
 class ConnectionQueue : public httplib::TaskQueue {
   public:
     ConnectionQueue(std::size_t max_threads, double idle_timeout_s)
         : pool_(max_threads, idle_timeout_s), rejection_pool_(kRejectionThreads, idle_timeout_s) {}
-    // A connection that is dropped would keep its socket and its user waiting. So what the pool
-    // cannot take is refused by a few threads of their own, and when these are taken too by the
-    // thread that accepts: what comes then waits in the backlog, and the load balancer tries
-    // another node.
+
+    // A connection that is dropped without a response would stay open and keep its client waiting.
+    // So connections beyond the pool's capacity are rejected by a second pool, and if that is full
+    // too, by the accepting thread. New connections then wait in the listen backlog, and the load
+    // balancer tries another controller.
     void enqueue(std::function<void()> work) override {
         if (pool_.enqueue(work)) {
             return;
@@ -76,7 +78,8 @@
 }
 } // namespace
 
-// The request is read to its end first, or closing the connection could take the answer with it.
+// Wraps a handler so that connections beyond the limit get status 503. httplib has read the whole
+// request by then; closing the connection with unread data could discard the response.
 httplib::Server::Handler reject_if_overloaded(httplib::Server::Handler handler) {
     return [handler = std::move(handler)](const httplib::Request& req, httplib::Response& res) {
         if (rejecting) {
@@ -87,23 +90,24 @@
     };
 }
 
-// httplib listens with a backlog of five, too short for the connections of a burst.
+// httplib listens with a backlog of 5, which is too short for bursts of connections.
 class Server::Http : public httplib::Server {
   public:
     void extend_backlog() { ::listen(svr_sock_, kListenBacklog); }
 };
 
 Server::Server(EventLoop& loop, ServerLimits limits, Routes routes) : loop_(loop), http_(new Http) {
-    // A connection has a thread while it is open. Its idle wait in httplib polls a hundred times
-    // a second, more than these machines can spare for every worker and user, so a connection
-    // serves one request and is closed with its response.
+    // An open connection occupies a thread, and httplib polls an idle connection a hundred times a
+    // second. That is too much CPU time with a connection for each worker and user, so a connection
+    // serves one request and is closed after the response.
     std::size_t threads = std::clamp(limits.max_sockets / 8, 16, 96);
     double idle_timeout_s = limits.heartbeat_interval_s * 4;
     http_->new_task_queue = [threads, idle_timeout_s] {
         return new ConnectionQueue(threads, idle_timeout_s);
     };
-    // The port of a process that has just ended can be had at once, that of one that lives cannot:
-    // httplib's own option would let two processes share it, each with a part of the connections.
+    // SO_REUSEADDR allows a restarted process to bind the port at once, but not while another
+    // process listens on it. httplib sets SO_REUSEPORT by default, with which two processes would
+    // share the port and each get some of the connections.
     http_->set_socket_options([](socket_t socket) {
         int yes = 1;
         ::setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
@@ -114,7 +118,7 @@
     http_->set_write_timeout(std::chrono::milliseconds(int(limits.heartbeat_interval_s * 700)));
     http_->set_tcp_nodelay(true);
     http_->set_payload_max_length(wire::kMaxBodyBytes);
-    // The routes are regular expressions, whose matcher recurses by the length of the path.
+    // Routes are regular expressions, and the matcher's recursion depth grows with the path length.
     http_->set_pre_routing_handler([](const httplib::Request& req, httplib::Response& res) {
         if (req.path.size() > kMaxPathBytes) {
             send_error(res, 404, "no such path");
@@ -127,11 +131,11 @@
             send_error(res, 400, "body over 64 KiB");
         }
     });
-    // Users give up on a submission after 5 s and on a poll after 2 s, workers after 4 s.
+    // Clients time out: users after 5 s for a submission and 2 s for a poll, workers after 4 s.
     double timeout_s = limits.heartbeat_interval_s;
     using Req = const httplib::Request&;
     using Res = httplib::Response&;
-    // A message from the body of a request, put to the core.
+    // Registers a POST route that decodes the body and passes the message to the controller.
     auto post_route = [this](const std::string& path, auto submit) {
         http_->Post(path, reject_if_overloaded([submit](Req req, Res res) {
                         try {
@@ -166,7 +170,7 @@
     post_route(wire::kHeartbeatPath, [this, timeout_s](const std::string& body) {
         return loop_.submit(HeartbeatReceived{0, wire::parse_heartbeat(body)}, timeout_s);
     });
-    // What the path names a job for.
+    // Wraps a handler of a path that contains a job id; an invalid id gets status 404.
     auto job_route = [](auto submit) {
         return reject_if_overloaded([submit](Req req, Res res) {
             std::string id = req.matches[1];
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -1,4 +1,4 @@
-// The HTTP interface for users, workers and health checks.
+// The HTTP servers of a controller, one for users, workers and health checks, one for its peers.
 #pragma once
 
 #include <memory>
@@ -9,20 +9,22 @@
 namespace scheduler::net {
 
 struct ServerLimits {
-    int max_sockets = 0;
-    double heartbeat_interval_s = 0;
+    int max_sockets = 0;             // of the process; sets the number of threads
+    double heartbeat_interval_s = 0; // all timeouts are multiples of it
 };
 
 class Server {
   public:
-    // `external`: for users, workers and health checks; `peers`: for the other controllers.
+    // The paths to serve. external: users, workers and health checks; peers: other controllers.
     enum class Routes { external, peers };
     Server(EventLoop& loop, ServerLimits limits, Routes routes = Routes::external);
     ~Server();
-    // False: the address cannot be had.
+    // Binds the listening socket; port 0 picks a free port. Returns false on failure.
     bool bind(const std::string& host, int port);
-    // Tries again for so long: the process of before may not be quite gone when this one starts.
+    // Retries `bind` for up to `timeout_s`: after a restart the previous process may still hold the
+    // port for a moment.
     bool bind_with_retries(const std::string& host, int port, double timeout_s);
+    // Serves requests on the calling thread until `stop` is called.
     void run();
     void stop();
     int port() const { return port_; }
--- a/src/net/thread_pool.cpp
+++ b/src/net/thread_pool.cpp
@@ -16,7 +16,7 @@
         ++threads_;
         try {
             std::thread([this] { run(); }).detach();
-        } catch (const std::system_error&) { // the threads there are will come to it
+        } catch (const std::system_error&) { // no new thread: existing ones run the work
             --threads_;
             if (threads_ == 0) {
                 queue_.pop_back();
--- a/src/net/thread_pool.h
+++ b/src/net/thread_pool.h
@@ -1,4 +1,4 @@
-// Threads that grow with the work up to a limit, and go away again when there is little to do.
+// A thread pool that starts threads as work arrives, up to a limit, and ends idle ones.
 #pragma once
 
 #include <condition_variable>
@@ -10,7 +10,8 @@
 
 class ThreadPool {
   public:
-    // `max_queued`: work that may wait besides; 0: four times `max_threads`.
+    // A thread ends after `idle_timeout_s` without work. At most `max_queued` pieces of work wait
+    // for a thread; 0 means four times `max_threads`.
     ThreadPool(std::size_t max_threads, double idle_timeout_s, std::size_t max_queued = 0)
         : max_threads_(max_threads), max_queued_(max_queued > 0 ? max_queued : 4 * max_threads),
           idle_timeout_s_(idle_timeout_s) {}
@@ -18,9 +19,9 @@
     ThreadPool(const ThreadPool&) = delete;
     ThreadPool& operator=(const ThreadPool&) = delete;
 
-    // False: too much waits already.
+    // Returns false, without queueing the work, if the queue is full or the pool is stopping.
     bool enqueue(std::function<void()> work);
-    // Runs what is queued, then waits for all threads to end.
+    // Runs the queued work to its end, then waits until all threads have ended.
     void stop();
 
   private:
