--- a/src/cli/config_command.cpp
+++ b/src/cli/config_command.cpp
@@ -17,6 +17,7 @@
     std::cerr << "cluster-scheduler: " << reason << "\n";
     return kExitBadUsage;
 }
+
 int failed(const std::string& reason) {
     std::cerr << "cluster-scheduler: " << reason << "\n";
     return kExitFailed;
@@ -40,12 +41,14 @@
     return net::send_once(settings.store, request, settings.cluster.heartbeat_interval_s);
 }
 
-struct StoredQuota { // what the team's key holds
+// A team's quota as read from the store.
+struct StoredQuota {
     bool store_available = false;
     bool readable = true;
-    std::uint64_t version = 0; // 0: there is none
-    TeamQuota quota;           // without one, or an unreadable one, as in the settings
+    std::uint64_t version = 0; // 0: the team has no record
+    TeamQuota quota;           // from the settings if there is no readable record
 };
+
 StoredQuota read_stored_quota(const Settings& settings, const TeamQuota& quota) {
     OutboundResponse response = query_store(settings, StoreGet{kQuotaConfigPrefix + quota.name});
     StoredQuota stored;
@@ -63,8 +66,9 @@
     }
     return stored;
 }
+
 std::string store_failure(const Settings& settings) {
-    return "external.state: " + settings.store + " does not answer, or not now";
+    return "external.state: " + settings.store + " does not respond or is unavailable";
 }
 } // namespace
 
@@ -77,9 +81,9 @@
     if (!current.store_available) {
         return failed(store_failure(settings));
     }
-    if (!current.readable) { // it is written over as a whole
-        std::cerr << "cluster-scheduler: what stands there cannot be read, version "
-                  << current.version << "; numbers that are not given are those of the settings\n";
+    if (!current.readable) { // the whole record is replaced
+        std::cerr << "cluster-scheduler: the stored record is unreadable, version "
+                  << current.version << "; values that are not given are taken from the settings\n";
     }
     TeamQuota wanted = current.quota;
     wanted.guaranteed_cpus = changes.cpus.value_or(wanted.guaranteed_cpus);
@@ -101,14 +105,14 @@
     }
     StoredQuota found = read_stored_quota(settings, *quota);
     if (response.status == 409) {
-        return failed("team " + changes.team +
-                      ": not written, another change has come: there is version " +
-                      std::to_string(found.version) + " " + to_string(found.quota) +
-                      "; wanted over version " + std::to_string(version) + " " + to_string(wanted));
+        return failed(
+            "team " + changes.team + ": not written, another change has come: there is version " +
+            std::to_string(found.version) + " " + to_string(found.quota) +
+            "; tried to replace version " + std::to_string(version) + " " + to_string(wanted));
     }
-    if (response.status == 0) { // it may have been written, or may yet be
+    if (response.status == 0) { // the write may have happened, or may still happen
         return failed("team " + changes.team +
-                      ": no answer, it may be written all the same; there is version " +
+                      ": no answer, the change may have been written; there is version " +
                       std::to_string(found.version) + " " + to_string(found.quota));
     }
     return failed("team " + changes.team + ": not written, status " +
@@ -140,7 +144,7 @@
             continue;
         }
         const QuotaStatus& status = *response.quota_status;
-        // A key that was taken away is a change as well, back to the settings.
+        // Without a record (it may have been deleted), the quota of the settings must be in force.
         bool effective = current.version > 0 ? status.effective_revision == current.version
                                              : to_string(status.quota) == to_string(*quota);
         everywhere = everywhere && effective;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// cluster-scheduler: a cluster scheduler. This file wires settings, core and network together.
+// The program cluster-scheduler: parses the command line, and runs a controller or a subcommand.
 #include <malloc.h>
 #include <pthread.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -26,7 +26,7 @@
 
 void set_up_process() {
     std::signal(SIGPIPE, SIG_IGN);
-    // The machines are small: one malloc arena for all threads, and small stacks.
+    // Save memory on small machines: one malloc arena for all threads, and small stacks.
     mallopt(M_ARENA_MAX, 1);
     mallopt(M_TRIM_THRESHOLD, 256 * 1024);
     pthread_attr_t attributes;
@@ -91,35 +91,35 @@
 
 } // namespace
 
-// An exception that reaches main ends the start, as intended.
+// An exception that leaves main ends the process, which is intended.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
-    CLI::App app{"cluster-scheduler, a cluster scheduler for tasks on rented machines"};
+    CLI::App app{"cluster-scheduler, a scheduler for tasks on cloud machines"};
     std::string config;
-    app.add_option("--config", config, "the platform's settings (TOML)");
+    app.add_option("--config", config, "settings file (TOML)");
     app.set_version_flag("--version", kVersion);
-    CLI::App* check = app.add_subcommand("check", "read the settings, say what is wrong");
-    check->add_option("--config", config, "the platform's settings (TOML)");
-    CLI::App* config_command =
-        app.add_subcommand("config", "guarantees and limits of teams, changed while nodes run");
+    CLI::App* check = app.add_subcommand("check", "check the settings file and report errors");
+    check->add_option("--config", config, "settings file (TOML)");
+    CLI::App* config_command = app.add_subcommand(
+        "config", "read or change the quotas of teams while the controllers run");
     config_command->require_subcommand(1);
     cli::QuotaChanges changes;
-    CLI::App* put_command = config_command->add_subcommand("put", "change one team's");
-    CLI::App* get_command =
-        config_command->add_subcommand("get", "one team's, and which nodes have it");
-    CLI::App* list_command = config_command->add_subcommand("list", "all teams'");
+    CLI::App* put_command = config_command->add_subcommand("put", "change the quota of a team");
+    CLI::App* get_command = config_command->add_subcommand(
+        "get", "show the quota of a team and which controllers apply it");
+    CLI::App* list_command = config_command->add_subcommand("list", "show the quotas of all teams");
     for (CLI::App* subcommand : {put_command, get_command, list_command}) {
-        subcommand->add_option("--config", config, "the platform's settings (TOML)");
+        subcommand->add_option("--config", config, "settings file (TOML)");
     }
     for (CLI::App* subcommand : {put_command, get_command}) {
         subcommand->add_option("team", changes.team, "the team's name")->required();
     }
-    put_command->add_option("--cpus", changes.cpus, "guaranteed");
-    put_command->add_option("--cpus-max", changes.cpus_max, "at most; 0: no limit");
-    put_command->add_option("--gpus", changes.gpus, "guaranteed");
-    put_command->add_option("--gpus-max", changes.gpus_max, "at most; 0: no limit");
+    put_command->add_option("--cpus", changes.cpus, "guaranteed CPUs");
+    put_command->add_option("--cpus-max", changes.cpus_max, "maximum CPUs; 0: no limit");
+    put_command->add_option("--gpus", changes.gpus, "guaranteed GPUs");
+    put_command->add_option("--gpus-max", changes.gpus_max, "maximum GPUs; 0: no limit");
     put_command->add_option("--version", changes.version,
-                            "only over this version; 0: only if unchanged");
+                            "replace only this version; 0: only if none is stored");
     try {
         app.parse(argc, argv);
     } catch (const CLI::Success& done) {
@@ -129,7 +129,7 @@
         return 2;
     }
     if (config.empty()) {
-        std::cerr << "cluster-scheduler: --config FILE is needed\n";
+        std::cerr << "cluster-scheduler: --config FILE is required\n";
         return 2;
     }
     cli::Settings settings;
--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -9,16 +9,20 @@
 
 namespace {
 
-// Direct commands at once: many machines may be silent at once, each holding a thread and a socket
-// until its time is up, and the others must not wait behind them.
+// Maximum number of concurrent commands to workers. Many workers may be unreachable at once, and a
+// command to each occupies a thread and a socket until its timeout; commands to the other workers
+// must not wait for these.
 constexpr int kMinConcurrentCommands = 16;
 constexpr int kSocketsPerCommand = 40;
-// Calls to the state service at once, two watches among them: when many answers are lost, each such
-// call holds a thread for seconds. With twelve threads and a third of the answers lost, renewals
-// and questions stood behind them and no node was ready for two minutes.
+
+// Maximum number of concurrent requests to the store, including two watches. A request whose
+// response is lost occupies its thread for seconds: with 12 threads and a third of the responses
+// lost, lease renewals and reads queued up behind these and no controller was ready for two
+// minutes.
 constexpr int kMinStoreThreads = 12;
 constexpr int kSocketsPerStoreThread = 20;
 
+// Typed access to the settings by key. Each accessor throws SettingsError on an invalid value.
 class Reader {
   public:
     Reader(std::string file, const toml::table& root) : file_(std::move(file)), root_(root) {}
@@ -116,7 +120,7 @@
             settings.peers[*name] = *address;
         }
     }
-    // Every node must number the parts alike, so they go by name.
+    // All controllers must number the partitions in the same way, so they are sorted by name.
     std::sort(
         settings.cluster.partitions.begin(), settings.cluster.partitions.end(),
         [](const PartitionSettings& a, const PartitionSettings& b) { return a.node < b.node; });
@@ -165,7 +169,7 @@
                 objective.kind = ServiceLevelObjective::Kind::deadline;
                 objective.times = (*table)["times"].value_or(1.0);
             } else {
-                continue; // not about one class of jobs
+                continue; // other kinds don't apply to a class of jobs
             }
             settings.cluster.objectives.push_back(std::move(objective));
         }
--- a/src/cli/settings.h
+++ b/src/cli/settings.h
@@ -1,4 +1,4 @@
-// The platform's settings file.
+// Reads the settings file of a controller (TOML).
 #pragma once
 
 #include <stdexcept>
@@ -8,6 +8,7 @@
 
 namespace scheduler::cli {
 
+// Thrown if the settings are invalid. what() has the form FILE:LINE: KEY: REASON.
 struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -18,14 +19,14 @@
     int listen_port = 0;
     std::string peer_listen_host;
     int peer_listen_port = 0;
-    std::map<std::string, std::string> peers; // node: address
+    std::map<std::string, std::string> peers; // addresses of the other controllers, by name
     std::string cloud;
     std::string store;
     int max_sockets = 0;
-    int store_threads = 0; // calls to the state service at once
+    int store_threads = 0; // maximum number of concurrent requests to the store
 };
 
-// Throws BadSettings, naming file, key and reason.
+// Reads and checks a settings file. Throws SettingsError for the first error.
 Settings read_settings(const std::string& file);
 
 } // namespace scheduler::cli
