--- a/src/cli/config_command.cpp
+++ b/src/cli/config_command.cpp
@@ -130,11 +130,11 @@
     }
     std::cout << "team=" << name << " version=" << current.version << " "
               << (current.readable ? to_string(current.quota) : "unreadable") << "\n";
-    std::map<std::string, std::string> nodes = settings.peers;
-    nodes[settings.cluster.node] =
+    std::map<std::string, std::string> controllers = settings.peers;
+    controllers[settings.cluster.node] =
         settings.peer_listen_host + ":" + std::to_string(settings.peer_listen_port);
     bool everywhere = true;
-    for (const auto& [node, address] : nodes) {
+    for (const auto& [node, address] : controllers) {
         OutboundResponse response =
             net::send_once(address, QuotaStatusCall{name}, settings.cluster.heartbeat_interval_s);
         if (response.status != 200 || !response.quota_status) {
