--- a/src/cli/settings.h
+++ b/src/cli/settings.h
@@ -8,7 +8,8 @@
 
 namespace scheduler::cli {
 
-// Thrown if the settings are invalid. what() has the form FILE:LINE: KEY: REASON.
+// Thrown if the settings are invalid. what() has the form FILE:LINE: KEY: REASON; errors in the
+// TOML syntax have no KEY.
 struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
