--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// cluster-scheduler: a cluster scheduler. This file wires settings, core and network together.
+// The program cluster-scheduler: parses the command line, and runs a controller or a subcommand.
 #include <malloc.h>
 #include <pthread.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -26,7 +26,7 @@
 
 void set_up_process() {
     std::signal(SIGPIPE, SIG_IGN);
-    // The machines are small: one malloc arena for all threads, and small stacks.
+    // Save memory on small machines: one malloc arena for all threads, and small stacks.
     mallopt(M_ARENA_MAX, 1);
     mallopt(M_TRIM_THRESHOLD, 256 * 1024);
     pthread_attr_t attributes;
@@ -55,7 +55,7 @@
 int serve(const cli::Settings& settings) {
     set_up_process();
     set_up_log();
-    Controller core(settings.cluster, policy::defaults(settings.cluster));
+    Controller controller(settings.cluster, policy::defaults(settings.cluster));
     net::EventLoop* loop_pointer = nullptr;
     net::Clients clients(
         {settings.store, settings.cloud, settings.peers, settings.cluster.heartbeat_interval_s,
@@ -63,60 +63,63 @@
          settings.store_threads},
         [&](OutboundResponse response) { loop_pointer->push(std::move(response)); });
     net::EventLoop loop(
-        core, [&](const OutboundRequest& call) { clients.send(call); }, write_log);
+        controller, [&](const OutboundRequest& request) { clients.send(request); }, write_log);
     loop_pointer = &loop;
-    net::Server server(loop, {settings.sockets, settings.cluster.heartbeat_interval_s});
-    net::Server back(loop, {settings.sockets, settings.cluster.heartbeat_interval_s},
-                     net::Server::Side::back);
-    double patience_s = settings.cluster.heartbeat_interval_s;
-    if (!server.bind_within(settings.listen_host, settings.listen_port, patience_s) ||
-        !back.bind_within(settings.back_host, settings.back_port, patience_s)) {
+    net::Server server(loop, {settings.max_sockets, settings.cluster.heartbeat_interval_s});
+    net::Server peer_server(loop, {settings.max_sockets, settings.cluster.heartbeat_interval_s},
+                            net::Server::Routes::peers);
+    double bind_timeout_s = settings.cluster.heartbeat_interval_s;
+    if (!server.bind_with_retries(settings.listen_host, settings.listen_port, bind_timeout_s) ||
+        !peer_server.bind_with_retries(settings.peer_listen_host, settings.peer_listen_port,
+                                       bind_timeout_s)) {
         spdlog::error("event=listen_failed listen={}:{} back={}:{}", settings.listen_host,
-                      settings.listen_port, settings.back_host, settings.back_port);
+                      settings.listen_port, settings.peer_listen_host, settings.peer_listen_port);
         return 1;
     }
     spdlog::info("event=server_started node={} listen={}:{}", settings.cluster.node,
                  settings.listen_host, settings.listen_port);
     std::thread acceptor([&] { server.run(); });
-    std::thread back_acceptor([&] { back.run(); });
+    std::thread peer_acceptor([&] { peer_server.run(); });
     loop.run();
     server.stop();
-    back.stop();
+    peer_server.stop();
     acceptor.join();
-    back_acceptor.join();
+    peer_acceptor.join();
     clients.stop();
     return 0;
 }
 
 } // namespace
 
-// An exception that reaches main ends the start, as intended.
+// An exception that leaves main ends the process, which is intended.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
-    CLI::App app{"cluster-scheduler, a cluster scheduler for tasks on rented machines"};
+    CLI::App app{"cluster-scheduler, a scheduler for tasks on cloud machines"};
     std::string config;
-    app.add_option("--config", config, "the platform's settings (TOML)");
+    app.add_option("--config", config, "settings file (TOML)");
     app.set_version_flag("--version", kVersion);
-    CLI::App* check = app.add_subcommand("check", "read the settings, say what is wrong");
-    check->add_option("--config", config, "the platform's settings (TOML)");
-    CLI::App* config_verb =
-        app.add_subcommand("config", "guarantees and limits of teams, changed while nodes run");
-    config_verb->require_subcommand(1);
-    cli::ConfigPut put;
-    CLI::App* put_verb = config_verb->add_subcommand("put", "change one team's");
-    CLI::App* get_verb = config_verb->add_subcommand("get", "one team's, and which nodes have it");
-    CLI::App* list_verb = config_verb->add_subcommand("list", "all teams'");
-    for (CLI::App* verb : {put_verb, get_verb, list_verb}) {
-        verb->add_option("--config", config, "the platform's settings (TOML)");
+    CLI::App* check = app.add_subcommand("check", "check the settings file and report errors");
+    check->add_option("--config", config, "settings file (TOML)");
+    CLI::App* config_command = app.add_subcommand(
+        "config", "read or change the quotas of teams while the controllers run");
+    config_command->require_subcommand(1);
+    cli::QuotaChanges changes;
+    CLI::App* put_command = config_command->add_subcommand("put", "change the quota of a team");
+    CLI::App* get_command = config_command->add_subcommand(
+        "get", "show the quota of a team and which controllers apply it");
+    CLI::App* list_command = config_command->add_subcommand("list", "show the quotas of all teams");
+    for (CLI::App* subcommand : {put_command, get_command, list_command}) {
+        subcommand->add_option("--config", config, "settings file (TOML)");
     }
-    for (CLI::App* verb : {put_verb, get_verb}) {
-        verb->add_option("team", put.team, "the team's name")->required();
+    for (CLI::App* subcommand : {put_command, get_command}) {
+        subcommand->add_option("team", changes.team, "the team's name")->required();
     }
-    put_verb->add_option("--cpus", put.cpus, "guaranteed");
-    put_verb->add_option("--cpus-max", put.cpus_max, "at most; 0: no limit");
-    put_verb->add_option("--gpus", put.gpus, "guaranteed");
-    put_verb->add_option("--gpus-max", put.gpus_max, "at most; 0: no limit");
-    put_verb->add_option("--version", put.version, "only over this version; 0: only if unchanged");
+    put_command->add_option("--cpus", changes.cpus, "guaranteed CPUs");
+    put_command->add_option("--cpus-max", changes.cpus_max, "maximum CPUs; 0: no limit");
+    put_command->add_option("--gpus", changes.gpus, "guaranteed GPUs");
+    put_command->add_option("--gpus-max", changes.gpus_max, "maximum GPUs; 0: no limit");
+    put_command->add_option("--version", changes.version,
+                            "replace only this version; 0: only if none is stored");
     try {
         app.parse(argc, argv);
     } catch (const CLI::Success& done) {
@@ -126,27 +129,27 @@
         return 2;
     }
     if (config.empty()) {
-        std::cerr << "cluster-scheduler: --config FILE is needed\n";
+        std::cerr << "cluster-scheduler: --config FILE is required\n";
         return 2;
     }
     cli::Settings settings;
     try {
         settings = cli::read_settings(config);
-    } catch (const cli::SettingsError& bad) {
-        std::cerr << "cluster-scheduler: " << bad.what() << "\n";
+    } catch (const cli::SettingsError& error) {
+        std::cerr << "cluster-scheduler: " << error.what() << "\n";
         return 2;
     }
     if (check->parsed()) {
         std::cout << "settings are in order\n";
         return 0;
     }
-    if (put_verb->parsed()) {
-        return cli::config_put(settings, put);
+    if (put_command->parsed()) {
+        return cli::config_put(settings, changes);
     }
-    if (get_verb->parsed()) {
-        return cli::config_get(settings, put.team);
+    if (get_command->parsed()) {
+        return cli::config_get(settings, changes.team);
     }
-    if (list_verb->parsed()) {
+    if (list_command->parsed()) {
         return cli::config_list(settings);
     }
     return serve(settings);
