--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -54,7 +54,7 @@
     spec.image = "img-" + std::to_string(number % 14);
     spec.image_gb = 1;
     spec.spot = true;
-    spec.estimate_s = 25;
+    spec.estimated_run_s = 25;
     return spec;
 }
 
--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -162,7 +162,7 @@
                 objective.within_s = r.number((*t)["within_s"], "facts.objectives.within_s");
             } else if (kind == "deadline") {
                 objective.kind = ServiceLevelObjective::Kind::deadline;
-                objective.times = (*t)["times"].value_or(1.0);
+                objective.deadline_factor = (*t)["times"].value_or(1.0);
             } else {
                 continue; // not about one class of jobs
             }
--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -61,7 +61,7 @@
 void Autoscaler::scale_out(Time now, const ClusterDemand& cluster_demand) {
     for (const ScaleOut& order :
          planner_.plan_scale_out(now, cluster_demand, types_.all(), slots_by_zone())) {
-        requests_.log(LogLevel::info, "event=scale_out_requested order=" + order.order_id +
+        requests_.log(LogLevel::info, "event=scale_out_requested order=" + order.idempotency_key +
                                           " zone=" + order.zone +
                                           " spot=" + (order.spot ? "1" : "0") +
                                           " count=" + std::to_string(order.count));
--- a/src/core/autoscaling/capacity_planner.cpp
+++ b/src/core/autoscaling/capacity_planner.cpp
@@ -69,7 +69,7 @@
     add_pending(types, slots, zones);
     order_lacking(now, types, false, demand.on_demand_slots - slots.on_demand, zones, orders);
     double spare = std::max(0.0, slots.on_demand - demand.on_demand_slots);
-    order_lacking(now, types, true, demand.any_kind_slots - slots.spot - spare, zones, orders);
+    order_lacking(now, types, true, demand.spot_eligible_slots - slots.spot - spare, zones, orders);
     return orders;
 }
 
@@ -151,7 +151,7 @@
 void CapacityPlanner::on_scale_out_response(Time now, const ScaleOut& order, int status,
                                             std::size_t accepted) {
     auto it = std::find_if(pending_.begin(), pending_.end(), [&](const Pending& pending) {
-        return pending.order.order_id == order.order_id;
+        return pending.order.idempotency_key == order.idempotency_key;
     });
     if (it == pending_.end()) {
         return;
@@ -185,14 +185,14 @@
         recent = std::max(current, recent + (current - recent) * decay);
     };
     follow(recent_demand_.on_demand_slots, demand.on_demand_slots);
-    follow(recent_demand_.any_kind_slots, demand.any_kind_slots);
+    follow(recent_demand_.spot_eligible_slots, demand.spot_eligible_slots);
 }
 
 // The slots of the kind that the recent demand needs, with some spare capacity.
 double CapacityPlanner::wanted_slots(const ClusterDemand& demand, bool spot) const {
-    double beyond_spot = std::max(0.0, recent_demand_.any_kind_slots - demand.spot_slots);
+    double beyond_spot = std::max(0.0, recent_demand_.spot_eligible_slots - demand.spot_slots);
     double wanted =
-        spot ? recent_demand_.any_kind_slots : recent_demand_.on_demand_slots + beyond_spot;
+        spot ? recent_demand_.spot_eligible_slots : recent_demand_.on_demand_slots + beyond_spot;
     if (wanted < 1) {
         return 0; // a decaying peak never reaches 0 quite
     }
@@ -304,7 +304,8 @@
         return false;
     }
     double& existing = machine.spot ? slots.spot : slots.on_demand;
-    double wanted = machine.spot ? recent_demand_.any_kind_slots : recent_demand_.on_demand_slots;
+    double wanted =
+        machine.spot ? recent_demand_.spot_eligible_slots : recent_demand_.on_demand_slots;
     if (existing - machine.type.slots() < wanted - 1) {
         return false;
     }
--- a/src/core/autoscaling/demand_tracker.cpp
+++ b/src/core/autoscaling/demand_tracker.cpp
@@ -103,7 +103,8 @@
         factor = static_cast<double>(std::min(stuck_periods, 2 * zones.size()));
         demand.zone_bound_slots[zones[stuck_periods % zones.size()]] += 2 * pending.count * slots;
     }
-    (spec.spot ? demand.any_kind_slots : demand.on_demand_slots) += factor * pending.count * slots;
+    (spec.spot ? demand.spot_eligible_slots : demand.on_demand_slots) +=
+        factor * pending.count * slots;
 }
 
 // Adds what runs, and what must run for the pending tasks to be done within the horizon. A task
@@ -113,9 +114,9 @@
     double horizon_s = policy_.scale_out_horizon_boots * pending.type.boot_s;
     double slots_per_pending = spec.kind == JobKind::service
                                    ? 1
-                                   : std::min(1.0, std::max(spec.estimate_s, 1.0) / horizon_s);
+                                   : std::min(1.0, std::max(spec.estimated_run_s, 1.0) / horizon_s);
     double tasks = job.placed + std::ceil(pending.count * slots_per_pending);
-    (spec.spot ? need.any_kind_slots : need.on_demand_slots) += tasks * pending.slots_per_task;
+    (spec.spot ? need.spot_eligible_slots : need.on_demand_slots) += tasks * pending.slots_per_task;
     need.cpus += tasks * spec.cpus;
     need.gpus += tasks * spec.gpus;
 }
@@ -159,7 +160,7 @@
     for (const auto& [team, need] : needs) {
         double fraction = quota_fraction(team, need);
         demand.on_demand_slots += need.on_demand_slots * fraction;
-        demand.any_kind_slots += need.any_kind_slots * fraction;
+        demand.spot_eligible_slots += need.spot_eligible_slots * fraction;
     }
     return demand;
 }
@@ -199,7 +200,7 @@
     cluster_demand.spot_slots = own.capacity.spot_slots;
     for (const auto& [partition, peer] : peers_) {
         cluster_demand.demand.on_demand_slots += peer.demand.on_demand_slots;
-        cluster_demand.demand.any_kind_slots += peer.demand.any_kind_slots;
+        cluster_demand.demand.spot_eligible_slots += peer.demand.spot_eligible_slots;
         cluster_demand.demand.remaining_slot_s += peer.demand.remaining_slot_s;
         for (const auto& [zone, slots] : peer.demand.zone_bound_slots) {
             cluster_demand.demand.zone_bound_slots[zone] += slots;
--- a/src/core/autoscaling/demand_tracker.h
+++ b/src/core/autoscaling/demand_tracker.h
@@ -70,7 +70,7 @@
     // What a team's tasks need, before it is capped by the team's quota.
     struct TeamNeed {
         double on_demand_slots = 0;
-        double any_kind_slots = 0;
+        double spot_eligible_slots = 0;
         double cpus = 0;
         double gpus = 0;
     };
--- a/src/core/jobs/job_persistence.cpp
+++ b/src/core/jobs/job_persistence.cpp
@@ -72,7 +72,7 @@
         }
         bytes_left -= bytes;
         std::string key = progress_key(chunk.job, chunk.chunk);
-        transaction.conditions.push_back({key, job.chunk_version[chunk.chunk]});
+        transaction.conditions.push_back({key, job.chunk_versions[chunk.chunk]});
         if (count == 0 || chunk.job != chunks[count - 1].job) {
             transaction.conditions.push_back({job_key(chunk.job), job.version});
         }
@@ -115,11 +115,11 @@
 }
 
 void JobPersistence::finish_job(Time now, Job& job) {
-    if (job.finish_in_flight || now < job.finish_retry_at) {
+    if (job.outcome_write_in_flight || now < job.outcome_retry_at) {
         return;
     }
     StoreTransaction transaction = completion_transaction(job);
-    job.finish_in_flight =
+    job.outcome_write_in_flight =
         requests_.send_to_store(now, StoreRateLimiter::Use::user, std::move(transaction),
                                 [this, id = job.spec.id](Time at, OutboundResponse& response) {
                                     on_completion_response(at, id, response);
@@ -135,7 +135,7 @@
     int most = std::min(settings_.store_transaction_limit,
                         requests_.max_writes(StoreRateLimiter::Use::user));
     for (std::uint32_t chunk = 0; chunk < jobs_.chunks(job); ++chunk) {
-        if (job.chunk_version[chunk] > 0 && static_cast<int>(transaction.writes.size()) < most) {
+        if (job.chunk_versions[chunk] > 0 && static_cast<int>(transaction.writes.size()) < most) {
             transaction.writes.push_back({progress_key(id, chunk), {}, {}});
         }
     }
@@ -145,8 +145,8 @@
 void JobPersistence::on_completion_response(Time now, const std::string& id,
                                             const OutboundResponse& response) {
     if (Job* job = jobs_.find(id)) {
-        job->finish_in_flight = false;
-        job->finish_retry_at = now + settings_.heartbeat_interval_s / 6;
+        job->outcome_write_in_flight = false;
+        job->outcome_retry_at = now + settings_.heartbeat_interval_s / 6;
     }
     if (leadership_.committed(requests_, response, "outcome")) {
         requests_.log(LogLevel::info, "event=job_completed job=" + id);
--- a/src/core/jobs/job_store.cpp
+++ b/src/core/jobs/job_store.cpp
@@ -19,7 +19,7 @@
     }
     auto it = placed_by_zone.find(zone);
     std::uint32_t placed_in_zone = it == placed_by_zone.end() ? 0 : it->second;
-    return spec.may_spread(placed_in_zone + more_tasks);
+    return spec.allows_tasks_in_zone(placed_in_zone + more_tasks);
 }
 
 Job* JobStore::find(const std::string& id) {
@@ -38,9 +38,9 @@
     job->tasks.assign(spec.tasks, TaskState::waiting);
     job->waiting = TaskSet(spec.tasks);
     std::size_t chunk_count = (spec.tasks + chunk_tasks_ - 1) / chunk_tasks_;
-    job->chunk_changed.assign(chunk_count, 0);
-    job->chunk_saved.assign(chunk_count, 0);
-    job->chunk_version.assign(chunk_count, 0);
+    job->chunk_changes.assign(chunk_count, 0);
+    job->chunk_saved_changes.assign(chunk_count, 0);
+    job->chunk_versions.assign(chunk_count, 0);
     return jobs_.emplace(spec.id, std::move(job)).first->second.get();
 }
 
@@ -50,7 +50,7 @@
     if (!job || chunk >= chunks(*job)) {
         return;
     }
-    job->chunk_version[chunk] = version;
+    job->chunk_versions[chunk] = version;
     for (std::uint32_t i = 0; i < done.size(); ++i) {
         std::uint32_t task = chunk * chunk_tasks_ + i;
         if (done[i] && task < job->spec.tasks && job->tasks[task] == TaskState::waiting) {
@@ -116,7 +116,7 @@
     job.waiting.erase(task);
     ++job.done;
     std::uint32_t chunk = task / chunk_tasks_;
-    ++job.chunk_changed[chunk];
+    ++job.chunk_changes[chunk];
     if (job.open()) {
         dirty_.insert({job.spec.id, chunk});
     }
@@ -135,7 +135,7 @@
 
 bool JobStore::is_durable(const Job& job, std::uint32_t task) const {
     std::uint32_t chunk = task / chunk_tasks_;
-    return job.chunk_saved[chunk] == job.chunk_changed[chunk];
+    return job.chunk_saved_changes[chunk] == job.chunk_changes[chunk];
 }
 
 std::vector<DirtyChunk> JobStore::next_dirty_chunks(std::size_t max_chunks) {
@@ -148,7 +148,7 @@
         }
         const Job& job = *jobs_.at(it->job);
         if (!job.complete()) { // a complete job's bits go with the write of its outcome
-            chunks.push_back({it->job, it->chunk, job.chunk_changed[it->chunk]});
+            chunks.push_back({it->job, it->chunk, job.chunk_changes[it->chunk]});
             last_dirty_ = *it;
         }
     }
@@ -170,15 +170,16 @@
     if (!job) {
         return;
     }
-    job->chunk_version[chunk.chunk] = version;
-    job->chunk_saved[chunk.chunk] = std::max(job->chunk_saved[chunk.chunk], chunk.change);
-    if (job->chunk_saved[chunk.chunk] == job->chunk_changed[chunk.chunk]) {
+    job->chunk_versions[chunk.chunk] = version;
+    job->chunk_saved_changes[chunk.chunk] =
+        std::max(job->chunk_saved_changes[chunk.chunk], chunk.change);
+    if (job->chunk_saved_changes[chunk.chunk] == job->chunk_changes[chunk.chunk]) {
         dirty_.erase({chunk.job, chunk.chunk});
     }
 }
 
 std::uint32_t JobStore::chunks(const Job& job) const {
-    return static_cast<std::uint32_t>(job.chunk_changed.size());
+    return static_cast<std::uint32_t>(job.chunk_changes.size());
 }
 
 } // namespace scheduler
--- a/src/core/jobs/job_store.h
+++ b/src/core/jobs/job_store.h
@@ -24,19 +24,19 @@
     TaskSet waiting;
     std::uint32_t placed = 0;
     std::uint32_t done = 0;
-    std::vector<std::uint64_t> chunk_changed;  // per chunk: number of changes made
-    std::vector<std::uint64_t> chunk_saved;    // ... and how many of them are durable
-    std::vector<std::uint64_t> chunk_version;  // ... of its key, as last written or read; 0: none
+    std::vector<std::uint64_t> chunk_changes;       // per chunk: number of changes made
+    std::vector<std::uint64_t> chunk_saved_changes; // ... and how many of them are durable
+    std::vector<std::uint64_t> chunk_versions; // ... of its key, as last written or read; 0: none
     std::map<std::string, int> placed_by_zone; // placed tasks per zone
-    bool finish_in_flight = false;             // the write of the outcome is in flight
-    Time finish_retry_at = 0;                  // that write failed: no retry before this
+    bool outcome_write_in_flight = false;      // the write of the outcome is in flight
+    Time outcome_retry_at = 0;                 // that write failed: no retry before this
     // Launches that failed on machines which ran other jobs well: the job itself may be at fault,
     // so it backs off for longer each time instead of quarantining machine after machine.
     int failures = 0;
     Time backoff_until = 0;
     Time waiting_since = 0; // it has had tasks to place since then; 0: it has none
     // Older than this leadership: its tasks may run anywhere until the leader is reconciled.
-    bool in_doubt = false;
+    bool unreconciled = false;
     bool awaits_first_task = false; // it starves: the next slot is reserved for it
     bool needs_preemption = false;  // no preemption was possible here: peers are asked to preempt
     Time due = 0;                   // when it is expected to progress; see the partition leader
--- a/src/core/messaging/cloud_messages.h
+++ b/src/core/messaging/cloud_messages.h
@@ -16,7 +16,7 @@
 
 // Orders machines. Safe to repeat: the cloud carries out an order id once.
 struct ScaleOut {
-    std::string order_id;
+    std::string idempotency_key;
     std::string type;
     std::string zone;
     bool spot = false;
--- a/src/core/messaging/peer_messages.h
+++ b/src/core/messaging/peer_messages.h
@@ -74,9 +74,9 @@
 
 // The pending and running work of a partition, in slots.
 struct Demand {
-    double on_demand_slots = 0;  // for jobs that may not use spot machines
-    double any_kind_slots = 0;   // for jobs that may
-    double remaining_slot_s = 0; // estimated run time left, in slot seconds
+    double on_demand_slots = 0;     // for jobs that may not use spot machines
+    double spot_eligible_slots = 0; // for jobs that may
+    double remaining_slot_s = 0;    // estimated run time left, in slot seconds
     // Of the pending work, slots that only one zone can give, by zone.
     std::map<std::string, double> zone_bound_slots;
 };
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -35,16 +35,18 @@
     std::optional<std::vector<std::string>> types; // allowed instance types; none: any
     std::optional<std::string> zone;               // the only allowed zone; none: any
     bool one_zone = false;                         // all tasks in one zone, whichever it is
-    bool spread = false;                           // over several zones, see may_spread
+    bool spread = false;                           // over several zones, see allows_tasks_in_zone
     bool spot = false;                             // may run on spot machines
-    double estimate_s = 0;                         // expected run time of one task
-    double checkpoint_s = 0;          // interval between checkpoints; 0: tasks cannot save
-    double save_s = 0;                // time that a task takes to save its state when stopped
+    double estimated_run_s = 0;                    // expected run time of one task
+    double checkpoint_interval_s = 0; // interval between checkpoints; 0: tasks cannot save
+    double save_duration_s = 0;       // time that a task takes to save its state when stopped
     std::optional<double> deadline_s; // counted from the submission
 
     // Whether `in_zone` tasks may run in one zone: of a spread job, at most half of the tasks,
     // rounded up.
-    bool may_spread(std::uint32_t in_zone) const { return !spread || in_zone <= (tasks + 1) / 2; }
+    bool allows_tasks_in_zone(std::uint32_t in_zone) const {
+        return !spread || in_zone <= (tasks + 1) / 2;
+    }
     // Whether tasks may run on machines of this instance type.
     bool allows_type(const std::string& type) const {
         return !types || std::find(types->begin(), types->end(), type) != types->end();
--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -11,12 +11,12 @@
 // The service-level objective for one class of jobs.
 struct ServiceLevelObjective {
     // `finished`: done within `within_s` of the submission. `wait`: begun within `within_s`.
-    // `deadline`: done within `times` the deadline that the job states.
+    // `deadline`: done within `deadline_factor` the deadline that the job states.
     enum class Kind { finished, wait, deadline };
     Kind kind = Kind::finished;
     std::string job_class;
     double within_s = 0;
-    double times = 1;
+    double deadline_factor = 1;
 };
 
 // A partition. There is one for each configured controller, in the order of the controllers' names;
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -64,8 +64,8 @@
             own_teams_.insert(team);
         }
     }
-    quota_config_known_ = quota_config_.is_known(now, leadership_.since());
-    quotas_.set_known(quota_config_known_);
+    quota_config_known_ = quota_config_.is_current(now, leadership_.since());
+    quotas_.set_limits_known(quota_config_known_);
     failover_.start(now);
 }
 
@@ -407,12 +407,12 @@
     }
     if (job->spec.kind == JobKind::service && (machine.draining || machine.cordoned)) {
         // Replicas move off a machine that is to go; a task of an array may end there.
-        return job->spec.save_s;
+        return job->spec.save_duration_s;
     }
     if (job->spec.kind == JobKind::gang) {
         const GangTracker::Attempt* attempt = gangs_.find(task.job);
         if (attempt && attempt->ending) {
-            return attempt->saves ? kSaveGraceFactor * job->spec.save_s : 0;
+            return attempt->saves ? kSaveGraceFactor * job->spec.save_duration_s : 0;
         }
     }
     return std::nullopt;
@@ -549,7 +549,7 @@
     // After an outage for all, a leader whose leadership had outlived it once started replicas of a
     // job that had been cancelled before, until the first response of its watch.
     return staleness_.is_fresh(now) &&
-           (failover_.reconciled() || (failover_.loaded() && !job.in_doubt)) && job.open() &&
+           (failover_.reconciled() || (failover_.loaded() && !job.unreconciled)) && job.open() &&
            !job.waiting.empty() && now >= job.backoff_until &&
            (job.spec.kind != JobKind::gang || gangs_.may_place(now, job));
 }
@@ -709,10 +709,10 @@
 // Whether the configuration that earlier leaders applied is known, and recent enough to start tasks
 // by.
 void PartitionLeader::refresh_quota_config(Time now) {
-    if (bool known = quota_config_.is_known(now, leadership_.since());
+    if (bool known = quota_config_.is_current(now, leadership_.since());
         known != quota_config_known_) {
         quota_config_known_ = known;
-        quotas_.set_known(known);
+        quotas_.set_limits_known(known);
         queue_.invalidate();
     }
 }
@@ -769,7 +769,7 @@
         ClusterDemand all = demand_.cluster_demand(now);
         requests_.log(LogLevel::info, "event=capacity_sampled wants_on_demand=" +
                                           count(all.demand.on_demand_slots) +
-                                          " wants_any=" + count(all.demand.any_kind_slots) +
+                                          " wants_any=" + count(all.demand.spot_eligible_slots) +
                                           " has_ordinary=" + count(all.on_demand_slots) +
                                           " has_spot=" + count(all.spot_slots));
     }
--- a/src/core/quotas/quota_config.cpp
+++ b/src/core/quotas/quota_config.cpp
@@ -64,7 +64,7 @@
     }
 }
 
-bool QuotaConfig::is_known(Time now, Time leader_since) const {
+bool QuotaConfig::is_current(Time now, Time leader_since) const {
     return known_until_ >= leader_since && now - known_until_ < bound_s_;
 }
 
--- a/src/core/quotas/quota_config.h
+++ b/src/core/quotas/quota_config.h
@@ -41,7 +41,7 @@
     void advance(Time to) { known_until_ = std::max(known_until_, to); }
     // Whether a leader whose leadership began at `leader_since` may start tasks under the quotas in
     // force: they are no older than its leadership, nor than the staleness bound.
-    bool is_known(Time now, Time leader_since) const;
+    bool is_current(Time now, Time leader_since) const;
 
     // The quota in force; null: not a team of the settings.
     const TeamQuota* team(const std::string& name) const;
--- a/src/core/quotas/quota_ledger.cpp
+++ b/src/core/quotas/quota_ledger.cpp
@@ -77,7 +77,7 @@
         return false;
     }
     const Team& t = it->second;
-    return t.quota.allows(t.cpus + t.doubtful_cpus + cpus, t.gpus + t.doubtful_gpus + gpus);
+    return t.quota.allows(t.cpus + t.unreconciled_cpus + cpus, t.gpus + t.unreconciled_gpus + gpus);
 }
 
 bool QuotaLedger::within_guarantee(const std::string& team, double cpus, double gpus) const {
@@ -99,12 +99,13 @@
                     t.quota.amount(t.quota.guaranteed_cpus, t.quota.guaranteed_gpus));
 }
 
-void QuotaLedger::set_doubtful(const std::map<std::string, DoubtfulUsage>& usage_by_team) {
+void QuotaLedger::set_unreconciled_usage(
+    const std::map<std::string, UnreconciledUsage>& usage_by_team) {
     for (auto& [name, t] : quotas_) {
         auto it = usage_by_team.find(name);
         bool known = it == usage_by_team.end();
-        t.doubtful_cpus = known ? 0 : it->second.cpus;
-        t.doubtful_gpus = known ? 0 : it->second.gpus;
+        t.unreconciled_cpus = known ? 0 : it->second.cpus;
+        t.unreconciled_gpus = known ? 0 : it->second.gpus;
     }
 }
 
--- a/src/core/quotas/quota_ledger.h
+++ b/src/core/quotas/quota_ledger.h
@@ -8,7 +8,7 @@
 class QuotaLedger {
   public:
     // What a team's tasks that may be running somewhere use.
-    struct DoubtfulUsage {
+    struct UnreconciledUsage {
         double cpus = 0;
         double gpus = 0;
     };
@@ -20,7 +20,7 @@
     // Of all teams, each in its own measure.
     double total_guarantee() const;
     // Whether the limits are known at all: nothing fits while they are not.
-    void set_known(bool known) { known_ = known; }
+    void set_limits_known(bool known) { known_ = known; }
     // What is used beyond a limit; 0 or less: nothing.
     struct Excess {
         double cpus = 0;
@@ -37,7 +37,7 @@
     // What the team can count on, in its own measure: its guarantee, or what it has beyond that.
     double entitled_amount(const std::string& team) const;
     // Tasks that may be running somewhere count for the limit until they are accounted for.
-    void set_doubtful(const std::map<std::string, DoubtfulUsage>& usage_by_team);
+    void set_unreconciled_usage(const std::map<std::string, UnreconciledUsage>& usage_by_team);
     void add_usage(const std::string& team, double cpus, double gpus);
     void remove_usage(const std::string& team, double cpus, double gpus);
 
@@ -46,8 +46,8 @@
         TeamQuota quota;
         double cpus = 0;
         double gpus = 0;
-        double doubtful_cpus = 0;
-        double doubtful_gpus = 0;
+        double unreconciled_cpus = 0;
+        double unreconciled_gpus = 0;
         bool blocked = false;
     };
     std::map<std::string, Team> quotas_;
--- a/src/core/recovery/failover.cpp
+++ b/src/core/recovery/failover.cpp
@@ -186,7 +186,7 @@
 void Failover::apply_open_job(Time now, const KeyedRecord& item, const JobSpec& spec) {
     Job* added = state_.jobs.add(now, spec, item.version);
     if (added && !loaded()) {
-        added->in_doubt = true;
+        added->unreconciled = true;
     } else if (added) {
         state_.demand.on_job_arrived(now, spec);
         state_.borrower.sync_soon(); // others may have slots where we have none
@@ -319,18 +319,18 @@
 }
 
 void Failover::count_doubtful_usage() {
-    std::map<std::string, QuotaLedger::DoubtfulUsage> doubtful;
+    std::map<std::string, QuotaLedger::UnreconciledUsage> doubtful;
     if (!reconciled()) {
         for (const auto& [id, job] : state_.jobs.all()) {
-            if (job->in_doubt) {
+            if (job->unreconciled) {
                 auto tasks = static_cast<double>(job->waiting.size());
-                QuotaLedger::DoubtfulUsage& usage = doubtful[job->spec.team];
+                QuotaLedger::UnreconciledUsage& usage = doubtful[job->spec.team];
                 usage.cpus += tasks * job->spec.cpus;
                 usage.gpus += tasks * job->spec.gpus;
             }
         }
     }
-    state_.quotas.set_doubtful(doubtful);
+    state_.quotas.set_unreconciled_usage(doubtful);
 }
 
 } // namespace scheduler
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -320,7 +320,7 @@
     requests_.log(LogLevel::info, "event=gang_attempt_ended job=" + id +
                                       " placed=" + std::to_string(job->placed) +
                                       " saves=" + (saves ? "1" : "0"));
-    double grace_s = saves ? kSaveGraceFactor * job->spec.save_s : 0;
+    double grace_s = saves ? kSaveGraceFactor * job->spec.save_duration_s : 0;
     borrower_.stop_job(id, grace_s);
     for (auto& [name, machine] : machines_.all()) {
         stop_tasks_on(now, machine, id, grace_s);
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -10,10 +10,11 @@
 namespace scheduler {
 
 namespace {
-// Work for more than this many times the time left cannot be done in time, although estimates err
-// and a team may get more CPUs than it has now.
+// Work for more than this many times the time left cannot be done in time, although
+// estimates err and a team may get more CPUs than it has now.
 constexpr double kHopelessFactor = 1.5;
-// A job is left behind when it has waited for this many times what its latest objective allows.
+// A job is left behind when it has waited for this many times what its latest objective
+// allows.
 constexpr double kLeftBehindFactor = 2;
 
 // A job that can meet its due time, ordered by the work left.
@@ -58,7 +59,7 @@
 // Tasks that run are half done on average; replicas of services run for ever.
 double PendingQueue::remaining_s(const Job& job) {
     double tasks = static_cast<double>(job.waiting.size()) + 0.5 * job.placed;
-    return job.spec.kind == JobKind::service ? 0 : tasks * job.spec.estimate_s;
+    return job.spec.kind == JobKind::service ? 0 : tasks * job.spec.estimated_run_s;
 }
 
 // What is left of the job takes at least this long, even with all that its team may use.
@@ -68,7 +69,7 @@
     double tasks_left = static_cast<double>(spec.tasks - job.done);
     double amount =
         spec.kind == JobKind::array ? tasks_left * quota->amount(spec.cpus, spec.gpus) : 0;
-    return spec.estimate_s * std::max(1.0, amount / std::max(1.0, quota->limit()));
+    return spec.estimated_run_s * std::max(1.0, amount / std::max(1.0, quota->limit()));
 }
 
 Time PendingQueue::due(Time now, const Job& job) const {
@@ -83,8 +84,9 @@
         if (is_deadline && !job.spec.deadline_s) {
             continue;
         }
-        Time due_at = job.first_seen +
-                      (is_deadline ? *job.spec.deadline_s * objective.times : objective.within_s);
+        Time due_at =
+            job.first_seen +
+            (is_deadline ? *job.spec.deadline_s * objective.deadline_factor : objective.within_s);
         bool is_wait = objective.kind == ServiceLevelObjective::Kind::wait;
         if (due_at > now + (is_wait ? 0 : shortest_s)) {
             next = std::min(next, due_at);
@@ -115,9 +117,9 @@
     return by_team;
 }
 
-// Where a team cannot meet all due times with the CPUs it has, the job with most work left of those
-// due by then is postponed: objectives count jobs, and one large job that would be late all the
-// same makes many small ones late (the rule of Moore and Hodgson).
+// Where a team cannot meet all due times with the CPUs it has, the job with most work
+// left of those due by then is postponed: objectives count jobs, and one large job that would be
+// late all the same makes many small ones late (the rule of Moore and Hodgson).
 void PendingQueue::postpone_hopeless(Time now, const std::string& team, std::vector<Job*>& jobs) {
     std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
         return std::tie(a->spec.priority, a->due, a->spec.id) <
@@ -227,7 +229,7 @@
     for (const auto& objective : settings_.objectives) {
         if (objective.job_class == job.spec.job_class) {
             bool is_deadline = objective.kind == ServiceLevelObjective::Kind::deadline;
-            double deadline_s = job.spec.deadline_s.value_or(0) * objective.times;
+            double deadline_s = job.spec.deadline_s.value_or(0) * objective.deadline_factor;
             latest_s = std::max(latest_s, is_deadline ? deadline_s : objective.within_s);
         }
     }
--- a/src/core/scheduling/quota_evictor.cpp
+++ b/src/core/scheduling/quota_evictor.cpp
@@ -183,14 +183,14 @@
 // What the eviction frees, and what is lost by it.
 void QuotaEvictor::set_costs(EvictionCandidate& candidate, const Job& job) const {
     const JobSpec& spec = job.spec;
-    double save_s = kSaveGraceFactor * spec.save_s;
-    bool saves = spec.checkpoint_s > 0 && save_s <= settings_.worker_lease_s / 2;
+    double save_duration_s = kSaveGraceFactor * spec.save_duration_s;
+    bool saves = spec.checkpoint_interval_s > 0 && save_duration_s <= settings_.worker_lease_s / 2;
     candidate.job_since = job.first_seen;
     candidate.cpus = spec.cpus;
     candidate.gpus = spec.gpus;
     if (saves) {
         candidate.loss = Loss::saving_time;
-        candidate.grace_s = std::max(save_s, settings_.heartbeat_interval_s / 12);
+        candidate.grace_s = std::max(save_duration_s, settings_.heartbeat_interval_s / 12);
     } else {
         candidate.loss = candidate.gang ? Loss::all_run_time : Loss::run_time;
     }
--- a/src/core/scheduling/slot_finder.cpp
+++ b/src/core/scheduling/slot_finder.cpp
@@ -54,9 +54,9 @@
         on_machine += planned_at(query.plan->tasks_by_machine, machine.name);
         in_zone += planned_at(query.plan->tasks_by_zone, machine.zone);
     }
-    bool zone_allowed =
-        query.job ? query.job->allows_zone(machine.zone, in_zone)
-                  : (!spec.zone || *spec.zone == machine.zone) && spec.may_spread(in_zone);
+    bool zone_allowed = query.job ? query.job->allows_zone(machine.zone, in_zone)
+                                  : (!spec.zone || *spec.zone == machine.zone) &&
+                                        spec.allows_tasks_in_zone(in_zone);
     return zone_allowed && (query.zone.empty() || query.zone == machine.zone) &&
            machine.command_in_flight == 0 && machine.available_to(spec.id) &&
            machine.free_cpus() >= on_machine * spec.cpus &&
--- a/src/core/stealing/slot_borrower.cpp
+++ b/src/core/stealing/slot_borrower.cpp
@@ -450,8 +450,9 @@
     if (is_recorded && job->open() && !must_move && !attempt_ends) {
         return false;
     }
-    double grace_s =
-        is_recorded && attempt_ends && attempt->saves ? kSaveGraceFactor * job->spec.save_s : 0;
+    double grace_s = is_recorded && attempt_ends && attempt->saves
+                         ? kSaveGraceFactor * job->spec.save_duration_s
+                         : 0;
     LaunchId id = launch_id(status.attempt, status.task.index);
     peer.commands[{id, remote_task.machine}] = {RemoteTaskCommand::Type::stop, remote_task.machine,
                                                 id, grace_s};
--- a/src/scale/checker.cpp
+++ b/src/scale/checker.cpp
@@ -78,7 +78,7 @@
     std::uint32_t in_zone = ++zones[event.zone];
     if ((event.spot && !spec->spot) || (spec->zone && *spec->zone != event.zone) ||
         !spec->allows_type(settings_.type.name) || (spec->one_zone && elsewhere) ||
-        !spec->may_spread(in_zone)) {
+        !spec->allows_tasks_in_zone(in_zone)) {
         add_violation("wrong_place " + task + " on " + event.machine + " in " + event.zone);
     }
     used_[spec->team] += spec->cpus;
--- a/src/scale/messages.cpp
+++ b/src/scale/messages.cpp
@@ -101,9 +101,9 @@
                  {"one_zone", spec.one_zone},
                  {"spread", spec.spread},
                  {"cuttings", spec.spot},
-                 {"bloom_s", spec.estimate_s},
-                 {"pot_s", spec.checkpoint_s},
-                 {"repot_s", spec.save_s},
+                 {"bloom_s", spec.estimated_run_s},
+                 {"pot_s", spec.checkpoint_interval_s},
+                 {"repot_s", spec.save_duration_s},
                  {"show_s", spec.deadline_s ? Json(*spec.deadline_s) : Json()}});
 }
 
--- a/src/scale/plan.cpp
+++ b/src/scale/plan.cpp
@@ -53,7 +53,7 @@
     spec.job_class = "waiting";
     spec.team = kQueueTeam;
     spec.tasks = 1;
-    spec.estimate_s = kWaitingJobDuration_s;
+    spec.estimated_run_s = kWaitingJobDuration_s;
 }
 } // namespace
 
@@ -212,7 +212,7 @@
     spec.image = "img-" + std::to_string(number % kImages);
     spec.image_gb = kImageGb;
     spec.spot = number % 4 == 1;
-    spec.estimate_s = mean_task_duration_s();
+    spec.estimated_run_s = mean_task_duration_s();
     if (number % 5 == 3) {
         spec.zone = zone(number % kZones);
     }
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -192,7 +192,7 @@
         out.method = "POST";
         out.path = "/hosts";
         p.pack_map(5);
-        field(p, "order", order->order_id);
+        field(p, "order", order->idempotency_key);
         field(p, "bench", order->type);
         field(p, "house", order->zone);
         field(p, "cuttings", order->spot);
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -40,9 +40,9 @@
     spec.one_zone = f.flag("one_zone");
     spec.spread = f.flag("spread");
     spec.spot = f.flag("cuttings");
-    spec.estimate_s = f.amount("bloom_s");
-    spec.checkpoint_s = f.amount("pot_s");
-    spec.save_s = f.amount("repot_s");
+    spec.estimated_run_s = f.amount("bloom_s");
+    spec.checkpoint_interval_s = f.amount("pot_s");
+    spec.save_duration_s = f.amount("repot_s");
     spec.deadline_s = f.maybe_amount("show_s");
     return spec;
 }
@@ -67,9 +67,9 @@
     field(p, "one_zone", spec.one_zone);
     field(p, "spread", spec.spread);
     field(p, "cuttings", spec.spot);
-    field(p, "bloom_s", spec.estimate_s);
-    field(p, "pot_s", spec.checkpoint_s);
-    field(p, "repot_s", spec.save_s);
+    field(p, "bloom_s", spec.estimated_run_s);
+    field(p, "pot_s", spec.checkpoint_interval_s);
+    field(p, "repot_s", spec.save_duration_s);
     key(p, "show_s");
     spec.deadline_s ? p.pack(*spec.deadline_s) : p.pack_nil();
 }
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -9,7 +9,7 @@
 
 void pack_quota_status(Packer& p, const Demand& demand, const PartitionCapacity& fleet) {
     field(p, "ordinary_slots", demand.on_demand_slots);
-    field(p, "any_slots", demand.any_kind_slots);
+    field(p, "any_slots", demand.spot_eligible_slots);
     field(p, "left_slot_s", demand.remaining_slot_s);
     key(p, "bound");
     p.pack_array(static_cast<std::uint32_t>(demand.zone_bound_slots.size()));
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -160,8 +160,8 @@
     w.run_for(20);
     JobSpec gang = w.job("req-1", 40, 2);
     gang.kind = JobKind::gang;
-    gang.checkpoint_s = 5;
-    gang.save_s = 2;
+    gang.checkpoint_interval_s = 5;
+    gang.save_duration_s = 2;
     w.submit(0, gang);
     w.ask_often();
     w.run_for(60);
@@ -186,8 +186,8 @@
     w.submit(0, old);
     w.run_for(60);
     JobSpec saves = w.job("req-2", 20, 2);
-    saves.checkpoint_s = 5;
-    saves.save_s = 1;
+    saves.checkpoint_interval_s = 5;
+    saves.save_duration_s = 1;
     w.submit(0, saves);
     JobSpec young = w.job("req-3", 20, 2);
     w.submit(0, young);
@@ -582,11 +582,11 @@
 }
 
 TEST_F(TeamConfigTest, KnowledgeIsAsOldAsTheQuestionAndGrowsOld) {
-    EXPECT_FALSE(config->is_known(0, 0));
+    EXPECT_FALSE(config->is_current(0, 0));
     config->advance(10);
-    EXPECT_TRUE(config->is_known(11, 10));
-    EXPECT_FALSE(config->is_known(11, 10.5)) << "asked before the claim";
-    EXPECT_FALSE(config->is_known(10 + facts.cancel_s, 10));
+    EXPECT_TRUE(config->is_current(11, 10));
+    EXPECT_FALSE(config->is_current(11, 10.5)) << "asked before the claim";
+    EXPECT_FALSE(config->is_current(10 + facts.cancel_s, 10));
 }
 
 TEST_F(TeamConfigTest, FaultsAreNamedByTheirKey) {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -375,7 +375,7 @@
     world.run_for(3);
     JobSpec service = world.job("req-1", 6);
     service.kind = JobKind::service;
-    service.estimate_s = 0;
+    service.estimated_run_s = 0;
     world.submit(0, service);
     world.run_for(40);
     ASSERT_FALSE(world.machines_of({"req-1", 0}).empty());
@@ -667,8 +667,8 @@
                     spec.tasks = 1 + static_cast<std::uint32_t>(any(4));
                     spec.gpus = gpus ? 1 + any(2) : 0;
                     spec.one_zone = any(2) != 0;
-                    spec.checkpoint_s = 3;
-                    spec.save_s = any(2);
+                    spec.checkpoint_interval_s = 3;
+                    spec.save_duration_s = any(2);
                 } else if (kind == 1) {
                     spec.kind = JobKind::service;
                     spec.tasks = 1 + static_cast<std::uint32_t>(any(3));
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -12,8 +12,8 @@
     JobSpec spec = world.job(id, tasks, 4);
     spec.kind = JobKind::gang;
     spec.gpus = gpus;
-    spec.checkpoint_s = 4;
-    spec.save_s = 1;
+    spec.checkpoint_interval_s = 4;
+    spec.save_duration_s = 1;
     spec.one_zone = true;
     return spec;
 }
@@ -265,7 +265,7 @@
     spec.kind = JobKind::service;
     spec.priority = Priority::production;
     spec.spread = true;
-    spec.estimate_s = 0;
+    spec.estimated_run_s = 0;
     world.run_for(3);
     world.submit(0, spec);
     world.run_for(25);
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -19,7 +19,7 @@
         spec.cpus = cpus;
         spec.ram_gb = cpus;
         spec.spot = true;
-        spec.estimate_s = 10;
+        spec.estimated_run_s = 10;
         return spec;
     }
     // A question at `when` that is answered 0.1 s later.
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -372,8 +372,8 @@
         JobSpec spec = job(id, 12, "red");
         spec.kind = JobKind::gang;
         spec.job_class = "gang";
-        spec.checkpoint_s = 3;
-        spec.save_s = 1;
+        spec.checkpoint_interval_s = 3;
+        spec.save_duration_s = 1;
         return spec;
     };
     std::vector<std::string> services;
--- a/tests/share_test.cpp
+++ b/tests/share_test.cpp
@@ -675,8 +675,8 @@
         JobSpec g = world.job("req-2", 10, 4);
         g.kind = JobKind::gang;
         g.team = "blue";
-        g.checkpoint_s = 5;
-        g.save_s = 1;
+        g.checkpoint_interval_s = 5;
+        g.save_duration_s = 1;
         g.spot = false;
         world.at(world.now() + 5, [&] { world.submit(1, g); });
         world.at(world.now() + 24, [&] {
@@ -897,8 +897,8 @@
                 spec.kind = JobKind::gang;
                 spec.tasks = 2 + static_cast<std::uint32_t>(any(10));
                 spec.one_zone = any(2) != 0;
-                spec.checkpoint_s = 3;
-                spec.save_s = any(2);
+                spec.checkpoint_interval_s = 3;
+                spec.save_duration_s = any(2);
             } else if (kind == 1) {
                 spec.kind = JobKind::service;
                 spec.tasks = 1 + static_cast<std::uint32_t>(any(5));
--- a/tests/simulation/cloud_model.cpp
+++ b/tests/simulation/cloud_model.cpp
@@ -45,7 +45,7 @@
 }
 
 const std::vector<std::string>& CloudModel::rent(const ScaleOut& order) {
-    auto [entry, is_new] = orders_.try_emplace(order.order_id);
+    auto [entry, is_new] = orders_.try_emplace(order.idempotency_key);
     if (is_new) {
         for (int k = 0; k < order.count && workers_.all().size() < capacity_; ++k) {
             entry->second.push_back(add_machine(order));
--- a/tests/simulation/cluster_setup.cpp
+++ b/tests/simulation/cluster_setup.cpp
@@ -79,7 +79,7 @@
     spec.image = "img";
     spec.image_gb = 1;
     spec.spot = true;
-    spec.estimate_s = options.run_s;
+    spec.estimated_run_s = options.run_s;
     return spec;
 }
 
--- a/tests/simulation/judge.cpp
+++ b/tests/simulation/judge.cpp
@@ -255,7 +255,7 @@
 // ---- Who was served ----
 
 double Judge::work(const JobSpec& spec) {
-    return spec.tasks * std::max(spec.cpus, spec.gpus) * spec.estimate_s;
+    return spec.tasks * std::max(spec.cpus, spec.gpus) * spec.estimated_run_s;
 }
 
 // Is the job one to be served?
--- a/tests/simulation/worker_model.cpp
+++ b/tests/simulation/worker_model.cpp
@@ -137,10 +137,10 @@
 
 void WorkerModel::stop(const WorkerCommand& command, WorkerTask& state) {
     const JobSpec& job = spec(command.task);
-    if (state.stage == TaskStage::running && job.checkpoint_s > 0 &&
-        command.grace_s >= job.save_s) {
+    if (state.stage == TaskStage::running && job.checkpoint_interval_s > 0 &&
+        command.grace_s >= job.save_duration_s) {
         state.stage = TaskStage::saving;
-        state.next = clock_.now() + job.save_s;
+        state.next = clock_.now() + job.save_duration_s;
         gangs_.stop_seen(command.task.job, state.attempt);
     } else if (state.stage != TaskStage::exited &&
                (state.stage != TaskStage::saving || command.grace_s == 0)) {
--- a/tests/wire_format_clients_test.cpp
+++ b/tests/wire_format_clients_test.cpp
@@ -49,9 +49,9 @@
     EXPECT_TRUE(job.one_zone);
     EXPECT_FALSE(job.spread);
     EXPECT_TRUE(job.spot);
-    EXPECT_EQ(job.estimate_s, 240.5);
-    EXPECT_EQ(job.checkpoint_s, 30.5);
-    EXPECT_EQ(job.save_s, 4.5);
+    EXPECT_EQ(job.estimated_run_s, 240.5);
+    EXPECT_EQ(job.checkpoint_interval_s, 30.5);
+    EXPECT_EQ(job.save_duration_s, 4.5);
     EXPECT_EQ(job.deadline_s, 900.5);
 }
 
@@ -91,8 +91,8 @@
     job.image_gb = 6.5;
     job.spread = true;
     job.spot = true;
-    job.estimate_s = 240;
-    job.save_s = 4;
+    job.estimated_run_s = 240;
+    job.save_duration_s = 4;
     return job;
 }
 
--- a/tests/wire_format_records_test.cpp
+++ b/tests/wire_format_records_test.cpp
@@ -35,9 +35,9 @@
     job.one_zone = true;
     job.spread = false;
     job.spot = true;
-    job.estimate_s = 240.5;
-    job.checkpoint_s = 30.5;
-    job.save_s = 4.5;
+    job.estimated_run_s = 240.5;
+    job.checkpoint_interval_s = 30.5;
+    job.save_duration_s = 4.5;
     job.deadline_s = 900.5;
     return job;
 }
