--- a/src/core/model/instance_type_catalog.h
+++ b/src/core/model/instance_type_catalog.h
@@ -1,12 +1,12 @@
-// The instance types that the cloud offers, as the leader of a partition knows them in one term.
+// The instance types of the cloud, as a partition leader uses them during one term.
 #pragma once
 
 #include "core/model/types.h"
 
 namespace scheduler {
 
-// An immutable list of instance types. Not copyable: the pointers and references that it hands out
-// are to its own entries and live as long as it does.
+// An immutable list of instance types. Not copyable: the pointers and references that it returns
+// refer to its own entries and stay valid as long as the catalog exists.
 class InstanceTypeCatalog {
   public:
     explicit InstanceTypeCatalog(const std::vector<InstanceType>& types);
@@ -15,13 +15,13 @@
 
     bool empty() const { return all_.empty(); }
     const std::vector<InstanceType>& all() const { return all_; }
-    // Null: no such type.
+    // Returns null if there is no type of this name.
     const InstanceType* find(const std::string& name) const;
-    // The cheapest type, by the price of the slots taken, that one task of the job fits on; the
-    // slots of pending tasks are counted by it. Where none fits, the cheapest of all. The catalog
-    // must not be empty.
+    // Returns the type that runs one task of the job at the lowest price for the slots it takes.
+    // The slots of pending tasks are counted in units of this type. If the task fits no type,
+    // returns the cheapest of all types. The catalog must not be empty.
     const InstanceType& cheapest_fitting(const JobSpec& spec) const;
-    // All types, those that fetch images fastest first.
+    // Returns all types in descending order of their image fetch speed.
     const std::vector<const InstanceType*>& by_fetch_speed() const { return by_fetch_; }
 
   private:
--- a/src/core/model/machine.h
+++ b/src/core/model/machine.h
@@ -1,4 +1,4 @@
-// Machines as the cloud describes them.
+// Instance types and machines as the cloud describes them.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace scheduler {
 
-// A type of machine that the cloud offers, from its catalog.
+// An entry of the cloud's catalog of machine types.
 struct InstanceType {
     std::string name;
     double cpus = 0;
@@ -16,27 +16,27 @@
     double fetch_gb_per_s = 0; // speed of fetching an image
     double price = 0;          // of an on-demand machine, in the cloud's unit
     double spot_price = 0;
-    double boot_s = 0; // usual time from the order to the first heartbeat
+    double boot_s = 0; // usual time from scale-out to the first heartbeat
     std::vector<std::string> zones;
 
-    // Slots of a machine. A slot is the scarcest unit with its proportion of the rest: one GPU on
-    // a machine that has some, one CPU elsewhere.
+    // Returns the number of slots of a machine. A slot is one GPU on machines with GPUs and one CPU
+    // on others, with the corresponding fraction of the machine's other resources.
     double slots() const { return gpus > 0 ? gpus : cpus; }
-    double price_of(bool spot_kind) const { return spot_kind ? spot_price : price; }
+    double price_of(bool spot) const { return spot ? spot_price : price; }
 };
 
 enum class InstanceState { booting, running, failed };
 
-// A machine in the cloud's list of what is rented. The list lags behind, see
+// An entry of the cloud's list of provisioned machines. The list may be outdated by
 // ClusterSettings::list_lag_s.
 struct Instance {
     std::string name;
-    std::string endpoint; // address that takes direct commands
+    std::string endpoint; // address for direct commands
     std::string type;
     std::string zone;
     bool spot = false;
     InstanceState state = InstanceState::booting;
-    double age_s = 0; // seconds since it was rented
+    double age_s = 0; // since it was provisioned
 };
 
 } // namespace scheduler
--- a/src/core/model/partition_assignment.cpp
+++ b/src/core/model/partition_assignment.cpp
@@ -28,18 +28,18 @@
     int count = static_cast<int>(settings.partitions.size());
     bool zone_has_partition =
         std::any_of(settings.partitions.begin(), settings.partitions.end(),
-                    [&](const PartitionSettings& p) { return p.zone == zone; });
+                    [&](const PartitionSettings& partition) { return partition.zone == zone; });
     int best = 0;
     std::uint64_t best_hash = 0;
     bool found = false;
-    for (int p = 0; p < count; ++p) {
-        if (zone_has_partition && settings.partitions[p].zone != zone) {
+    for (int partition = 0; partition < count; ++partition) {
+        if (zone_has_partition && settings.partitions[partition].zone != zone) {
             continue;
         }
-        std::uint64_t hash = stable_hash(machine + "/" + settings.partitions[p].node);
+        std::uint64_t hash = stable_hash(machine + "/" + settings.partitions[partition].node);
         if (!found || hash > best_hash) {
             found = true;
-            best = p;
+            best = partition;
             best_hash = hash;
         }
     }
@@ -57,8 +57,8 @@
         cpus += quota->guaranteed_cpus;
         gpus += quota->guaranteed_gpus;
     }
-    // The team's proportion of all guarantees; a little more, so that teams without a guarantee are
-    // spread as well.
+    // The team's proportion of all guarantees. The last term is a small constant so that teams
+    // without a guarantee are balanced as well.
     auto weight = [&](const TeamQuota& quota) {
         return quota.guaranteed_cpus / std::max(1.0, cpus) +
                quota.guaranteed_gpus / std::max(1.0, gpus) + 1 / std::max(1.0, cpus + gpus);
@@ -70,7 +70,7 @@
     });
     std::vector<double> load(std::max<std::size_t>(1, settings.partitions.size()), 0);
     std::map<std::string, int> out;
-    // The largest first, each to the partition with the least so far.
+    // Greedy: in descending order of weight, each team goes to the partition with the least load.
     for (const auto* quota : teams) {
         auto least = std::min_element(load.begin(), load.end());
         out.emplace(quota->name, static_cast<int>(least - load.begin()));
--- a/src/core/model/quota.h
+++ b/src/core/model/quota.h
@@ -1,4 +1,4 @@
-// Quotas of the teams and how they change while the service runs. See quotas/quota_config.h.
+// The quotas of the teams and their changes at run time. See quotas/quota_config.h.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 // A team's guarantee and limit, from the settings file or from config/team/<name>.
 //
-// A 0 means none: a resource for which neither guarantee nor limit is stated does not count for the
-// team, and a limit of 0 is no limit.
+// A value of 0 means "none". A resource with neither guarantee nor limit is not counted for the
+// team; a limit of 0 means unlimited.
 struct TeamQuota {
     std::string name;
     double guaranteed_cpus = 0;
@@ -18,38 +18,38 @@
     double guaranteed_gpus = 0;
     double max_gpus = 0;
 
-    // Whether the quota states a guarantee or a limit of that resource.
+    // Returns whether the quota has a guarantee or a limit for the resource.
     bool limits_cpus() const { return guaranteed_cpus > 0 || max_cpus > 0; }
     bool limits_gpus() const { return guaranteed_gpus > 0 || max_gpus > 0; }
-    // Whether a usage of so much in all is within the limit, or within the guarantee.
+    // Returns whether this total usage is within the limit, or within the guarantee.
     bool allows(double used_cpus, double used_gpus) const;
     bool guarantees(double used_cpus, double used_gpus) const;
-    // The resource that the team's usage is compared by: GPUs where the quota states some, else
-    // CPUs.
+    // Returns the amount of the resource by which the team's usage is compared: GPUs if the quota
+    // covers GPUs, CPUs otherwise.
     double amount(double of_cpus, double of_gpus) const {
         return limits_gpus() ? of_gpus : of_cpus;
     }
-    // The limit of that amount; infinity: none.
+    // Returns the limit of that resource; infinity if there is none.
     double limit() const;
 };
 
-// A team's quota as of one revision of the store. Controllers exchange these while the store is
-// down.
+// A team's quota as of one store revision. Controllers send these to each other while the store is
+// unavailable.
 struct QuotaChange {
     std::string team;
-    std::optional<TeamQuota> quota; // none: its record cannot be read
+    std::optional<TeamQuota> quota; // absent: its record cannot be decoded
     std::uint64_t revision = 0;
 };
 
-// How a team's quota stands at one controller: its response to an operator's QuotaStatusQuery.
-// Durations end when the response is made.
+// The quota of a team as one controller applies it; the response to an operator's QuotaStatusQuery.
+// Durations are relative to the time of the response.
 struct QuotaStatus {
-    std::uint64_t revision = 0; // every change up to it is in force ...
-    double age_s = 0;           // ... and every one that was written at least so long ago
-    TeamQuota quota;            // in force; without a name: the settings have no such team
-    std::uint64_t effective_revision = 0; // of the change in force, 0: as in the settings
+    std::uint64_t revision = 0;           // all changes up to this one are in force, ...
+    double age_s = 0;                     // ... and all that were written at least this long ago
+    TeamQuota quota;                      // in force; empty name: the settings have no such team
+    std::uint64_t effective_revision = 0; // of the change in force; 0: quota of the settings
     double effective_for_s = 0;           // how long it has been in force
-    bool blocked = false;                 // no valid quota is known, so no task of it is started
+    bool blocked = false;                 // no valid quota is known: no task of the team is started
 };
 
 } // namespace scheduler
--- a/src/core/model/shard_id.h
+++ b/src/core/model/shard_id.h
@@ -1,4 +1,4 @@
-// The identity of shards, the units in which machines move between partitions. See shards.h.
+// Identifies shards, the units in which machines move between partitions. See shards.h.
 #pragma once
 
 #include <compare>
@@ -6,19 +6,19 @@
 
 namespace scheduler {
 
-// A shard of the machines, see shards.h.
+// Identifies a shard of the machines.
 struct ShardId {
-    int home_partition = 0; // the partition that holds it as long as the store has no map
-    int number = 0;         // among the shards of that home, from 0
+    int home_partition = 0; // the partition that holds it while the store has no shard map
+    int number = 0;         // index among the shards of that home partition
     auto operator<=>(const ShardId&) const = default;
 };
 
-// What a PeerSyncResponse or an InventoryRecord states about one shard that its sender holds.
+// The state of one shard that the sender of a PeerSyncResponse or InventoryRecord holds.
 struct ShardInventory {
     ShardId shard;
-    std::uint64_t term = 0;  // under which the sender holds the shard
-    bool reconciled = false; // each of its machines is
-    // The tasks listed cover all of the shard's machines, not only those named in `machines`.
+    std::uint64_t term = 0;  // of the leadership under which the sender holds the shard
+    bool reconciled = false; // every machine of the shard is reconciled
+    // The listed tasks cover all machines of the shard, not only those named in `machines`.
     bool complete = false;
 };
 
--- a/src/core/model/shards.cpp
+++ b/src/core/model/shards.cpp
@@ -7,7 +7,7 @@
 namespace scheduler {
 
 namespace {
-// A shard is at most a twentieth of all machines, and at most a quarter of a partition's own.
+// A shard has at most 1/20 of all machines and at most 1/4 of the machines of its home partition.
 constexpr int kMinShardsOfCluster = 20;
 constexpr int kMinShardsOfPartition = 4;
 } // namespace
@@ -18,7 +18,7 @@
 
 int shards_per_home(const ClusterSettings& settings, int home) {
     const std::string& zone = settings.partitions[static_cast<std::size_t>(home)].zone;
-    // Partitions that the machines of the zone are divided among.
+    // The number of partitions that share the machines of the zone.
     auto zone_partitions =
         static_cast<int>(std::count_if(settings.partitions.begin(), settings.partitions.end(),
                                        [&](const auto& p) { return p.zone == zone; }));
@@ -37,7 +37,7 @@
 }
 
 ShardId shard_at_home(const ClusterSettings& settings, int home, const std::string& machine) {
-    // Not a text that decides any home, so that shard and home are independent of each other.
+    // The prefix keeps the hash independent of the one that selects the home partition.
     std::uint64_t hash = stable_hash("share/" + machine);
     return {home,
             static_cast<int>(hash % static_cast<std::uint64_t>(shards_per_home(settings, home)))};
@@ -48,13 +48,13 @@
     return shard_at_home(settings, partition_of_machine(settings, machine, zone), machine);
 }
 
-ShardHolders reassign_shards(const ShardHolders& now, int partition, const std::vector<int>& takers,
-                             std::size_t most) {
+ShardHolders reassign_shards(const ShardHolders& current, int partition,
+                             const std::vector<int>& new_holders, std::size_t max_homes) {
     std::map<int, int> held;
-    for (int taker : takers) {
-        held[taker] = 0;
+    for (int new_holder : new_holders) {
+        held[new_holder] = 0;
     }
-    for (const auto& [home, holders] : now) {
+    for (const auto& [home, holders] : current) {
         for (int holder : holders) {
             if (auto it = held.find(holder); it != held.end()) {
                 ++it->second;
@@ -62,8 +62,8 @@
         }
     }
     ShardHolders changed;
-    for (const auto& [home, holders] : now) {
-        if (held.empty() || changed.size() == most ||
+    for (const auto& [home, holders] : current) {
+        if (held.empty() || changed.size() == max_homes ||
             std::find(holders.begin(), holders.end(), partition) == holders.end()) {
             continue;
         }
--- a/src/core/model/shards.h
+++ b/src/core/model/shards.h
@@ -1,6 +1,6 @@
-// Shards: the units in which machines migrate from one partition to another while jobs run. Which
-// shard a machine falls into is a pure function, so that no two controllers can disagree; which
-// partition holds a shard is what the map in the store says. See docs/sharding.md.
+// Shards are the units in which machines migrate between partitions while jobs run. The shard of a
+// machine is a pure function of its name and zone, so that all controllers agree; the partition
+// that holds a shard is recorded in the store's shard map. See docs/sharding.md.
 #pragma once
 
 #include <cstddef>
@@ -12,26 +12,26 @@
 
 namespace scheduler {
 
-// `<home partition>/<number>`, as in the log.
+// Formats the shard as `<home partition>/<number>`, the form used in log lines.
 std::string to_string(const ShardId& shard);
 
-// How many shards a home partition has: a shard is at most about a twentieth of the machines,
-// however these are spread over the zones.
+// Returns the number of shards of a home partition, chosen so that a shard has at most about 1/20
+// of all machines for any distribution of the machines over the zones.
 int shards_per_home(const ClusterSettings& settings, int home);
-// The shards of all homes, in order.
+// Returns the shards of all home partitions, in order.
 std::vector<ShardId> all_shards(const ClusterSettings& settings);
-// The shard of a machine whose home partition is known.
+// Returns the shard of a machine whose home partition is known.
 ShardId shard_at_home(const ClusterSettings& settings, int home, const std::string& machine);
-// The shard of a machine, by its name and zone.
+// Returns the shard of a machine by its name and zone.
 ShardId shard_of_machine(const ClusterSettings& settings, const std::string& machine,
                          const std::string& zone);
 
-// The partitions that hold each home's shards, by home and number.
+// For each home partition, the partitions that hold its shards, by shard number.
 using ShardHolders = std::map<int, std::vector<int>>;
-// Who is to hold the shards of a partition that has lost its leader: the `takers`, each in turn the
-// one that holds least. The result has only homes whose holders change, and at most `most` of
-// these.
-ShardHolders reassign_shards(const ShardHolders& now, int partition, const std::vector<int>& takers,
-                             std::size_t most);
+// Reassigns the shards of a partition that has lost its leader to the partitions `new_holders`,
+// each shard to the one that holds the fewest at that point. Returns only the home partitions whose
+// holders change, at most `max_homes` of them.
+ShardHolders reassign_shards(const ShardHolders& current, int partition,
+                             const std::vector<int>& new_holders, std::size_t max_homes);
 
 } // namespace scheduler
--- a/src/core/model/time.h
+++ b/src/core/model/time.h
@@ -3,8 +3,8 @@
 
 namespace scheduler {
 
-// A moment, in seconds of this controller's steady clock. Moments of different controllers cannot
-// be compared; messages therefore carry durations in seconds instead.
+// A point in time, in seconds of this controller's steady clock. Times of different controllers
+// cannot be compared, so messages contain durations in seconds instead.
 using Time = double;
 
 } // namespace scheduler
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -10,11 +10,10 @@
 namespace scheduler {
 
 namespace {
-// Work for more than this many times the time left cannot be done in time, although
-// estimates err and a team may get more CPUs than it has now.
+// Work for more than this many times the time left cannot be done in time, although estimates err
+// and a team may get more CPUs than it has now.
 constexpr double kHopelessFactor = 1.5;
-// A job is left behind when it has waited for this many times what its latest objective
-// allows.
+// A job is left behind when it has waited for this many times what its latest objective allows.
 constexpr double kLeftBehindFactor = 2;
 
 // A job that can meet its due time, ordered by the work left.
@@ -117,9 +116,9 @@
     return by_team;
 }
 
-// Where a team cannot meet all due times with the CPUs it has, the job with most work
-// left of those due by then is postponed: objectives count jobs, and one large job that would be
-// late all the same makes many small ones late (the rule of Moore and Hodgson).
+// Where a team cannot meet all due times with the CPUs it has, the job with most work left of those
+// due by then is postponed: objectives count jobs, and one large job that would be late all the
+// same makes many small ones late (the rule of Moore and Hodgson).
 void PendingQueue::postpone_hopeless(Time now, const std::string& team, std::vector<Job*>& jobs) {
     std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
         return std::tie(a->spec.priority, a->due, a->spec.id) <
