--- a/src/core/messaging/cloud_messages.h
+++ b/src/core/messaging/cloud_messages.h
@@ -1,4 +1,4 @@
-// Requests to the cloud that rents out the machines.
+// Requests to the cloud that provides the machines.
 #pragma once
 
 #include <string>
@@ -9,12 +9,13 @@
 // Reads the catalog of instance types.
 struct ListInstanceTypes {};
 
-// Reads a page of the rented instances; OutboundResponse::more tells of further pages.
+// Reads a page of the provisioned instances; OutboundResponse::more is set if there are further
+// pages.
 struct ListInstances {
-    std::string after; // the last name of the page before; empty: from the start
+    std::string after; // last name of the previous page; empty: first page
 };
 
-// Orders machines. Safe to repeat: the cloud carries out an order id once.
+// Provisions machines. Safe to repeat: the cloud executes requests with the same key only once.
 struct ScaleOut {
     std::string idempotency_key;
     std::string type;
@@ -23,7 +24,7 @@
     int count = 0;
 };
 
-// Terminates machines, with whatever runs on them.
+// Terminates machines and everything that runs on them.
 struct ScaleIn {
     std::vector<std::string> machines;
 };
--- a/src/core/messaging/instance_type_source.cpp
+++ b/src/core/messaging/instance_type_source.cpp
@@ -14,10 +14,10 @@
       heartbeat_interval_s_(settings.heartbeat_interval_s),
       worker_lease_s_(settings.worker_lease_s) {}
 
-// The store's copy of an earlier response of the cloud is read first: it is available much sooner,
-// and without instance types a controller can neither accept a job nor campaign for a partition.
-// The cloud is asked at once only when there is no such copy, so that a process which restarts
-// again and again does not use up the cloud's request limit.
+// Reads the store's copy of an earlier list first: it is available much sooner, and without
+// instance types a controller can neither accept jobs nor campaign for a partition. The cloud is
+// queried at once only if there is no copy, so that a process in a restart loop does not exhaust
+// the cloud's request limit.
 void InstanceTypeSource::tick(Time now) {
     if (is_current_ || now < next_refresh_) {
         return;
@@ -68,7 +68,8 @@
     if (!catalog) {
         fetch();
     } else if (!available()) {
-        next_refresh_ = now + heartbeat_interval_s_; // the stored prices may be outdated
+        next_refresh_ =
+            now + heartbeat_interval_s_; // refresh soon: the stored prices may be outdated
         set_types(now, catalog->types);
     }
 }
--- a/src/core/messaging/instance_type_source.h
+++ b/src/core/messaging/instance_type_source.h
@@ -1,5 +1,5 @@
-// Keeps this controller's list of instance types: read from the store at a start, then fetched from
-// the cloud. Sole writer of that list.
+// Maintains this controller's list of instance types: reads the stored copy at startup, then
+// fetches the list from the cloud and stores it. No other component writes the stored copy.
 #pragma once
 
 #include "core/messaging/outbound_requests.h"
@@ -8,25 +8,25 @@
 
 class InstanceTypeSource {
   public:
-    // Called when the list stops being empty: from here on partitions can be led.
+    // Called once the list is no longer empty; the controller can lead partitions from then on.
     using OnAvailable = std::function<void(Time)>;
 
     InstanceTypeSource(const ClusterSettings& settings, OutboundRequests& requests,
                        OnAvailable on_available);
 
-    // Starts the next read or fetch when it is due.
+    // Starts the next read or fetch if one is due.
     void tick(Time now);
-    // Empty until a list was read or fetched. The reference stays valid; the content may change.
+    // Empty until a list was read or fetched. The reference stays valid, the content may change.
     const std::vector<InstanceType>& types() const { return types_; }
     bool available() const { return !types_.empty(); }
-    // Whether the list came from the cloud to this process, not from the store's copy of an earlier
-    // one.
+    // Returns whether this process fetched the list from the cloud, rather than read the stored
+    // copy.
     bool is_current() const { return is_current_; }
 
   private:
     void fetch();
     void on_fetched(Time now, const OutboundResponse& response);
-    // Returns false when the store's rate limit does not allow the read now.
+    // Returns false if the store rate limiter does not admit the read.
     bool read_stored(Time now);
     void on_stored_read(Time now, const OutboundResponse& response);
     void set_types(Time now, const std::vector<InstanceType>& types);
--- a/src/core/messaging/outbound_requests.h
+++ b/src/core/messaging/outbound_requests.h
@@ -1,4 +1,4 @@
-// Collects the outputs of an input, and keeps the callbacks of outbound requests under way.
+// Collects the outputs of the core, and keeps the callbacks of outbound requests in flight.
 #pragma once
 
 #include <functional>
@@ -15,33 +15,34 @@
 // Not thread-safe.
 class OutboundRequests {
   public:
-    // Called once with the moment and the response; its status 0: the outcome is not known.
+    // Called once, with the time and the response. Status 0: the outcome is unknown.
     using OnResponse = std::function<void(Time, OutboundResponse&)>;
 
-    // `first`: ids start here, so that requests of different objects never share one.
+    // `first`: the first request id; objects use disjoint ranges of ids.
     OutboundRequests(StoreRateLimiter& rate_limiter, OutboundRequestId first)
         : rate_limiter_(rate_limiter), next_(first) {}
 
-    // Sends a request to another service than the store, or one to the store that no rate limit
-    // holds back.
+    // Sends a request without rate limiting: to a service other than the store, or to the store for
+    // a request that must not be delayed.
     OutboundRequestId send(OutboundBody body, OnResponse then);
-    // Sends a request to the store if the rate limiter admits it for this use; false: not now.
+    // Sends a request to the store. Returns false, without sending it, if the rate limiter does not
+    // admit it for this use now.
     bool send_to_store(Time now, StoreRateLimiter::Use use, OutboundBody body, OnResponse then);
     // See StoreRateLimiter::max_writes.
     int max_writes(StoreRateLimiter::Use use) const { return rate_limiter_.max_writes(use); }
-    // Runs the callback of the request; false: not a request of this object.
+    // Calls the callback of the request. Returns false if this object did not send the request.
     bool handle_response(Time now, OutboundResponse& response);
-    // How many machines have not answered direct commands since the last response of any machine
-    // and the last heartbeat: they are a sign that this controller is cut off only while nothing
-    // else is heard.
+    // Returns the number of machines that did not respond to direct commands since the latest
+    // response or heartbeat of any machine. They suggest that this controller is disconnected from
+    // the network only as long as no machine can reach it.
     int unresponsive_workers() const { return static_cast<int>(unresponsive_workers_.size()); }
-    // A heartbeat has arrived.
+    // Records that a heartbeat was received: resets unresponsive_workers.
     void worker_responded() { unresponsive_workers_.clear(); }
 
-    // `status` of HTTP; `retry_after_s` 0: the sender is not told when to try again.
+    // Adds a response with the HTTP status. `retry_after_s` 0: no Retry-After header.
     void respond(RequestId request_id, int status, ResponseBody body, double retry_after_s = 0);
     void log(LogLevel level, std::string text);
-    // Moves what was collected to the end of `out`.
+    // Appends the collected outputs to `out` and clears them here.
     void drain_into(Outputs& out);
 
   private:
--- a/src/core/messaging/outputs.h
+++ b/src/core/messaging/outputs.h
@@ -1,5 +1,5 @@
-// Everything that the core wants done: responses, outbound requests and log lines. The core never
-// waits: it answers an input with these and is given the outcome of a request as a later input.
+// The outputs of the core: responses, outbound requests and log lines. The core never blocks: the
+// outcome of an outbound request arrives as a later input.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
 
 namespace scheduler {
 
-// What an outbound request asks for, by the service that it goes to: store, cloud, worker, peer.
+// The content of an outbound request to the store, the cloud, a worker or a peer.
 using OutboundBody =
     std::variant<StoreGet, StoreRange, StoreTransaction, StoreLeaseGrant, StoreLeaseRenewal,
                  StoreWatch, ListInstanceTypes, ListInstances, ScaleOut, ScaleIn, WorkerCommands,
@@ -36,18 +36,18 @@
     RequestId request_id = 0;
     int status = 0; // of HTTP
     ResponseBody body;
-    double retry_after_s = 0; // when the sender should try again; 0: it is not told
+    double retry_after_s = 0; // when the sender should retry; 0: not stated
 };
 
 enum class LogLevel { error, info, debug };
 
-// A line of the log, `event=... key=value ...`.
+// A log line of the form `event=... key=value ...`.
 struct LogLine {
     LogLevel level = LogLevel::info;
     std::string text;
 };
 
-// What one input has led to. The order within each list is the order to act in.
+// The outputs for one input. Each list is to be processed in order.
 struct Outputs {
     std::vector<Response> responses;
     std::vector<OutboundRequest> requests;
--- a/src/core/messaging/peer_messages.h
+++ b/src/core/messaging/peer_messages.h
@@ -1,12 +1,13 @@
 // Messages between controllers.
 //
-// Peer sync: the leader of the jobs calls the leader of the machines (work stealing). The request
-// says which slots it wants and what is to happen to its tasks there. The response grants slots and
-// lists the tasks of the caller's partition: on every machine at first, then on those whose
-// inventory has changed since the response that the caller acknowledges.
+// Peer sync (work stealing): the leader of the jobs sends a request to the leader of the machines,
+// with the slots it needs and commands for its tasks on those machines. The response grants slots
+// and lists the tasks of the caller's partition: on every machine at first, then on the machines
+// whose inventory has changed since the response that the caller acknowledges.
 //
-// Lease extension: a controller that the store does not answer asks its peers to leave its
-// partition alone for a while. Cancellation: a controller names cancelled jobs to its peers.
+// Lease extension: a controller that cannot reach the store requests that its peers do not campaign
+// for its partition for a while. Cancellation broadcast: a controller sends cancelled jobs to its
+// peers.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +24,7 @@
 
 namespace scheduler {
 
-// Slots that the caller wants for pending tasks of one of its jobs. The fields from `cpus` to
+// Requests slots for pending tasks of one job of the caller. The fields from `cpus` to
 // `spot` are those of JobSpec, the ones after them are the job's place in the pending queue.
 struct SlotRequest {
     std::string job;
@@ -33,8 +34,8 @@
     bool one_zone = false;
     bool spread = false;
     std::uint32_t gang_size = 0; // of the whole gang, not only the members requested
-    bool preempt = false;        // tasks that may be stopped for it are to be preempted
-    // For a gang, grant as many slots as there are: other leaders are asked for the rest.
+    bool preempt = false;        // preempt tasks of lower precedence for it
+    // For a gang: grant the slots that are free; the rest are requested from other leaders.
     bool accepts_partial = false;
     std::uint32_t count = 0; // how many tasks to grant slots for
     double cpus = 0;
@@ -47,17 +48,18 @@
     bool spot = false;
     Priority priority = Priority::normal;
     bool over_guarantee = false;  // the team would use more than it is guaranteed
-    bool bottleneck_team = false; // the work of its team takes longest to finish
-    bool starving = false;        // its class or team must not be left without any slots
+    bool bottleneck_team = false; // its team's pending work takes longest to finish
+    bool starving = false;        // its class or team would be left without any slots
     double age_s = 0;             // since the job was first seen
     double due_s = 0;             // until the job's next service-level objective is missed
 };
 
-// A command about a task of the caller's partition on a machine of the callee's. Repeated in every
-// request until one has been answered.
+// A command for a task of the caller's partition on a machine of the callee's partition. Repeated
+// in every request until one of them has been answered.
 struct RemoteTaskCommand {
-    // `stop` the task; `clear` it after its exit was taken in; `describe` its resources, which the
-    // machine's leader lacks after a failover; `return_slot`: no start was sent to this slot.
+    // `stop`: stops the task. `clear`: clears it after its exit was processed. `describe`: states
+    // its resources, which the machine's leader lacks after a failover. `return_slot`: returns a
+    // slot to which no start was sent.
     enum class Type { stop, clear, describe, return_slot };
     Type type = Type::stop;
     std::string machine;
@@ -81,16 +83,16 @@
     std::map<std::string, double> zone_bound_slots;
 };
 
-// The usable machines of a partition, in slots, and the load of its leader.
+// The usable machines of a partition, in slots, and the spare capacity of its leader.
 struct PartitionCapacity {
     double on_demand_slots = 0;
     double spot_slots = 0;
     double cpu_headroom = 1;     // of the leader's processor, see sharding/shard_balancer.h
-    bool accepts_shards = false; // the leader hears its machines and can take a shard now
+    bool accepts_shards = false; // the leader receives heartbeats and can take a shard
     double total_slots() const { return on_demand_slots + spot_slots; }
 };
 
-// A machine of the callee's partition that the caller rented on behalf of all partitions.
+// A machine of the callee's partition that the caller provisioned on behalf of all partitions.
 struct ProvisionedMachine {
     std::string machine;
     std::string type;
@@ -101,23 +103,23 @@
 // A shard that the caller has migrated to the callee's partition.
 struct ShardTransfer {
     ShardId shard;
-    std::uint64_t revision = 0; // of the store transaction that did it
-    std::uint64_t term = 0;     // the term of the callee's leadership that it was given to
+    std::uint64_t revision = 0; // of the store transaction that reassigned it
+    std::uint64_t term = 0;     // of the callee's leadership that received it
 };
 
 // From the leader of `from_partition` to the leader of `to_partition`.
 struct PeerSyncRequest {
     int from_partition = 0;
     std::uint64_t term = 0;     // of the caller's leadership
-    std::uint64_t sequence = 0; // of the request, under that term; 0: the caller does not count
+    std::uint64_t sequence = 0; // of the request within the term; 0: not numbered
     int to_partition = 0;
     std::vector<SlotRequest> slot_requests;
-    std::uint32_t max_slots = 0; // most grants, over all slot requests
+    std::uint32_t max_slots = 0; // limit of grants for all slot requests together
     std::vector<RemoteTaskCommand> commands;
     std::vector<ProvisionedMachine> provisioned;
     std::vector<ShardTransfer> transfers;
-    std::uint64_t acked_term = 0;    // of the latest response that the caller took in ...
-    std::uint64_t acked_version = 0; // ... and its version; 0: list everything
+    std::uint64_t acked_term = 0;    // of the latest response that the caller processed ...
+    std::uint64_t acked_version = 0; // ... and its version; 0: send the full inventory
     Demand demand;
     PartitionCapacity capacity;
 };
@@ -142,51 +144,52 @@
 // The response to PeerSyncRequest.
 struct PeerSyncResponse {
     std::uint64_t term = 0;       // of the callee's leadership
-    bool reconciled = false;      // every machine of the partition is
+    bool reconciled = false;      // every machine of the partition is reconciled
     bool no_stale_grants = false; // no slot is lent to an earlier leader of the caller's partition
-    bool complete = false;        // the inventory covers every shard, not only what has changed
-    std::optional<std::vector<ShardInventory>> shards; // none: the sender does not know shards
+    bool complete = false;        // the inventory covers every shard, not only changes
+    std::optional<std::vector<ShardInventory>> shards; // absent: sender without sharding
     std::uint64_t version = 0;                         // of the inventory, to be acknowledged
-    std::vector<std::string> machines;                 // whose inventory is listed here in full
+    std::vector<std::string> machines;                 // whose tasks are listed completely
     Demand demand;
     PartitionCapacity capacity;
     std::vector<RemoteTaskStatus> tasks;
-    std::vector<LaunchId> pending_launches; // slots lent whose start has not shown yet
+    std::vector<LaunchId> pending_launches; // lent slots whose task start is not confirmed
     std::vector<SlotGrant> grants;
 };
 
-// A peer's sync request has arrived.
+// A received sync request of a peer.
 struct PeerSyncReceived {
     RequestId request_id = 0;
     PeerSyncRequest sync;
 };
 
-// A controller that the store does not answer asks a peer how it fares, and not to campaign for the
-// partition for a while. See leadership/lease_extender.h.
+// Sent by a controller that cannot reach the store: queries the state of a peer, and requests that
+// the peer does not campaign for the partition for a while. See leadership/lease_extender.h.
 struct LeaseExtensionRequest {
     int partition = 0;      // the home partition of the caller
-    std::uint64_t term = 0; // of its leadership; 0: it has none and only asks how the peer fares
+    std::uint64_t term = 0; // of its leadership; 0: not the leader, only queries the peer
     double duration_s = 0;  // counted by the peer from the arrival of the request
-    // How long ago the caller's knowledge of cancelled jobs was complete.
+    // Time since the caller last knew all cancelled jobs.
     double cancellations_age_s = 0;
-    std::uint64_t quota_revision = 0; // quota changes up to this one are in force at the caller
+    std::uint64_t quota_revision = 0; // the caller applies all quota changes up to this one
 };
 
 // The response to LeaseExtensionRequest.
 struct LeaseExtensionResponse {
-    bool store_reachable = false;            // the store answers the peer
+    bool store_reachable = false;            // the peer can reach the store
     bool granted = false;                    // the peer will not campaign for the partition
-    std::vector<std::string> cancelled_jobs; // that the caller may have missed
+    std::vector<std::string> cancelled_jobs; // cancellations that the caller may have missed
     std::vector<QuotaChange> quota_changes;  // above the caller's revision
 };
 
-// A peer's request for a lease extension has arrived.
+// A received lease extension request of a peer.
 struct LeaseExtensionReceived {
     RequestId request_id = 0;
     LeaseExtensionRequest extension;
 };
 
-// A peer has cancelled these jobs and will tell their users once this is answered.
+// A received cancellation broadcast. The peer confirms the cancellations to the users once this
+// request is answered.
 struct CancellationsReceived {
     RequestId request_id = 0;
     std::vector<std::string> jobs;
--- a/src/core/messaging/request_ids.h
+++ b/src/core/messaging/request_ids.h
@@ -1,14 +1,14 @@
-// Numbers that match responses with requests.
+// Ids that match responses with requests.
 #pragma once
 
 #include <cstdint>
 
 namespace scheduler {
 
-// A request that this controller received, numbered by the server that waits for the response.
+// Id of a request that this controller received, assigned by the server that awaits the response.
 using RequestId = std::uint64_t;
 
-// A request that this controller sends, numbered by OutboundRequests.
+// Id of a request that this controller sends, assigned by OutboundRequests.
 using OutboundRequestId = std::uint64_t;
 
 } // namespace scheduler
--- a/src/core/messaging/store_messages.h
+++ b/src/core/messaging/store_messages.h
@@ -1,5 +1,5 @@
-// Requests to the key-value store. The store counts its changes in revisions; the version of a key
-// is the revision of the last write to it. See OutboundResponse in inputs.h for the responses.
+// Requests to the key-value store. Each change of the store has a revision number; the version of a
+// key is the revision of the last write to it. See OutboundResponse in inputs.h for the responses.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,14 @@
     std::string key;
 };
 
-// Reads a page of the keys with a prefix, in order; OutboundResponse::more tells of further pages.
+// Reads a page of the keys with a prefix, in order; OutboundResponse::more is set if there are
+// more.
 struct StoreRange {
     std::string prefix;
-    std::string after; // the last key of the page before; empty: from the start
+    std::string after; // last key of the previous page; empty: first page
 };
 
-// A condition of a transaction: the key's version is this one; 0: the key is absent.
+// A condition of a transaction: the key has this version; version 0: the key does not exist.
 struct StoreCondition {
     std::string key;
     std::uint64_t version = 0;
@@ -31,11 +32,11 @@
 // A change of one key in a transaction.
 struct StoreWrite {
     std::string key;
-    std::optional<StoredRecord> value;  // none: delete the key
-    std::optional<std::uint64_t> lease; // store lease whose end deletes the key; none: it stays
+    std::optional<StoredRecord> value;  // absent: delete the key
+    std::optional<std::uint64_t> lease; // the key is deleted when this store lease ends
 };
 
-// Carries out all writes atomically if all conditions hold, and none otherwise (status 409).
+// Applies all writes atomically if all conditions hold, otherwise none (status 409).
 struct StoreTransaction {
     std::vector<StoreCondition> conditions;
     std::vector<StoreWrite> writes;
@@ -46,16 +47,16 @@
     double ttl_s = 0; // time to live in seconds, from each renewal
 };
 
-// Renews a store lease for its time to live.
+// Renews a store lease by its time to live.
 struct StoreLeaseRenewal {
     std::uint64_t lease = 0;
 };
 
-// Waits for changes of keys with a prefix.
+// Waits for changes of keys with a prefix (long poll).
 struct StoreWatch {
     std::string prefix;
-    std::uint64_t from_revision = 0; // changes after this one
-    double wait_s = 0;               // answered without changes after so many seconds
+    std::uint64_t from_revision = 0; // reports changes after this one
+    double wait_s = 0;               // longest wait; then the response has no changes
 };
 
 } // namespace scheduler
--- a/src/core/messaging/store_rate_limiter.cpp
+++ b/src/core/messaging/store_rate_limiter.cpp
@@ -5,14 +5,15 @@
 namespace scheduler {
 
 namespace {
-// A controller may use more than an even proportion, since load is rarely even; a 429 corrects
-// that.
-constexpr double kOvercommit = 1.8;
-// After a 429: the most that is left of a second's requests, and how long less urgent uses pause.
-constexpr double kRequestsLeftOnThrottle = 0.3;
+// A controller may use this multiple of an even share, because load is rarely even. If the total
+// exceeds the limit, the store responds with 429 and on_throttled reduces the rate.
+constexpr double kOvercommitFactor = 1.8;
+// After a 429: most requests left in the bucket, in seconds of the request rate, and how long the
+// less urgent uses pause.
+constexpr double kMaxRequestsAfterThrottle_s = 0.3;
 constexpr double kThrottlePause_s = 0.5;
 
-// What a use leaves in the buckets for more urgent ones, as a fraction of one second's worth.
+// Returns the fraction of the buckets' size that this use leaves for more urgent uses.
 constexpr double reserve(StoreRateLimiter::Use use) {
     switch (use) {
     case StoreRateLimiter::Use::renewal: return 0;
@@ -25,20 +26,20 @@
 } // namespace
 
 StoreRateLimiter::StoreRateLimiter(double requests_per_s, double writes_per_s, int controllers)
-    : requests_per_s_(requests_per_s * std::min(1.0, kOvercommit / std::max(1, controllers))),
-      writes_per_s_(writes_per_s * std::min(1.0, kOvercommit / std::max(1, controllers))),
+    : requests_per_s_(requests_per_s * std::min(1.0, kOvercommitFactor / std::max(1, controllers))),
+      writes_per_s_(writes_per_s * std::min(1.0, kOvercommitFactor / std::max(1, controllers))),
       requests_(requests_per_s_), writes_(writes_per_s_) {}
 
 void StoreRateLimiter::refill(Time now) {
     double passed = std::max(0.0, now - last_refill_);
-    last_refill_ = std::max(last_refill_, now); // a time gone back would be counted twice
+    last_refill_ = std::max(last_refill_, now); // a clock that goes back must not refill twice
     requests_ = std::min(requests_per_s_, requests_ + passed * requests_per_s_);
     writes_ = std::min(writes_per_s_, writes_ + passed * writes_per_s_);
 }
 
 bool StoreRateLimiter::try_acquire(Time now, Use use, int writes) {
     refill(now);
-    if (use == Use::renewal) { // never held back: without the store lease nothing else is of use
+    if (use == Use::renewal) { // never delayed: without the store lease the controller cannot act
         requests_ -= 1;
         writes_ -= writes;
         return true;
@@ -49,7 +50,7 @@
     if (requests_ - 1 < reserve(use) * requests_per_s_) {
         return false;
     }
-    // A limit below one write a second still lets one through when nothing else is written.
+    // With a limit below one write per second, one write is still admitted when the bucket is full.
     double writes_reserve = std::min(reserve(use) * writes_per_s_, writes_per_s_ - 1);
     if (writes > 0 && writes_ - writes < writes_reserve) {
         return false;
@@ -65,7 +66,7 @@
 
 void StoreRateLimiter::on_throttled(Time now) {
     refill(now);
-    requests_ = std::min(requests_, kRequestsLeftOnThrottle * requests_per_s_);
+    requests_ = std::min(requests_, kMaxRequestsAfterThrottle_s * requests_per_s_);
     writes_ = std::min(writes_, 0.0);
     pause_until_ = now + kThrottlePause_s;
 }
--- a/src/core/messaging/user_messages.h
+++ b/src/core/messaging/user_messages.h
@@ -1,4 +1,4 @@
-// Requests of users, health checks and operators, and what they are answered with.
+// Requests of users, health checks and operators, and the bodies of their responses.
 #pragma once
 
 #include <cstdint>
@@ -33,33 +33,33 @@
     RequestId request_id = 0;
 };
 
-// An operator asks how a team's quota stands at this controller. The response body is a
+// An operator queries the quota of a team as this controller applies it. The response body is a
 // QuotaStatus, see core/model/quota.h.
 struct QuotaStatusQuery {
     RequestId request_id = 0;
     std::string team;
 };
 
-// The same question as an outbound request to a controller. Only operators' commands send it, never
+// The same query as an outbound request to a controller. Sent only by operators' commands, never by
 // the core.
 struct QuotaStatusCall {
     std::string team;
 };
 
-// The response to PollJob. The counts of tasks are left out where they are not known.
+// The response to PollJob. The task counts are absent if they are unknown.
 struct JobStatusBody {
     std::string id;
-    std::string stage; // as on the wire
+    std::string stage; // the value of the wire protocol
     std::optional<std::uint32_t> done;
     std::optional<std::uint32_t> running;
 };
 
-// Directs the sender of a request to the controller that leads the partition in question.
+// Redirects the sender of a request to the controller that leads the requested partition.
 struct LeaderRedirect {
-    std::string node; // name of that controller; empty: not known
+    std::string node; // name of that controller; empty: unknown
 };
 
-// A response of plain text, mostly the reason of a refusal.
+// A plain-text response body, usually the reason for a rejection.
 struct TextBody {
     std::string text;
 };
