--- a/src/core/jobs/cancellation_broadcast.cpp
+++ b/src/core/jobs/cancellation_broadcast.cpp
@@ -1,4 +1,3 @@
-// Implementation of the broadcast of cancellations; see the header.
 #include "core/jobs/cancellation_broadcast.h"
 
 #include <algorithm>
@@ -7,12 +6,12 @@
 namespace scheduler {
 
 namespace {
-// Heartbeat intervals that a peer is waited for.
+// Longest wait for a peer's response, in heartbeat intervals.
 constexpr double kMaxWaitHeartbeats = 1.0 / 12;
-// Heartbeat intervals for which a peer that did not respond is not waited for again.
+// Time for which a peer that did not respond is not waited for, in heartbeat intervals.
 constexpr double kUnresponsiveHeartbeats = 1.0;
-// Jobs in a call, which keep it well under 64 KiB.
-constexpr std::size_t kMaxJobsPerCall = 500;
+// Keeps a request well under 64 KiB.
+constexpr std::size_t kMaxJobsPerRequest = 500;
 } // namespace
 
 CancellationBroadcast::CancellationBroadcast(const ClusterSettings& settings,
@@ -33,8 +32,8 @@
             waiter.nodes.insert(node);
         }
         peer.pending.push_back(job);
-        if (peer.pending.size() > kMaxJobsPerCall) {
-            peer.pending.pop_front(); // by now its watch has told it of the first ones
+        if (peer.pending.size() > kMaxJobsPerRequest) {
+            peer.pending.pop_front(); // the peer's store watch has reported it by now
         }
     }
     waiters_.push_back(std::move(waiter));
@@ -57,18 +56,19 @@
     peer.in_flight = true;
     requests_.send(CancellationCall{node, jobs},
                    [this, node, jobs](Time at, OutboundResponse& response) {
-                       Peer& called = peers_.at(node);
+                       Peer& recipient = peers_.at(node);
                        bool responded = response.status == 200;
-                       called.in_flight = false;
-                       called.unresponsive_until = responded ? -1 : at + unresponsive_s_;
+                       recipient.in_flight = false;
+                       recipient.unresponsive_until = responded ? -1 : at + unresponsive_s_;
                        on_response(at, node, jobs);
-                       if (!called.pending.empty()) {
+                       if (!recipient.pending.empty()) {
                            send(node);
                        }
                    });
 }
 
-// Whether the call succeeded or not, there is nothing more to wait for.
+// Ends the wait for the peer whether the request succeeded or failed, because failed requests are
+// not retried.
 void CancellationBroadcast::on_response(Time now, const std::string& node,
                                         const std::vector<std::string>& jobs) {
     for (auto& waiter : waiters_) {
--- a/src/core/jobs/cancellation_broadcast.h
+++ b/src/core/jobs/cancellation_broadcast.h
@@ -1,8 +1,9 @@
-// Tells all peers that a job is cancelled before its user is told, so that no partition leader
-// launches a task of it afterwards. The store's watch tells the peers too, and the safety rule
-// rests on that (see the staleness bound): the broadcast is only sooner. So a peer that does not
-// respond is waited for a small part of the time that users wait, and then not waited for again for
-// a while. See "Starts after a cancellation" in docs/meetings.md.
+// Sends a cancellation to all peers before the user's request is answered, so that no partition
+// leader launches a task of the job afterwards. Safety does not depend on the broadcast but on the
+// store watch, which reports cancellations to the peers as well, only later (see the staleness
+// bound). The wait for an unresponsive peer is therefore limited to a small part of the time that
+// users wait, and that peer is not waited for again for a while.
+// See "Starts after a cancellation" in docs/meetings.md.
 #pragma once
 
 #include <deque>
@@ -16,27 +17,28 @@
 
 namespace scheduler {
 
-// Called only from the controller's event loop. Calls that fail are not retried.
+// Called only from the controller's event loop. Failed requests are not retried.
 class CancellationBroadcast {
   public:
     CancellationBroadcast(const ClusterSettings& settings, OutboundRequests& requests);
 
     using OnDelivered = std::function<void(Time)>;
-    // `on_delivered` is called once, when every responsive peer knows of the cancellation or the
-    // wait is over; possibly before this returns.
+    // Sends the cancellation of a job to all peers. Calls `on_delivered` once, when every
+    // responsive peer has confirmed or the wait has timed out; possibly before this function
+    // returns.
     void broadcast(Time now, const std::string& job, OnDelivered on_delivered);
-    // Ends the waits that have lasted long enough. To be called after every input.
+    // Ends the waits that have timed out. To be called after every input.
     void flush(Time now);
 
   private:
     struct Peer {
-        std::deque<std::string> pending; // cancelled jobs that it is to be told of
+        std::deque<std::string> pending; // cancelled jobs not sent to this peer yet
         bool in_flight = false;
-        Time unresponsive_until = -1; // until then it is told, but not waited for
+        Time unresponsive_until = -1; // until then, sent to but not waited for
     };
     struct Waiter {
         std::string job;
-        std::set<std::string> nodes; // that have not responded
+        std::set<std::string> nodes; // peers without a response so far
         Time until = 0;
         OnDelivered on_delivered;
     };
--- a/src/core/jobs/job_persistence.cpp
+++ b/src/core/jobs/job_persistence.cpp
@@ -1,4 +1,3 @@
-/// See job_persistence.h.
 #include "core/jobs/job_persistence.h"
 
 #include <algorithm>
@@ -10,13 +9,13 @@
 
 namespace {
 
-// Of the writes that the store takes from all controllers. The rest is for new jobs, outcomes and
-// the machine registry.
-constexpr double kProgressShare = 0.3;
-// What the chunks of one transaction may take of the 64 KiB that a transaction may have.
-constexpr std::size_t kProgressBytes = std::size_t{48} * 1024;
+// Fraction of the store's write limit that the progress of all partitions may use. The rest is for
+// new jobs, outcomes and the machine registry.
+constexpr double kProgressWriteFraction = 0.3;
+// Size limit of the chunks of one transaction; the store accepts transactions up to 64 KiB.
+constexpr std::size_t kMaxProgressBytes = std::size_t{48} * 1024;
 constexpr std::size_t kChunkOverheadBytes = 128; // key, version and framing of one chunk
-constexpr std::size_t kTasksPerHexDigit = 4;     // in the stored form of the bits, a byte a digit
+constexpr std::size_t kTasksPerHexDigit = 4;     // bits are stored as hex digits of one byte each
 
 std::string job_key(const std::string& job) { return kJobPrefix + job; }
 
@@ -36,11 +35,10 @@
     if (now < next_progress_at_ || in_flight_) {
         return;
     }
-    // No more than the rate limiter can ever allow at once, or nothing would be saved while much
-    // changes.
-    int most = std::min(settings_.store_transaction_limit,
-                        requests_.max_writes(StoreRateLimiter::Use::progress));
-    auto chunks = jobs_.next_dirty_chunks(static_cast<std::size_t>(most));
+    // A transaction larger than the rate limiter can admit would never be sent.
+    int max_chunks = std::min(settings_.store_transaction_limit,
+                              requests_.max_writes(StoreRateLimiter::Use::progress));
+    auto chunks = jobs_.next_dirty_chunks(static_cast<std::size_t>(max_chunks));
     if (chunks.empty()) {
         return;
     }
@@ -52,15 +50,15 @@
                                 });
 }
 
-// Cuts `chunks` down to those that the transaction has space for.
+// Returns the transaction that saves `chunks`, and truncates `chunks` to those that fit into it.
 //
-// A transaction without a response may be applied after newer ones of this term, so each chunk is
-// written over the version that it has now, and only while its job is open: an older set of bits
-// never replaces a newer one whose tasks have been cleared, and none comes back after the job's
-// end.
+// A transaction without a response may be applied after newer ones of this term. Each write is
+// therefore conditional on the current version of the chunk and on the job being open: an older set
+// of bits cannot replace a newer one whose tasks have been cleared, and no chunk is written again
+// after the job has ended.
 StoreTransaction JobPersistence::progress_transaction(std::vector<DirtyChunk>& chunks) const {
     StoreTransaction transaction = leadership_.guarded_transaction();
-    std::size_t bytes_left = kProgressBytes;
+    std::size_t bytes_left = kMaxProgressBytes;
     std::size_t count = 0;
     for (; count < chunks.size(); ++count) {
         const DirtyChunk& chunk = chunks[count];
@@ -85,11 +83,10 @@
 void JobPersistence::on_progress_response(Time now, const std::vector<DirtyChunk>& chunks,
                                           const OutboundResponse& response) {
     in_flight_ = false;
-    // All partitions together leave most of the writes to new jobs, outcomes and the machine
-    // registry.
+    // Each partition limits its rate so that all of them together stay within the fraction.
     double partitions = static_cast<double>(settings_.partitions.size());
     double changes = static_cast<double>(chunks.size());
-    double changes_per_s = kProgressShare * settings_.store_writes_per_s;
+    double changes_per_s = kProgressWriteFraction * settings_.store_writes_per_s;
     next_progress_at_ =
         now + std::max(settings_.heartbeat_interval_s / 3, changes * partitions / changes_per_s);
     if (leadership_.committed(requests_, response, "progress")) {
@@ -101,7 +98,8 @@
     }
 }
 
-// The store names some of the keys whose versions differ; the next attempt will find the others.
+// Rereads the keys whose conditions failed. The store reports only some of them; the next attempt
+// finds the others.
 void JobPersistence::reread_refused(Time now, const std::vector<DirtyChunk>& chunks,
                                     const OutboundResponse& response) {
     for (const auto& chunk : chunks) {
@@ -126,16 +124,18 @@
                                 });
 }
 
-// The job's outcome and the deletion of its progress keys are one write; only then is it done.
+// Returns the transaction that writes the outcome and deletes the progress keys atomically. The job
+// is done only after this write.
 StoreTransaction JobPersistence::completion_transaction(const Job& job) const {
     StoreTransaction transaction = leadership_.guarded_transaction();
     const std::string& id = job.spec.id;
     transaction.conditions.push_back({job_key(id), job.version});
     transaction.writes.push_back({job_key(id), JobRecord{Outcome::done, {}}, {}});
-    int most = std::min(settings_.store_transaction_limit,
-                        requests_.max_writes(StoreRateLimiter::Use::user));
+    int max_writes = std::min(settings_.store_transaction_limit,
+                              requests_.max_writes(StoreRateLimiter::Use::user));
     for (std::uint32_t chunk = 0; chunk < jobs_.chunks(job); ++chunk) {
-        if (job.chunk_versions[chunk] > 0 && static_cast<int>(transaction.writes.size()) < most) {
+        if (job.chunk_versions[chunk] > 0 &&
+            static_cast<int>(transaction.writes.size()) < max_writes) {
             transaction.writes.push_back({progress_key(id, chunk), {}, {}});
         }
     }
@@ -157,8 +157,8 @@
     }
 }
 
-// Its key has changed under us: a cancellation came first, or our own write was applied although
-// its response was lost.
+// Reads the job whose key has changed: it was cancelled, or an earlier write of this leader was
+// applied although its response was lost.
 void JobPersistence::reread_job(Time now, const std::string& id) {
     requests_.send_to_store(now, StoreRateLimiter::Use::user, StoreGet{job_key(id)},
                             [this, id](Time at, OutboundResponse& response) {
@@ -179,11 +179,11 @@
                                 if (response.status == 404) {
                                     jobs_.load_progress(id, chunk, {}, 0);
                                 } else if (response.status == 200 && !response.entries.empty()) {
-                                    const KeyedRecord& item = response.entries[0];
-                                    const auto* record = std::get_if<ProgressRecord>(&item.record);
+                                    const KeyedRecord& entry = response.entries[0];
+                                    const auto* record = std::get_if<ProgressRecord>(&entry.record);
                                     jobs_.load_progress(id, chunk,
                                                         record ? record->done : std::vector<bool>{},
-                                                        item.version);
+                                                        entry.version);
                                 }
                             });
 }
--- a/src/core/jobs/job_persistence.h
+++ b/src/core/jobs/job_persistence.h
@@ -1,8 +1,8 @@
-/// Durable writes of a partition leader: completed-task bits and job outcomes.
-///
-/// Every write is conditional on the leader's term and on the version that each key has now. A
-/// write that the store refuses is followed by a re-read of the keys that it named, so that the
-/// next attempt is conditional on their present versions.
+// Durable writes of a partition leader: completed-task bits and job outcomes.
+//
+// Every write is conditional on the leader's term and on the current version of each key. If the
+// conditions fail, the keys that the store reports are read again, so that the next attempt uses
+// their current versions.
 #pragma once
 
 #include <string>
@@ -14,30 +14,30 @@
 
 namespace scheduler {
 
-/// Writes the progress and the completion of a partition's jobs to the key-value store, at a
-/// limited rate and with one transaction of progress in flight at a time.
+// Writes the progress and the outcome of a partition's jobs to the key-value store, at a limited
+// rate and with at most one progress transaction in flight.
 class JobPersistence {
   public:
-    /// What the partition leader is told of the outcomes that turn out to be durable.
+    // Notified of durable job outcomes; implemented by the partition leader.
     class Delegate {
       public:
         virtual ~Delegate() = default;
-        /// The job's completion, written by this leader, is durable.
+        // The completion of the job, written by this leader, is durable.
         virtual void on_completion_durable(const std::string& job) = 0;
-        /// A re-read showed that the job was over before: cancelled, or completed by a write of
-        /// ours whose response was lost.
+        // The job had already ended in the store: cancelled, or completed by an earlier write of
+        // this leader whose response was lost.
         virtual void on_outcome_found(Time now, const std::string& job, Outcome outcome) = 0;
     };
 
     JobPersistence(Leadership& leadership, const ClusterSettings& settings, JobStore& jobs,
                    JobRecordCache& job_cache, OutboundRequests& requests, Delegate& delegate);
 
-    /// Writes the completed-task bits that are not durable yet, if a write is due and none is in
-    /// flight. To be called on the timer.
+    // Writes completed-task bits that are not durable yet, if a write is due and none is in flight.
+    // To be called on every timer tick.
     void persist_completed_tasks(Time now);
 
-    /// Writes the outcome of a job whose tasks are all done. Does nothing while such a write is in
-    /// flight, or too soon after one. To be called again until the delegate is told.
+    // Writes the outcome of a job whose tasks are all done. Does nothing while such a write is in
+    // flight or was attempted recently. To be called repeatedly until the delegate is notified.
     void finish_job(Time now, Job& job);
 
   private:
@@ -54,11 +54,11 @@
     Leadership& leadership_;
     const ClusterSettings& settings_;
     JobStore& jobs_;
-    JobRecordCache& job_cache_; // the controller's, told of each outcome that becomes durable
+    JobRecordCache& job_cache_; // of the controller; updated with each durable outcome
     OutboundRequests& requests_;
     Delegate& delegate_;
-    bool in_flight_ = false;    // a transaction of progress
-    Time next_progress_at_ = 0; // no transaction of progress is sent before this
+    bool in_flight_ = false;    // of a progress transaction
+    Time next_progress_at_ = 0; // earliest time of the next progress transaction
 };
 
 } // namespace scheduler
--- a/src/core/jobs/job_record_cache.cpp
+++ b/src/core/jobs/job_record_cache.cpp
@@ -1,17 +1,16 @@
-// Implementation of the cache of job records; see the header.
 #include "core/jobs/job_record_cache.h"
 
 namespace scheduler {
 
 namespace {
-// Cancelled jobs remembered, which keep a message that names them all well under 64 KiB.
+// Limit of remembered cancelled jobs. A message that lists all of them stays well under 64 KiB.
 constexpr std::size_t kMaxCancelledJobs = 1000;
 } // namespace
 
 void JobRecordCache::observe(Time now, const std::string& id, std::uint64_t version,
                              const StoredRecord& record) {
     const auto* job = std::get_if<JobRecord>(&record);
-    if (!job) { // unreadable: every poll of it is to read it anew
+    if (!job) { // unreadable: each poll has to read the key
         open_.erase(id);
     } else if (job->outcome != Outcome::none) {
         observe_outcome(now, id, job->outcome);
@@ -37,12 +36,12 @@
     }
 }
 
-std::optional<std::vector<std::string>> JobRecordCache::cancelled_since(Time when) const {
-    if (when <= cancelled_floor_) {
+std::optional<std::vector<std::string>> JobRecordCache::cancelled_since(Time since) const {
+    if (since <= cancelled_floor_) {
         return std::nullopt;
     }
     std::vector<std::string> jobs;
-    for (auto it = cancelled_.rbegin(); it != cancelled_.rend() && it->seen_at >= when; ++it) {
+    for (auto it = cancelled_.rbegin(); it != cancelled_.rend() && it->seen_at >= since; ++it) {
         jobs.push_back(it->id);
     }
     return jobs;
--- a/src/core/jobs/job_record_cache.h
+++ b/src/core/jobs/job_record_cache.h
@@ -1,6 +1,7 @@
-// What this controller has seen of each job's key in the store: its version while the job is open,
-// its outcome once it is over. Fed by every read, write and watch event of such a key. A cached
-// version alone must never answer a user; job_status_reader.h confirms it first.
+// Caches the state of jobs in the store as this controller last saw it: the version of the job's
+// key while the job is open, the outcome once it is final. Updated by every read, write and watch
+// event of such a key. A cached version must be confirmed before it is used for a response to a
+// user, see job_status_reader.h.
 #pragma once
 
 #include <deque>
@@ -12,8 +13,8 @@
 
 namespace scheduler {
 
-// Bounded in size: the entries added first are dropped first. Called only from the controller's
-// event loop.
+// Bounded in size: the oldest entries are evicted first. Called only from the controller's event
+// loop.
 class JobRecordCache {
   public:
     static constexpr std::size_t kMaxOpenJobs = 50000;
@@ -22,26 +23,26 @@
                             std::size_t max_final_jobs = kMaxFinalJobs)
         : open_(max_open_jobs), final_(max_final_jobs) {}
 
-    // A record of `job/<id>` as it was at `version`, the store revision of its last change. A
-    // record older than what is known changes nothing.
+    // Updates the cache with the record of `job/<id>` at `version`, the store revision of its last
+    // change. Has no effect if the cache has a newer version.
     void observe(Time now, const std::string& id, std::uint64_t version,
                  const StoredRecord& record);
-    // The job is known to be over.
+    // Records the final outcome of a job.
     void observe_outcome(Time now, const std::string& id, Outcome outcome);
-    // The cached version is outdated.
+    // Removes the cached version of an open job because it is outdated.
     void invalidate(const std::string& id) { open_.erase(id); }
 
-    // The version of an open job; none if the job was not seen, is over, or has been dropped.
+    // Returns the version of an open job, or nothing if the job is not cached or has ended.
     std::optional<std::uint64_t> version(const std::string& id) const;
-    // The outcome of a job that is over, as far as is known. Final outcomes never change, so one
-    // that has been seen holds for good.
+    // Returns the final outcome of a job, if it is cached. Final outcomes never change, so this
+    // needs no confirmation.
     std::optional<Outcome> outcome(const std::string& id) const;
-    // The jobs first seen cancelled at `when` or later, the latest first; none if the cache does
-    // not reach back so far.
-    std::optional<std::vector<std::string>> cancelled_since(Time when) const;
+    // Returns the jobs first seen as cancelled at `since` or later, latest first. Returns nothing
+    // if older entries of that period have been evicted.
+    std::optional<std::vector<std::string>> cancelled_since(Time since) const;
 
   private:
-    // A map by job id that keeps at most `max_entries`, in order of insertion.
+    // A map by job id with at most `max_entries` entries; evicts in order of insertion.
     template <class Value> class Bounded {
       public:
         explicit Bounded(std::size_t max_entries) : max_entries_(max_entries) {}
@@ -73,7 +74,7 @@
             std::list<std::string>::iterator position; // in order_
         };
         std::size_t max_entries_;
-        std::list<std::string> order_; // job ids, the oldest first
+        std::list<std::string> order_; // job ids, oldest first
         std::unordered_map<std::string, Entry> entries_;
     };
     struct CancelledJob {
@@ -82,8 +83,8 @@
     };
     Bounded<std::uint64_t> open_;
     Bounded<Outcome> final_;
-    std::deque<CancelledJob> cancelled_; // the latest, in order
-    Time cancelled_floor_ = -1;          // some seen up to this time have been dropped
+    std::deque<CancelledJob> cancelled_; // latest ones, in order of time
+    Time cancelled_floor_ = -1;          // entries up to this time may have been evicted
 };
 
 } // namespace scheduler
--- a/src/core/jobs/job_responses.h
+++ b/src/core/jobs/job_responses.h
@@ -1,4 +1,4 @@
-// Responses to users that the job service and the job status reader share.
+// Responses to users, shared by the job service and the job status reader.
 #pragma once
 
 #include <functional>
@@ -8,8 +8,8 @@
 
 namespace scheduler {
 
-// Responds with the outcome of the job if it is known to be over; outcomes never change. Returns
-// false, without a response, otherwise.
+// Responds with the final outcome of the job if it is cached; final outcomes never change.
+// Otherwise returns false without a response.
 inline bool respond_if_final(OutboundRequests& requests, const JobRecordCache& job_cache,
                              RequestId request_id, const std::string& job) {
     auto outcome = job_cache.outcome(job);
@@ -20,12 +20,12 @@
     return outcome.has_value();
 }
 
-// Sets the numbers of tasks done and running of the job, in this order, as its partition's leader
-// knows them. Returns false if this controller is not that leader.
+// Sets the numbers of done and running tasks of the job, from the state of its partition's leader.
+// Returns false if this controller is not that leader.
 using TaskCounts =
     std::function<bool(const std::string& job, std::uint32_t& done, std::uint32_t& running)>;
 
-// Responds with the current state of a job. The caller has made sure that the job is open.
+// Responds with the current state of an open job. The caller must have confirmed that it is open.
 inline void respond_open(OutboundRequests& requests, const TaskCounts& counts, RequestId request_id,
                          const std::string& job) {
     std::uint32_t done = 0;
@@ -35,7 +35,7 @@
                      JobStatusBody{job, running > 0 ? "running" : "pending", done, running});
 }
 
-// The key-value store cannot be used now: the user is to retry after a second.
+// Responds that the key-value store cannot be used now; the user should retry after one second.
 inline void respond_unavailable(OutboundRequests& requests, RequestId request_id) {
     requests.respond(request_id, 503, TextBody{"state service"}, 1);
 }
--- a/src/core/jobs/job_service.cpp
+++ b/src/core/jobs/job_service.cpp
@@ -1,4 +1,3 @@
-// Implementation of the job service; see the header.
 #include "core/jobs/job_service.h"
 
 #include <algorithm>
@@ -27,7 +26,7 @@
     if (!quota) {
         return "unknown team";
     }
-    // The tasks of an array need not run at the same time, those of other jobs do.
+    // Only the tasks of an array need not run at the same time.
     double tasks_at_once = spec.kind == JobKind::array ? 1 : spec.tasks;
     return quota->allows(spec.cpus * tasks_at_once, spec.gpus * tasks_at_once)
                ? ""
@@ -39,7 +38,7 @@
     Rejection rejection;
     rejection.reason = rejection_reason(spec, quotas_.team(spec.team));
     rejection.by_quota = !rejection.reason.empty();
-    // The cloud provider may offer a fitting type by now.
+    // The cloud may offer a fitting type since the list was stored.
     rejection.uncertain = !rejection.by_quota && !types_current;
     if (!rejection.by_quota && !fits(spec, types)) {
         rejection.reason = kNoFittingType;
@@ -50,8 +49,8 @@
 void JobService::submit(Time now, const SubmitJob& submit, const std::vector<InstanceType>& types,
                         bool types_current) {
     const JobSpec& spec = submit.spec;
-    // A retry of an accepted job is answered with the job's state, whatever the settings say now;
-    // so the job is looked up before it is rejected.
+    // The response to a retry for an accepted job is the job's state, even if the current settings
+    // would reject the job. The job is therefore looked up before it is rejected.
     if (respond_if_final(requests_, job_cache_, submit.request_id, spec.id)) {
         return;
     }
@@ -64,8 +63,8 @@
         create(now, submit.request_id, spec);
         return;
     }
-    // A job that would be rejected now may have been accepted under earlier settings, and may be
-    // over.
+    // A job that would be rejected now may have been accepted under earlier settings and may have
+    // ended since.
     read(
         now, submit.request_id, spec.id,
         [this, request_id = submit.request_id, id = spec.id](Time, const KeyedRecord&) {
@@ -88,14 +87,15 @@
     }
 }
 
-// The team's quota as known here rejects the job. The quota may have been raised: only the newest
-// one, read from the store, rejects for good.
+// Called when the team's quota in force here rejects the job. The quota may have been raised, so
+// the job is rejected only under the latest quota, read from the store.
 void JobService::reject_after_refresh(Time now, RequestId request_id, const JobSpec& spec,
                                       const std::vector<InstanceType>& types, bool types_current) {
     bool sent = requests_.send_to_store(
         now, StoreRateLimiter::Use::user, StoreGet{kQuotaConfigPrefix + spec.team},
         [this, request_id, spec, &types, types_current](Time at, OutboundResponse& response) {
-            const TeamQuota* newest = quotas_.settings(spec.team); // holds if there is no key
+            const TeamQuota* newest =
+                quotas_.settings(spec.team); // applies if the key does not exist
             if (response.status == 200 && !response.entries.empty()) {
                 newest = quotas_.team(spec.team);
                 quotas_.apply(at, response.entries[0]);
@@ -180,7 +180,8 @@
     }
 }
 
-// The job is cancelled for good: whoever may launch its tasks is told before its user is.
+// Responds to the user after a durable cancellation. Partition leaders here and on peers, which
+// could launch tasks of the job, are notified first.
 void JobService::confirm(Time now, const CancelJob& cancel) {
     job_cache_.observe_outcome(now, cancel.job, Outcome::cancelled);
     on_cancelled_(now, cancel.job);
@@ -189,9 +190,9 @@
     });
 }
 
-void JobService::cancel(Time now, const CancelJob& cancel, int tries_left) {
+void JobService::cancel(Time now, const CancelJob& cancel, int retries_left) {
     auto outcome = job_cache_.outcome(cancel.job);
-    if (outcome == Outcome::cancelled) { // maybe by a controller that ended before it told anybody
+    if (outcome == Outcome::cancelled) { // its controller may have failed before the broadcast
         confirm(now, cancel);
         return;
     }
@@ -200,17 +201,17 @@
     }
     read(
         now, cancel.request_id, cancel.job,
-        [this, cancel, tries_left](Time at, const KeyedRecord& entry) {
-            write_cancellation(at, cancel, entry, tries_left);
+        [this, cancel, retries_left](Time at, const KeyedRecord& entry) {
+            write_cancellation(at, cancel, entry, retries_left);
         },
         [this, request_id = cancel.request_id](Time) {
             requests_.respond(request_id, 404, TextBody{"no such job"});
         });
 }
 
-// `entry`: the open job as it was just read.
+// Writes the cancellation. `entry` is the record of the open job as it was just read.
 void JobService::write_cancellation(Time now, const CancelJob& cancel, const KeyedRecord& entry,
-                                    int tries_left) {
+                                    int retries_left) {
     JobRecord record = std::get<JobRecord>(entry.record);
     record.outcome = Outcome::cancelled;
     StoreTransaction transaction;
@@ -218,11 +219,11 @@
     transaction.writes.push_back({entry.key, std::move(record), {}});
     bool sent =
         requests_.send_to_store(now, StoreRateLimiter::Use::user, std::move(transaction),
-                                [this, cancel, tries_left](Time at, OutboundResponse& response) {
+                                [this, cancel, retries_left](Time at, OutboundResponse& response) {
                                     if (response.status == 200) {
                                         confirm(at, cancel);
-                                    } else if (response.status == 409 && tries_left > 0) {
-                                        this->cancel(at, cancel, tries_left - 1);
+                                    } else if (response.status == 409 && retries_left > 0) {
+                                        this->cancel(at, cancel, retries_left - 1);
                                     } else {
                                         respond_unavailable(requests_, cancel.request_id);
                                     }
--- a/src/core/jobs/job_service.h
+++ b/src/core/jobs/job_service.h
@@ -1,5 +1,5 @@
-// Accepts jobs and cancellations from users at every controller, whether it leads the job's
-// partition or not, through the key-value store. Polls are for the job status reader.
+// Handles submissions and cancellations of users through the key-value store, on every controller,
+// whether or not it leads the job's partition. The job status reader handles polls.
 #pragma once
 
 #include "core/jobs/cancellation_broadcast.h"
@@ -8,12 +8,12 @@
 
 namespace scheduler {
 
-// Responds to each request once, when its outcome is durable or it failed: 503 if the store cannot
-// be used now, 422 if the job is rejected, 404 if there is no such job. Called only from the
-// controller's event loop.
+// Responds to each request once, when its outcome is durable or it has failed: with 503 if the
+// store cannot be used now, 422 if the job is rejected, 404 if there is no such job. Called only
+// from the controller's event loop.
 class JobService {
   public:
-    // Tells the partition leaders of this controller that a job was cancelled.
+    // Notifies the partition leaders of this controller that a job was cancelled.
     using OnCancelled = std::function<void(Time, const std::string&)>;
     JobService(const ClusterSettings& settings, OutboundRequests& requests,
                JobRecordCache& job_cache, QuotaConfig& quotas, TaskCounts task_counts,
@@ -22,22 +22,23 @@
           task_counts_(std::move(task_counts)), on_cancelled_(std::move(on_cancelled)),
           broadcast_(settings, requests) {}
 
-    // `types`: the controller's instance types, which must outlive the service. `types_current`:
-    // they were read from the cloud provider since the start, and not only from the store.
+    // Accepts or rejects a job. `types`: the controller's instance types, which must outlive the
+    // service. `types_current`: this process fetched them from the cloud, rather than read them
+    // from the store.
     void submit(Time now, const SubmitJob& submit, const std::vector<InstanceType>& types,
                 bool types_current);
-    // `tries_left`: retries of a cancellation that collides with another write of the job's key.
-    void cancel(Time now, const CancelJob& cancel, int tries_left = kCancelRetries);
-    // Ends the waits for peers. To be called after every input.
+    // Cancels a job. `retries_left`: retries after a conflict with another write of the job's key.
+    void cancel(Time now, const CancelJob& cancel, int retries_left = kCancelRetries);
+    // Ends the waits for peers that have timed out. To be called after every input.
     void flush(Time now) { broadcast_.flush(now); }
 
   private:
     static constexpr int kCancelRetries = 3;
 
-    // Why a job is to be rejected; an empty reason means that it is not.
+    // The result of a check of a submitted job; an empty reason means that the job is accepted.
     struct Rejection {
         std::string reason;
-        bool by_quota = false;  // by the team's quota, otherwise by the instance types
+        bool by_quota = false;  // the team's quota rejects it, not the instance types
         bool uncertain = false; // the instance types may have changed
     };
     static std::string rejection_reason(const JobSpec& spec, const TeamQuota* quota);
@@ -47,13 +48,13 @@
     void reject_after_refresh(Time now, RequestId request_id, const JobSpec& spec,
                               const std::vector<InstanceType>& types, bool types_current);
     void write_cancellation(Time now, const CancelJob& cancel, const KeyedRecord& entry,
-                            int tries_left);
+                            int retries_left);
     void confirm(Time now, const CancelJob& cancel);
     void create(Time now, RequestId request_id, const JobSpec& spec);
     void on_created(Time now, RequestId request_id, const std::string& id,
                     const OutboundResponse& response);
-    // Reads the job and responds, except where only the caller knows how: `on_open` is called if
-    // the job is open, `on_missing` if there is none.
+    // Reads the job. Calls `on_open` if the job is open and `on_missing` if it does not exist;
+    // these send the response. Responds itself if the job has ended or cannot be read.
     using OnOpen = std::function<void(Time, const KeyedRecord&)>;
     using OnMissing = std::function<void(Time)>;
     void read(Time now, RequestId request_id, const std::string& id, const OnOpen& on_open,
@@ -62,7 +63,7 @@
                  const OutboundResponse& response, const OnOpen& on_open);
 
     OutboundRequests& requests_;
-    // Final outcomes never change, so they alone may be answered without a read.
+    // Only final outcomes are used for a response without a read, because they never change.
     JobRecordCache& job_cache_;
     QuotaConfig& quotas_;
     TaskCounts task_counts_;
--- a/src/core/jobs/job_status_reader.cpp
+++ b/src/core/jobs/job_status_reader.cpp
@@ -1,4 +1,3 @@
-// Implementation of the polls of job states; see the header.
 #include "core/jobs/job_status_reader.h"
 
 #include <algorithm>
@@ -10,14 +9,14 @@
 namespace scheduler {
 
 namespace {
-// Conditions that the store allows in a transaction for each write that it allows.
+// The store's limit of conditions per transaction, as a multiple of its limit of writes.
 constexpr int kConditionsPerWrite = 4;
-// The part of a controller's even share of store requests that polls may use when they are few.
+// Fraction of a controller's even share of store requests that batches which are not full may use.
 constexpr double kMaxRequestFraction = 0.25;
-// Heartbeat intervals that a poll waits for the rate limiter: users wait for about two thirds of
-// one.
+// Longest wait of a poll for the rate limiter, in heartbeat intervals. Users time out after about
+// two thirds of an interval.
 constexpr double kMaxWaitHeartbeats = 1.0 / 6;
-// A transaction that the rate limiter held back is tried again after this part of the gather time.
+// Retries per gather time of a transaction that the rate limiter does not admit.
 constexpr double kRetriesPerGatherTime = 4;
 } // namespace
 
@@ -51,7 +50,7 @@
         waiting_.pop_front();
     }
     while (!waiting_.empty() && now >= blocked_until_ &&
-           (now >= next_ || waiting_.size() >= max_keys_)) {
+           (now >= next_batch_at_ || waiting_.size() >= max_keys_)) {
         std::size_t before = waiting_.size();
         confirm(now);
         if (waiting_.size() == before) {
@@ -60,7 +59,7 @@
     }
 }
 
-// One transaction for the jobs that have waited longest, and all polls of each of them.
+// Returns a batch with the jobs whose polls have waited longest, and all polls of each of them.
 JobStatusReader::Batch JobStatusReader::next_batch() const {
     Batch batch;
     std::set<std::string> jobs;
@@ -75,7 +74,7 @@
             jobs.insert(waiting.job);
             batch.included.push_back(waiting);
         } else {
-            batch.left.push_back(waiting);
+            batch.remaining.push_back(waiting);
         }
     }
     return batch;
@@ -91,17 +90,17 @@
             })) {
         return;
     }
-    waiting_ = std::move(batch.left);
-    next_ = now + gather_s_;
+    waiting_ = std::move(batch.remaining);
+    next_batch_at_ = now + gather_s_;
     for (const auto& waiting : batch.unknown) {
         poll(now, waiting.request, waiting.job);
     }
 }
 
-void JobStatusReader::on_confirmed(Time now, const std::vector<Waiting>& polls,
+void JobStatusReader::on_confirmed(Time now, const std::vector<WaitingPoll>& polls,
                                    const OutboundResponse& response) {
-    // The keys that are named have changed. The others are compared again rather than taken as
-    // unchanged: the protocol does not say that all changed keys are named.
+    // The reported keys have changed. The others are compared again rather than considered
+    // unchanged, because the protocol does not guarantee that all changed keys are reported.
     for (const auto& key : response.failed_keys) {
         if (key.starts_with(kJobPrefix)) {
             job_cache_.invalidate(key.substr(sizeof(kJobPrefix) - 1));
@@ -112,7 +111,7 @@
     }
 }
 
-void JobStatusReader::on_confirmed(Time now, const Waiting& waiting,
+void JobStatusReader::on_confirmed(Time now, const WaitingPoll& waiting,
                                    const OutboundResponse& response) {
     if (respond_if_final(requests_, job_cache_, waiting.request, waiting.job)) {
         return;
@@ -176,19 +175,19 @@
     poll_again(now, job, completed.later);
 }
 
-// Polls that a read came too early for: they share the next one.
+// Handles polls that arrived after a read was sent. Those that need a read share the next one.
 void JobStatusReader::poll_again(Time now, const std::string& job,
                                  const std::vector<RequestId>& requests) {
-    std::vector<RequestId> unanswered;
+    std::vector<RequestId> needing_read;
     for (RequestId request_id : requests) {
         if (job_cache_.outcome(job) || job_cache_.version(job)) {
             poll(now, request_id, job);
         } else {
-            unanswered.push_back(request_id);
+            needing_read.push_back(request_id);
         }
     }
-    if (!unanswered.empty()) {
-        read(now, job, std::move(unanswered));
+    if (!needing_read.empty()) {
+        read(now, job, std::move(needing_read));
     }
 }
 
--- a/src/core/jobs/job_store.cpp
+++ b/src/core/jobs/job_store.cpp
@@ -1,4 +1,3 @@
-// Implementation of the job store; see the header.
 #include "core/jobs/job_store.h"
 
 #include <algorithm>
@@ -6,7 +5,7 @@
 namespace scheduler {
 
 namespace {
-// Outcomes remembered, so that a late read or event does not add a job that is over.
+// Limit of remembered outcomes.
 constexpr std::size_t kMaxOutcomes = 20000;
 } // namespace
 
@@ -110,7 +109,7 @@
 
 void JobStore::mark_done(Job& job, std::uint32_t task) {
     if (job.tasks[task] != TaskState::waiting || job.spec.kind == JobKind::service) {
-        return; // a replica that ended waits to be launched again
+        return; // a replica that has exited is launched again
     }
     job.tasks[task] = TaskState::done;
     job.waiting.erase(task);
@@ -147,7 +146,7 @@
             it = dirty_.begin();
         }
         const Job& job = *jobs_.at(it->job);
-        if (!job.complete()) { // a complete job's bits go with the write of its outcome
+        if (!job.complete()) { // the write of the outcome deletes its chunks
             chunks.push_back({it->job, it->chunk, job.chunk_changes[it->chunk]});
             last_dirty_ = *it;
         }
