--- a/src/core/quotas/quota_config.cpp
+++ b/src/core/quotas/quota_config.cpp
@@ -8,42 +8,43 @@
 namespace scheduler {
 
 namespace {
-constexpr double kRetryHeartbeats = 1.0 / 6; // heartbeat intervals after a failed read or watch
-constexpr std::size_t kMaxNameLength = 180;  // of a team, in bytes: it is part of a key
+// Delay after a failed read or watch, in heartbeat intervals.
+constexpr double kRetryDelayHeartbeats = 1.0 / 6;
+constexpr std::size_t kMaxTeamNameBytes = 180; // the name is part of a key
 } // namespace
 
 std::string invalid_quota_reason(const TeamQuota& settings, const TeamQuota& changed) {
-    struct Measure {
+    struct Resource {
         const char* key;
         double guarantee;
         double limit;
         bool limited_by_settings;
         bool limited_by_change;
     };
-    bool valid_name = !settings.name.empty() && settings.name.size() <= kMaxNameLength &&
+    bool valid_name = !settings.name.empty() && settings.name.size() <= kMaxTeamNameBytes &&
                       std::none_of(settings.name.begin(), settings.name.end(),
                                    [](unsigned char c) { return c <= ' ' || c == 127; });
     if (!valid_name) {
         return "team: its name cannot be part of a key";
     }
-    for (const Measure& m : {Measure{"cpus", changed.guaranteed_cpus, changed.max_cpus,
-                                     settings.limits_cpus(), changed.limits_cpus()},
-                             Measure{"gpus", changed.guaranteed_gpus, changed.max_gpus,
-                                     settings.limits_gpus(), changed.limits_gpus()}}) {
-        std::string key = m.key;
-        if (!std::isfinite(m.guarantee) || m.guarantee < 0) {
+    for (const Resource& resource : {Resource{"cpus", changed.guaranteed_cpus, changed.max_cpus,
+                                              settings.limits_cpus(), changed.limits_cpus()},
+                                     Resource{"gpus", changed.guaranteed_gpus, changed.max_gpus,
+                                              settings.limits_gpus(), changed.limits_gpus()}}) {
+        std::string key = resource.key;
+        if (!std::isfinite(resource.guarantee) || resource.guarantee < 0) {
             return key + ": not a number of 0 or more";
         }
-        if (!std::isfinite(m.limit) || m.limit < 0) {
+        if (!std::isfinite(resource.limit) || resource.limit < 0) {
             return key + "_max: not a number of 0 or more";
         }
-        if (m.limit > 0 && m.guarantee > m.limit) {
+        if (resource.limit > 0 && resource.guarantee > resource.limit) {
             std::string reason = key;
             reason.append(": above ").append(key).append("_max");
             return reason;
         }
-        if (m.limited_by_settings != m.limited_by_change) {
-            return key + (m.limited_by_settings
+        if (resource.limited_by_settings != resource.limited_by_change) {
+            return key + (resource.limited_by_settings
                               ? ": the settings state some, so one of guarantee and limit "
                                 "must be above 0"
                               : ": the settings state none for this team");
@@ -56,7 +57,7 @@
                          OnEffective on_effective)
     : requests_(requests), on_effective_(std::move(on_effective)),
       bound_s_(StalenessBound::bound_s(settings)), watch_s_(StalenessBound::max_watch_s(settings)),
-      retry_s_(kRetryHeartbeats * settings.heartbeat_interval_s) {
+      retry_s_(kRetryDelayHeartbeats * settings.heartbeat_interval_s) {
     for (const auto& quota : settings.teams) {
         Team& team = quotas_[quota.name];
         team.settings = quota;
@@ -85,9 +86,9 @@
 
 std::vector<QuotaChange> QuotaConfig::changes_since(std::uint64_t revision) const {
     std::vector<QuotaChange> out;
-    for (const auto& [name, t] : quotas_) {
-        if (t.effective_revision > revision) {
-            out.push_back({name, t.quota, t.effective_revision});
+    for (const auto& [name, team] : quotas_) {
+        if (team.effective_revision > revision) {
+            out.push_back({name, team.quota, team.effective_revision});
         }
     }
     return out;
@@ -109,68 +110,70 @@
 void QuotaConfig::apply(Time now, const QuotaChange& change) {
     auto it = quotas_.find(change.team);
     if (it == quotas_.end()) {
-        return; // only teams of the settings may change
+        return; // only teams of the settings have quotas
     }
-    Team& t = it->second;
-    if (change.revision <= t.revision) {
+    Team& team = it->second;
+    if (change.revision <= team.revision) {
         return;
     }
-    t.revision = change.revision;
-    std::string fault = change.quota ? invalid_quota_reason(t.settings, *change.quota)
-                                     : std::string("cannot be read");
-    if (!fault.empty()) {
-        // The last valid quota stays in force; where none is known, nothing of the team is started.
-        t.blocked = t.effective_revision == 0 && !loaded_;
+    team.revision = change.revision;
+    std::string invalid_reason = change.quota ? invalid_quota_reason(team.settings, *change.quota)
+                                              : std::string("cannot be read");
+    if (!invalid_reason.empty()) {
+        // The last valid quota stays in force. If none is known, no task of the team is started.
+        team.blocked = team.effective_revision == 0 && !loaded_;
         requests_.log(LogLevel::error,
                       "event=record_unreadable key=" + std::string(kQuotaConfigPrefix) +
-                          change.team + " reason=\"" + fault + "\"");
-        if (t.blocked) {
-            on_effective_(now, t.quota);
+                          change.team + " reason=\"" + invalid_reason + "\"");
+        if (team.blocked) {
+            on_effective_(now, team.quota);
         }
         return;
     }
-    t.quota = *change.quota;
-    t.quota.name = change.team;
-    t.effective_revision = change.revision;
-    t.effective_since = now;
-    t.blocked = false;
+    team.quota = *change.quota;
+    team.quota.name = change.team;
+    team.effective_revision = change.revision;
+    team.effective_since = now;
+    team.blocked = false;
     requests_.log(LogLevel::info, "event=quota_updated team=" + change.team +
                                       " revision=" + std::to_string(change.revision) +
-                                      " cpus=" + std::to_string(t.quota.guaranteed_cpus) +
-                                      " cpus_max=" + std::to_string(t.quota.max_cpus) +
-                                      " gpus=" + std::to_string(t.quota.guaranteed_gpus) +
-                                      " gpus_max=" + std::to_string(t.quota.max_gpus));
-    on_effective_(now, t.quota);
+                                      " cpus=" + std::to_string(team.quota.guaranteed_cpus) +
+                                      " cpus_max=" + std::to_string(team.quota.max_cpus) +
+                                      " gpus=" + std::to_string(team.quota.guaranteed_gpus) +
+                                      " gpus_max=" + std::to_string(team.quota.max_gpus));
+    on_effective_(now, team.quota);
 }
 
-void QuotaConfig::apply(Time now, const KeyedRecord& item) {
+void QuotaConfig::apply(Time now, const KeyedRecord& entry) {
     QuotaChange change;
-    change.team = item.key.substr(sizeof(kQuotaConfigPrefix) - 1);
-    change.revision = item.version;
-    if (const auto* record = std::get_if<QuotaRecord>(&item.record)) {
+    change.team = entry.key.substr(sizeof(kQuotaConfigPrefix) - 1);
+    change.revision = entry.version;
+    if (const auto* record = std::get_if<QuotaRecord>(&entry.record)) {
         change.quota = record->quota;
     }
     apply(now, change);
 }
 
 void QuotaConfig::apply_entries(Time now, const OutboundResponse& response) {
-    for (const auto& item : response.entries) {
-        apply(now, item);
+    for (const auto& entry : response.entries) {
+        apply(now, entry);
     }
 }
 
-// A key that a read lacks was deleted by the revision of the read: the team is as in the settings.
+// Handles teams without a key in a page that was read: if they had one, it was deleted before the
+// revision of the read, and the quota of the settings applies again.
 void QuotaConfig::apply_absent(Time now, const OutboundResponse& response,
                                const std::string& after) {
     std::map<std::string, bool> present;
-    for (const auto& item : response.entries) {
-        present[item.key] = true;
+    for (const auto& entry : response.entries) {
+        present[entry.key] = true;
     }
-    for (const auto& [name, t] : quotas_) {
+    for (const auto& [name, team] : quotas_) {
         std::string key = kQuotaConfigPrefix + name;
         bool in_page = key > after && (!response.more || key <= response.entries.back().key);
-        if (in_page && !present.contains(key) && t.revision > 0 && t.revision < response.revision) {
-            apply(now, {name, t.settings, response.revision});
+        if (in_page && !present.contains(key) && team.revision > 0 &&
+            team.revision < response.revision) {
+            apply(now, {name, team.settings, response.revision});
         }
     }
 }
@@ -208,13 +211,13 @@
                 return;
             }
             if (after.empty()) {
-                reading_revision_ = response.revision; // later changes come by watch
+                reading_revision_ = response.revision; // the watch reports later changes
             }
             apply_entries(at, response);
             apply_absent(at, response, after);
             if (response.more) {
                 read(at, response.entries.back().key, begun);
-                if (!reading_) { // refused by the rate limiter
+                if (!reading_) { // rejected by the rate limiter
                     reload_requested_ = true;
                 }
                 return;
@@ -237,7 +240,7 @@
         [this, sent = now](Time at, OutboundResponse& response) {
             watching_ = false;
             if (response.status != 200) {
-                // A read brings what the watch missed at once, a new watch only as it ends.
+                // A read returns missed changes at once, a new watch only when it ends.
                 reload_requested_ = true;
                 next_ = at + retry_s_;
                 return;
@@ -250,7 +253,8 @@
                 }
             }
             revision_ = std::max(revision_, response.revision);
-            // Not to the time of the response: it may have been held up while the store refused.
+            // Not to the time of the response, which may have been delayed while the store
+            // rejected requests.
             advance(sent);
             next_ = at;
             tick(at);
--- a/src/core/quotas/quota_ledger.cpp
+++ b/src/core/quotas/quota_ledger.cpp
@@ -6,27 +6,27 @@
 namespace scheduler {
 
 namespace {
-constexpr double kRounding = 1e-6;
+constexpr double kRoundingTolerance = 1e-6;
 }
 
 bool TeamQuota::allows(double used_cpus, double used_gpus) const {
-    return (max_cpus <= 0 || used_cpus <= max_cpus + kRounding) &&
-           (max_gpus <= 0 || used_gpus <= max_gpus + kRounding);
+    return (max_cpus <= 0 || used_cpus <= max_cpus + kRoundingTolerance) &&
+           (max_gpus <= 0 || used_gpus <= max_gpus + kRoundingTolerance);
 }
 
 bool TeamQuota::guarantees(double used_cpus, double used_gpus) const {
-    return (!limits_cpus() || used_cpus <= guaranteed_cpus + kRounding) &&
-           (!limits_gpus() || used_gpus <= guaranteed_gpus + kRounding);
+    return (!limits_cpus() || used_cpus <= guaranteed_cpus + kRoundingTolerance) &&
+           (!limits_gpus() || used_gpus <= guaranteed_gpus + kRoundingTolerance);
 }
 
 double TeamQuota::limit() const {
-    double most = limits_gpus() ? max_gpus : max_cpus;
-    return most > 0 ? most : std::numeric_limits<double>::infinity();
+    double max_amount = limits_gpus() ? max_gpus : max_cpus;
+    return max_amount > 0 ? max_amount : std::numeric_limits<double>::infinity();
 }
 
-QuotaLedger::QuotaLedger(const std::vector<TeamQuota>& facts) {
-    for (const auto& f : facts) {
-        quotas_[f.name].quota = f;
+QuotaLedger::QuotaLedger(const std::vector<TeamQuota>& quotas) {
+    for (const auto& quota : quotas) {
+        quotas_[quota.name].quota = quota;
     }
 }
 
@@ -35,16 +35,16 @@
     return it == quotas_.end() ? nullptr : &it->second.quota;
 }
 
-void QuotaLedger::configure(const TeamQuota& quota, bool held) {
+void QuotaLedger::configure(const TeamQuota& quota, bool blocked) {
     Team& team = quotas_[quota.name];
     team.quota = quota;
-    team.blocked = held;
+    team.blocked = blocked;
 }
 
 double QuotaLedger::total_guarantee() const {
     double sum = 0;
-    for (const auto& [name, t] : quotas_) {
-        sum += t.quota.amount(t.quota.guaranteed_cpus, t.quota.guaranteed_gpus);
+    for (const auto& [name, team] : quotas_) {
+        sum += team.quota.amount(team.quota.guaranteed_cpus, team.quota.guaranteed_gpus);
     }
     return sum;
 }
@@ -55,10 +55,10 @@
         return {0, 0};
     }
     const Team& t = it->second;
-    auto beyond = [](double used, double most) {
-        return most > 0 && used > most + kRounding ? used - most : 0;
+    auto excess_of = [](double used, double limit) {
+        return limit > 0 && used > limit + kRoundingTolerance ? used - limit : 0;
     };
-    return {beyond(t.cpus, t.quota.max_cpus), beyond(t.gpus, t.quota.max_gpus)};
+    return {excess_of(t.cpus, t.quota.max_cpus), excess_of(t.gpus, t.quota.max_gpus)};
 }
 
 std::vector<std::string> QuotaLedger::teams_over_limit() const {
@@ -103,9 +103,9 @@
     const std::map<std::string, UnreconciledUsage>& usage_by_team) {
     for (auto& [name, t] : quotas_) {
         auto it = usage_by_team.find(name);
-        bool known = it == usage_by_team.end();
-        t.unreconciled_cpus = known ? 0 : it->second.cpus;
-        t.unreconciled_gpus = known ? 0 : it->second.gpus;
+        bool reconciled = it == usage_by_team.end();
+        t.unreconciled_cpus = reconciled ? 0 : it->second.cpus;
+        t.unreconciled_gpus = reconciled ? 0 : it->second.gpus;
     }
 }
 
--- a/src/core/quotas/quota_ledger.h
+++ b/src/core/quotas/quota_ledger.h
@@ -1,42 +1,50 @@
-// Guarantees and limits of the teams, and what their tasks use: placed and doubtful ones alike.
+// Guarantees and limits of the teams, and the resources that their tasks use.
 #pragma once
 
 #include "core/model/types.h"
 
 namespace scheduler {
 
+// Tracks the usage of each team by placed tasks and by unreconciled tasks, which may be running,
+// and checks it against the quotas.
 class QuotaLedger {
   public:
-    // What a team's tasks that may be running somewhere use.
+    // The resources that a team's unreconciled tasks use if they are running.
     struct UnreconciledUsage {
         double cpus = 0;
         double gpus = 0;
     };
-    explicit QuotaLedger(const std::vector<TeamQuota>& facts);
+    explicit QuotaLedger(const std::vector<TeamQuota>& quotas);
 
+    // Returns null if there is no such team.
     const TeamQuota* quota(const std::string& team) const;
-    // Its guarantee and limit from now on. `held`: none is known, nothing of it fits.
-    void configure(const TeamQuota& quota, bool held);
-    // Of all teams, each in its own measure.
+    // Sets the quota of a team. `blocked`: no valid quota is known, so no task of the team fits.
+    void configure(const TeamQuota& quota, bool blocked);
+    // Returns the sum of all guarantees, each in the resource of TeamQuota::amount.
     double total_guarantee() const;
-    // Whether the limits are known at all: nothing fits while they are not.
+    // Sets whether the limits are known. While they are not, no task fits.
     void set_limits_known(bool known) { known_ = known; }
-    // What is used beyond a limit; 0 or less: nothing.
+    // Usage beyond a team's limit; 0 if the limit is kept.
     struct Excess {
         double cpus = 0;
         double gpus = 0;
 
         bool any() const { return cpus > 0 || gpus > 0; }
     };
-    // What the team's known tasks use beyond its limit. Doubtful ones are left out: all unfinished
-    // tasks of older jobs are in doubt after a failover, far more than ran.
+    // Returns what the team's placed tasks use beyond its limit. Unreconciled tasks are not
+    // counted: after a failover, these are all unfinished tasks of older jobs, far more than were
+    // running.
     Excess excess(const std::string& team) const;
     std::vector<std::string> teams_over_limit() const;
+    // Returns whether the team may use this much more without exceeding its limit. Counts
+    // unreconciled tasks as running.
     bool fits(const std::string& team, double cpus, double gpus) const;
+    // Returns whether the team's placed tasks with this much more are within its guarantee.
     bool within_guarantee(const std::string& team, double cpus, double gpus) const;
-    // What the team can count on, in its own measure: its guarantee, or what it has beyond that.
+    // Returns the larger of the team's guarantee and its usage, in the resource of
+    // TeamQuota::amount.
     double entitled_amount(const std::string& team) const;
-    // Tasks that may be running somewhere count for the limit until they are accounted for.
+    // Sets the usage of unreconciled tasks, which counts toward the limit, for all teams.
     void set_unreconciled_usage(const std::map<std::string, UnreconciledUsage>& usage_by_team);
     void add_usage(const std::string& team, double cpus, double gpus);
     void remove_usage(const std::string& team, double cpus, double gpus);
