--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -167,7 +167,7 @@
                     reader.number((*table)["within_s"], "facts.objectives.within_s");
             } else if (kind == "deadline") {
                 objective.kind = ServiceLevelObjective::Kind::deadline;
-                objective.times = (*table)["times"].value_or(1.0);
+                objective.deadline_factor = (*table)["times"].value_or(1.0);
             } else {
                 continue; // other kinds don't apply to a class of jobs
             }
--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -65,8 +65,8 @@
             own_teams_.insert(team);
         }
     }
-    quota_config_known_ = quota_config_.is_known(now, leadership_.since());
-    quotas_.set_known(quota_config_known_);
+    quota_config_known_ = quota_config_.is_current(now, leadership_.since());
+    quotas_.set_limits_known(quota_config_known_);
     failover_.start(now);
 }
 
@@ -264,8 +264,8 @@
     } else if (reason == ExitReason::error || reason == ExitReason::unknown) {
         requests_.log(LogLevel::info,
                       "event=task_failed task=" + task.job + "/" + std::to_string(task.index));
-        // A job whose tasks failed this many times in a row on different machines is itself the
-        // likely cause, so further failures do not count against the machines.
+        // A job whose tasks failed this many times in a row on different machines is
+        // itself the likely cause, so further failures do not count against the machines.
         blames_machine = job->failures < policy_.quarantine_errors;
         ++job->failures;
         if (!blames_machine) {
@@ -421,12 +421,12 @@
     }
     if (job->spec.kind == JobKind::service && (machine.draining || machine.cordoned)) {
         // Replicas are moved off a machine that will be released. Array tasks may finish there.
-        return job->spec.save_s;
+        return job->spec.save_duration_s;
     }
     if (job->spec.kind == JobKind::gang) {
         const GangTracker::Attempt* attempt = gangs_.find(task.job);
         if (attempt && attempt->ending) {
-            return attempt->saves ? kSaveGraceFactor * job->spec.save_s : 0;
+            return attempt->saves ? kSaveGraceFactor * job->spec.save_duration_s : 0;
         }
     }
     return std::nullopt;
@@ -564,7 +564,7 @@
     // the store started replicas of a job that was cancelled before, until the first response of
     // its watch.
     return staleness_.is_fresh(now) &&
-           (failover_.reconciled() || (failover_.loaded() && !job.in_doubt)) && job.open() &&
+           (failover_.reconciled() || (failover_.loaded() && !job.unreconciled)) && job.open() &&
            !job.waiting.empty() && now >= job.backoff_until &&
            (job.spec.kind != JobKind::gang || gangs_.may_place(now, job));
 }
@@ -728,10 +728,10 @@
 // Updates whether the quota configuration that earlier leaders applied is known here, and is recent
 // enough to start tasks under it.
 void PartitionLeader::refresh_quota_config(Time now) {
-    if (bool known = quota_config_.is_known(now, leadership_.since());
+    if (bool known = quota_config_.is_current(now, leadership_.since());
         known != quota_config_known_) {
         quota_config_known_ = known;
-        quotas_.set_known(known);
+        quotas_.set_limits_known(known);
         queue_.invalidate();
     }
 }
@@ -787,11 +787,11 @@
                       std::to_string(jobs_.all().size()) + " waiting=" + std::to_string(waiting));
     if (autoscaler_.is_provisioner()) {
         ClusterDemand cluster = demand_.cluster_demand(now);
-        requests_.log(LogLevel::info, "event=capacity_sampled wants_on_demand=" +
-                                          count(cluster.demand.on_demand_slots) +
-                                          " wants_any=" + count(cluster.demand.any_kind_slots) +
-                                          " has_ordinary=" + count(cluster.on_demand_slots) +
-                                          " has_spot=" + count(cluster.spot_slots));
+        requests_.log(
+            LogLevel::info,
+            "event=capacity_sampled wants_on_demand=" + count(cluster.demand.on_demand_slots) +
+                " wants_any=" + count(cluster.demand.spot_eligible_slots) + " has_ordinary=" +
+                count(cluster.on_demand_slots) + " has_spot=" + count(cluster.spot_slots));
     }
 }
 
--- a/src/core/recovery/failover.cpp
+++ b/src/core/recovery/failover.cpp
@@ -188,7 +188,7 @@
 void Failover::apply_open_job(Time now, const KeyedRecord& item, const JobSpec& spec) {
     Job* added = state_.jobs.add(now, spec, item.version);
     if (added && !loaded()) {
-        added->in_doubt = true;
+        added->unreconciled = true;
     } else if (added) {
         state_.demand.on_job_arrived(now, spec);
         state_.borrower.sync_soon(); // peers may have idle slots that this partition lacks
@@ -323,18 +323,18 @@
 }
 
 void Failover::count_unreconciled_usage() {
-    std::map<std::string, QuotaLedger::DoubtfulUsage> usage_by_team;
+    std::map<std::string, QuotaLedger::UnreconciledUsage> usage_by_team;
     if (!reconciled()) {
         for (const auto& [id, job] : state_.jobs.all()) {
-            if (job->in_doubt) {
+            if (job->unreconciled) {
                 auto tasks = static_cast<double>(job->waiting.size());
-                QuotaLedger::DoubtfulUsage& usage = usage_by_team[job->spec.team];
+                QuotaLedger::UnreconciledUsage& usage = usage_by_team[job->spec.team];
                 usage.cpus += tasks * job->spec.cpus;
                 usage.gpus += tasks * job->spec.gpus;
             }
         }
     }
-    state_.quotas.set_doubtful(usage_by_team);
+    state_.quotas.set_unreconciled_usage(usage_by_team);
 }
 
 } // namespace scheduler
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -58,7 +58,7 @@
 // Tasks that run are half done on average; replicas of services run for ever.
 double PendingQueue::remaining_s(const Job& job) {
     double tasks = static_cast<double>(job.waiting.size()) + 0.5 * job.placed;
-    return job.spec.kind == JobKind::service ? 0 : tasks * job.spec.estimate_s;
+    return job.spec.kind == JobKind::service ? 0 : tasks * job.spec.estimated_run_s;
 }
 
 // What is left of the job takes at least this long, even with all that its team may use.
@@ -68,7 +68,7 @@
     double tasks_left = static_cast<double>(spec.tasks - job.done);
     double amount =
         spec.kind == JobKind::array ? tasks_left * quota->amount(spec.cpus, spec.gpus) : 0;
-    return spec.estimate_s * std::max(1.0, amount / std::max(1.0, quota->limit()));
+    return spec.estimated_run_s * std::max(1.0, amount / std::max(1.0, quota->limit()));
 }
 
 Time PendingQueue::due(Time now, const Job& job) const {
@@ -83,8 +83,9 @@
         if (is_deadline && !job.spec.deadline_s) {
             continue;
         }
-        Time due_at = job.first_seen +
-                      (is_deadline ? *job.spec.deadline_s * objective.times : objective.within_s);
+        Time due_at =
+            job.first_seen +
+            (is_deadline ? *job.spec.deadline_s * objective.deadline_factor : objective.within_s);
         bool is_wait = objective.kind == ServiceLevelObjective::Kind::wait;
         if (due_at > now + (is_wait ? 0 : shortest_s)) {
             next = std::min(next, due_at);
@@ -227,7 +228,7 @@
     for (const auto& objective : settings_.objectives) {
         if (objective.job_class == job.spec.job_class) {
             bool is_deadline = objective.kind == ServiceLevelObjective::Kind::deadline;
-            double deadline_s = job.spec.deadline_s.value_or(0) * objective.times;
+            double deadline_s = job.spec.deadline_s.value_or(0) * objective.deadline_factor;
             latest_s = std::max(latest_s, is_deadline ? deadline_s : objective.within_s);
         }
     }
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -199,7 +199,7 @@
         http.method = "POST";
         http.path = "/hosts";
         packer.pack_map(5);
-        pack_field(packer, "order", scale_out->order_id);
+        pack_field(packer, "order", scale_out->idempotency_key);
         pack_field(packer, "bench", scale_out->type);
         pack_field(packer, "house", scale_out->zone);
         pack_field(packer, "cuttings", scale_out->spot);
--- a/src/wire/jobs.cpp
+++ b/src/wire/jobs.cpp
@@ -40,9 +40,9 @@
     spec.one_zone = fields.flag("one_zone");
     spec.spread = fields.flag("spread");
     spec.spot = fields.flag("cuttings");
-    spec.estimate_s = fields.amount("bloom_s");
-    spec.checkpoint_s = fields.amount("pot_s");
-    spec.save_s = fields.amount("repot_s");
+    spec.estimated_run_s = fields.amount("bloom_s");
+    spec.checkpoint_interval_s = fields.amount("pot_s");
+    spec.save_duration_s = fields.amount("repot_s");
     spec.deadline_s = fields.optional_amount("show_s");
     return spec;
 }
@@ -67,9 +67,9 @@
     pack_field(packer, "one_zone", spec.one_zone);
     pack_field(packer, "spread", spec.spread);
     pack_field(packer, "cuttings", spec.spot);
-    pack_field(packer, "bloom_s", spec.estimate_s);
-    pack_field(packer, "pot_s", spec.checkpoint_s);
-    pack_field(packer, "repot_s", spec.save_s);
+    pack_field(packer, "bloom_s", spec.estimated_run_s);
+    pack_field(packer, "pot_s", spec.checkpoint_interval_s);
+    pack_field(packer, "repot_s", spec.save_duration_s);
     pack_key(packer, "show_s");
     spec.deadline_s ? packer.pack(*spec.deadline_s) : packer.pack_nil();
 }
--- a/src/wire/peer_messages.cpp
+++ b/src/wire/peer_messages.cpp
@@ -11,7 +11,7 @@
 void pack_demand_and_capacity(Packer& packer, const Demand& demand,
                               const PartitionCapacity& capacity) {
     pack_field(packer, "ordinary_slots", demand.on_demand_slots);
-    pack_field(packer, "any_slots", demand.any_kind_slots);
+    pack_field(packer, "any_slots", demand.spot_eligible_slots);
     pack_field(packer, "left_slot_s", demand.remaining_slot_s);
     pack_key(packer, "bound");
     packer.pack_array(static_cast<std::uint32_t>(demand.zone_bound_slots.size()));
