--- a/src/core/jobs/job_service.cpp
+++ b/src/core/jobs/job_service.cpp
@@ -26,7 +26,7 @@
     if (!quota) {
         return "unknown team";
     }
-    // Only the tasks of an array need not run at the same time.
+    // All tasks of a gang or service run at the same time; those of an array need not.
     double tasks_at_once = spec.kind == JobKind::array ? 1 : spec.tasks;
     return quota->allows(spec.cpus * tasks_at_once, spec.gpus * tasks_at_once)
                ? ""
@@ -38,7 +38,7 @@
     Rejection rejection;
     rejection.reason = rejection_reason(spec, quotas_.team(spec.team));
     rejection.by_quota = !rejection.reason.empty();
-    // The cloud may offer a fitting type since the list was stored.
+    // The cloud may have added a fitting type since the list was stored.
     rejection.uncertain = !rejection.by_quota && !types_current;
     if (!rejection.by_quota && !fits(spec, types)) {
         rejection.reason = kNoFittingType;
@@ -94,8 +94,8 @@
     bool sent = requests_.send_to_store(
         now, StoreRateLimiter::Use::user, StoreGet{kQuotaConfigPrefix + spec.team},
         [this, request_id, spec, &types, types_current](Time at, OutboundResponse& response) {
-            const TeamQuota* newest =
-                quotas_.settings(spec.team); // applies if the key does not exist
+            // If the key does not exist, the quota of the settings applies.
+            const TeamQuota* newest = quotas_.settings(spec.team);
             if (response.status == 200 && !response.entries.empty()) {
                 newest = quotas_.team(spec.team);
                 quotas_.apply(at, response.entries[0]);
--- a/src/core/messaging/instance_type_source.cpp
+++ b/src/core/messaging/instance_type_source.cpp
@@ -68,8 +68,8 @@
     if (!catalog) {
         fetch();
     } else if (!available()) {
-        next_refresh_ =
-            now + heartbeat_interval_s_; // refresh soon: the stored prices may be outdated
+        // Refresh soon, because the stored prices may be outdated.
+        next_refresh_ = now + heartbeat_interval_s_;
         set_types(now, catalog->types);
     }
 }
