--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -39,6 +39,7 @@
 
 // Returns true if `id` is "req-" followed by digits, with at most 64 characters in all.
 bool valid_job_id(const std::string& id);
+
 // Encodes the body of a response of this controller.
 std::string encode_response(const ResponseBody& body);
 
