--- a/src/core/partition_leader.cpp
+++ b/src/core/partition_leader.cpp
@@ -195,7 +195,7 @@
             borrower_.on_inventory_complete(now, machine.name);
         }
     }
-    gang_scheduler_.observe(now, machine);
+    gang_scheduler_.on_machine_inventory(now, machine);
     if (machine.preemption_notice_s || machine.consecutive_errors >= policy_.quarantine_errors) {
         for (const auto& removed : machines_.cancel_queued_starts(machine)) {
             on_task_removed(now, machine.name, removed);
@@ -321,7 +321,7 @@
         if (status.exit_reason == ExitReason::done && job->open()) {
             machine.finished.push_back(status); // cleared once durable
             if (waits) {
-                on_found_done(now, *job, status.task.index);
+                on_completion_discovered(now, *job, status.task.index);
             }
         } else {
             machine.unexpected.push_back(status);
@@ -336,7 +336,7 @@
     }
 }
 
-bool PartitionLeader::end_is_durable(const TaskStatus& status) {
+bool PartitionLeader::is_exit_durable(const TaskStatus& status) {
     const Job* job = jobs_.find(status.task.job);
     return !job || !job->open() || status.exit_reason != ExitReason::done ||
            (status.task.index < job->spec.tasks && jobs_.is_durable(*job, status.task.index));
@@ -383,7 +383,7 @@
         bool remote = !leadership_.is_own_attempt(status.attempt);
         bool durable =
             remote ? machine.remote_clears.contains(launch_id(status.attempt, status.task.index))
-                   : end_is_durable(status);
+                   : is_exit_durable(status);
         if (durable && out.size() < kMostCommands) {
             out.push_back({CommandType::clear, status.task, status.attempt, 0});
         }
@@ -412,7 +412,7 @@
     if (job->spec.kind == JobKind::gang) {
         const GangTracker::Attempt* attempt = gangs_.find(task.job);
         if (attempt && attempt->ending) {
-            return attempt->saves ? kSaveGraceFactor * job->spec.save_s : 0;
+            return attempt->may_save ? kSaveGraceFactor * job->spec.save_s : 0;
         }
     }
     return std::nullopt;
@@ -526,7 +526,7 @@
     on_task_gone(now, task, why, zone);
 }
 
-void PartitionLeader::on_found_done(Time now, Job& job, std::uint32_t task) {
+void PartitionLeader::on_completion_discovered(Time now, Job& job, std::uint32_t task) {
     jobs_.mark_done(job, task);
     if (job.complete()) {
         job_persistence_.finish_job(now, job);
@@ -570,7 +570,7 @@
     if (!failover_.loaded() || !leadership_.is_active(now)) {
         return;
     }
-    preemptor_.retry(now);
+    preemptor_.preempt_for_pending_jobs(now);
     send_commands(now);
 }
 
@@ -798,7 +798,7 @@
     if (!failover_.reconciled()) {
         failover_.count_doubtful_usage();
     }
-    gang_scheduler_.supervise(now);
+    gang_scheduler_.run_periodic_checks(now);
     preemptor_.expire_reservations(now);
     registry_.flush(now);
     failover_.watch_jobs(now);
--- a/src/core/partition_leader.h
+++ b/src/core/partition_leader.h
@@ -125,8 +125,8 @@
     void on_gang_grants(Time now, int partition, const std::vector<SlotGrant>& grants) override {
         gang_scheduler_.on_grants(now, partition, grants);
     }
-    void end_attempt(Time now, const std::string& job, bool saves) override {
-        gang_scheduler_.end_attempt(now, job, saves);
+    void end_attempt(Time now, const std::string& job, bool may_save) override {
+        gang_scheduler_.end_attempt(now, job, may_save);
     }
     void on_gang_complete(Time now, Job& job) override { job_persistence_.finish_job(now, job); }
 
@@ -145,10 +145,10 @@
     void drop_job(const std::string& id);
 
     // Delegates of the classes that it wires.
-    bool end_is_durable(const TaskStatus& status) override;
+    bool is_exit_durable(const TaskStatus& status) override;
     void on_remote_exit(Time now, const TaskId& task, ExitReason why,
                         const std::string& zone) override;
-    void on_found_done(Time now, Job& job, std::uint32_t task) override;
+    void on_completion_discovered(Time now, Job& job, std::uint32_t task) override;
     bool reconciled() const override { return failover_.reconciled(); }
     void on_peer_response(Time now) override;
     void on_slot_requests(Time now) override;
@@ -167,7 +167,7 @@
     void on_machine_released(Time now, const std::string& name) override;
     void resume_scheduling(Time now) override;
     bool has_unacked_exits(Time now, const Machine& machine) const override;
-    bool heard_from_all_peers() const override { return lender_.heard_from_all(); }
+    bool heard_from_all_peers() const override { return lender_.all_borrowers_synced(); }
     void release_machines(Time now, std::vector<std::string> names) override;
 
     const QuotaConfig& quota_config_; // the node's
--- a/src/core/recovery/failover.cpp
+++ b/src/core/recovery/failover.cpp
@@ -314,7 +314,7 @@
     return std::all_of(partition_.all_shards.begin(), partition_.all_shards.end(),
                        [&](const ShardId& shard) {
                            return state_.reconciliation.is_reconciled(shard) ||
-                                  state_.borrower.is_inventoried(shard);
+                                  state_.borrower.has_complete_inventory(shard);
                        });
 }
 
--- a/src/core/recovery/inventory_relay.cpp
+++ b/src/core/recovery/inventory_relay.cpp
@@ -80,7 +80,7 @@
         if (posted.term != term) {
             posted = {term, now, {}, 0, false};
         }
-        bool has_not_called = lender_.last_term_of(partition) < term || !posted.pages.empty();
+        bool has_not_called = lender_.last_synced_term(partition) < term || !posted.pages.empty();
         if (posted.done || !has_not_called ||
             now - posted.since < kCallGraceHeartbeats * settings_.heartbeat_interval_s) {
             continue;
--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -229,7 +229,7 @@
         bool zone_ok =
             job && job->allows_zone(grant.zone, in_zone[grant.zone] + 1) &&
             !(job->spec.one_zone && !held.empty() && held.begin()->second.grant.zone != grant.zone);
-        if (zone_ok && job->waiting.contains(member) && borrower_.grant_suits(*job, grant) &&
+        if (zone_ok && job->waiting.contains(member) && borrower_.fits_grant(*job, grant) &&
             held.emplace(member, HeldGrant{partition, grant}).second) {
             ++in_zone[grant.zone];
             continue;
@@ -312,15 +312,15 @@
 // ---- The end of an attempt ----
 
 // All its tasks are told at once, and directly: those that are not told in time cannot save.
-void GangScheduler::end_attempt(Time now, const std::string& id, bool saves) {
+void GangScheduler::end_attempt(Time now, const std::string& id, bool may_save) {
     Job* job = jobs_.find(id);
-    if (!job || !gangs_.end(id, saves)) {
+    if (!job || !gangs_.end(id, may_save)) {
         return;
     }
     requests_.log(LogLevel::info, "event=gang_attempt_ended job=" + id +
                                       " placed=" + std::to_string(job->placed) +
-                                      " saves=" + (saves ? "1" : "0"));
-    double grace_s = saves ? kSaveGraceFactor * job->spec.save_s : 0;
+                                      " saves=" + (may_save ? "1" : "0"));
+    double grace_s = may_save ? kSaveGraceFactor * job->spec.save_s : 0;
     borrower_.stop_job(id, grace_s);
     for (auto& [name, machine] : machines_.all()) {
         stop_tasks_on(now, machine, id, grace_s);
@@ -349,7 +349,7 @@
     const GangTracker::Attempt* attempt = gangs_.find(id);
     if (job.done > 0) {
         finish_members(now, job);
-    } else if (attempt && (attempt->ran || reason == ExitReason::gang_incomplete ||
+    } else if (attempt && (attempt->has_run || reason == ExitReason::gang_incomplete ||
                            reason == ExitReason::gang_member_lost)) {
         end_attempt(now, id, false);
     }
@@ -368,14 +368,14 @@
     }
 }
 
-void GangScheduler::observe(Time now, const Machine& machine) {
+void GangScheduler::on_machine_inventory(Time now, const Machine& machine) {
     std::set<std::string> leaving; // gangs with tasks on a machine that is about to go
     for (const auto& [task, placement] : machine.tasks) {
         if (placement.kind != JobKind::gang || !leadership_.is_own_attempt(placement.attempt)) {
             continue;
         }
         if (placement.stage == TaskStage::running && placement.via == Placement::Via::reported) {
-            gangs_.on_running(task.job);
+            gangs_.on_task_running(task.job);
         }
         if (machine.preemption_notice_s) {
             leaving.insert(task.job);
@@ -386,12 +386,12 @@
     }
 }
 
-void GangScheduler::supervise(Time now) {
+void GangScheduler::run_periodic_checks(Time now) {
     if (!delegate_.reconciled()) {
         return;
     }
     supervise_reservation(now);
-    for (const auto& id : gangs_.overdue(now, jobs_)) {
+    for (const auto& id : gangs_.overdue_gangs(now, jobs_)) {
         end_attempt(now, id, false);
     }
     for (const auto& [id, job] : jobs_.all()) {
--- a/src/core/scheduling/gang_scheduler.h
+++ b/src/core/scheduling/gang_scheduler.h
@@ -67,14 +67,14 @@
     // gathered.
     void on_grants(Time now, int partition, const std::vector<SlotGrant>& grants);
 
-    // Stops all tasks of the gang's attempt. `saves`: they are given the time to save.
-    void end_attempt(Time now, const std::string& id, bool saves);
+    // Stops all tasks of the gang's attempt. `may_save`: they are given the time to save.
+    void end_attempt(Time now, const std::string& id, bool may_save);
     // Another task of the gang is known gone.
     void on_task_gone(Time now, Job& job, ExitReason reason);
     // What the inventory of one of our machines means for gangs.
-    void observe(Time now, const Machine& machine);
+    void on_machine_inventory(Time now, const Machine& machine);
     // Ends what is overdue: held slots, and attempts that can be completed no more.
-    void supervise(Time now);
+    void run_periodic_checks(Time now);
 
   private:
     using Members = std::vector<std::uint32_t>;
--- a/src/core/scheduling/gang_tracker.cpp
+++ b/src/core/scheduling/gang_tracker.cpp
@@ -28,8 +28,8 @@
     if (!attempt) {
         return job.placed == 0;
     }
-    return !attempt->ending && !attempt->ran &&
-           now - attempt->since < kReplaceFraction * start_timeout_s_;
+    return !attempt->ending && !attempt->has_run &&
+           now - attempt->started_at < kReplaceFraction * start_timeout_s_;
 }
 
 void GangTracker::begin(Time now, const std::string& job, std::uint64_t number) {
@@ -41,29 +41,29 @@
     return it->second.number == number;
 }
 
-void GangTracker::on_running(const std::string& job) {
+void GangTracker::on_task_running(const std::string& job) {
     auto it = attempts_.find(job);
     if (it != attempts_.end()) {
-        it->second.ran = true;
+        it->second.has_run = true;
     }
 }
 
-bool GangTracker::end(const std::string& job, bool saves) {
+bool GangTracker::end(const std::string& job, bool may_save) {
     auto it = attempts_.find(job);
     if (it == attempts_.end() || it->second.ending) {
         return false;
     }
     it->second.ending = true;
-    it->second.saves = saves;
+    it->second.may_save = may_save;
     return true;
 }
 
-std::vector<std::string> GangTracker::overdue(Time now, JobStore& jobs) const {
+std::vector<std::string> GangTracker::overdue_gangs(Time now, JobStore& jobs) const {
     std::vector<std::string> overdue;
     for (const auto& [id, attempt] : attempts_) {
         const Job* job = jobs.find(id);
         if (job && !attempt.ending && !job->waiting.empty() &&
-            (attempt.ran || now - attempt.since > kReplaceFraction * start_timeout_s_)) {
+            (attempt.has_run || now - attempt.started_at > kReplaceFraction * start_timeout_s_)) {
             overdue.push_back(id);
         }
     }
--- a/src/core/scheduling/gang_tracker.h
+++ b/src/core/scheduling/gang_tracker.h
@@ -31,10 +31,10 @@
 
     struct Attempt {
         std::uint64_t number = 0;
-        Time since = 0;
-        bool ran = false;    // all tasks ran at some time
-        bool ending = false; // its tasks are being stopped, or exit by themselves
-        bool saves = false;  // ... and may save first
+        Time started_at = 0;
+        bool has_run = false;  // all tasks have been running at the same time
+        bool ending = false;   // its tasks are being stopped, or exit by themselves
+        bool may_save = false; // ... and may save first
     };
 
     // Null if the gang has no attempt.
@@ -48,13 +48,13 @@
     // attempt.
     bool adopt(Time now, const std::string& job, std::uint64_t number);
     // A task of the attempt was seen to run, so all of them did.
-    void on_running(const std::string& job);
+    void on_task_running(const std::string& job);
     // Begins to end the attempt. Returns false if it is being ended already, or if there is none.
-    bool end(const std::string& job, bool saves);
+    bool end(const std::string& job, bool may_save);
     // None of its tasks is on a machine any more, or the job is over.
     void on_attempt_gone(const std::string& job) { attempts_.erase(job); }
     // The gangs whose attempt can no longer be completed: a member has been missing for too long.
-    std::vector<std::string> overdue(Time now, JobStore& jobs) const;
+    std::vector<std::string> overdue_gangs(Time now, JobStore& jobs) const;
 
   private:
     double start_timeout_s_;
--- a/src/core/scheduling/preemptor.cpp
+++ b/src/core/scheduling/preemptor.cpp
@@ -93,7 +93,7 @@
 }
 } // namespace
 
-void Preemptor::retry(Time now) {
+void Preemptor::preempt_for_pending_jobs(Time now) {
     std::erase_if(retry_at_, [&](const auto& entry) { return now > entry.second; });
     for (const PendingJob& candidate : queue_.ordered(now)) {
         const std::string& id = job_id(candidate);
--- a/src/core/scheduling/preemptor.h
+++ b/src/core/scheduling/preemptor.h
@@ -30,7 +30,7 @@
     // Preempts for our own gangs and replicas that wait, and for those of peers that found no room
     // in their own partition; for each job at most once in a heartbeat interval. The stops are
     // queued: the caller sends them.
-    void retry(Time now);
+    void preempt_for_pending_jobs(Time now);
     // Machines whose reservation has run out are open to all jobs again.
     void expire_reservations(Time now);
     // Machines looked at so far.
--- a/src/core/scheduling/quota_evictor.cpp
+++ b/src/core/scheduling/quota_evictor.cpp
@@ -184,11 +184,11 @@
 void QuotaEvictor::set_costs(EvictionCandidate& candidate, const Job& job) const {
     const JobSpec& spec = job.spec;
     double save_s = kSaveGraceFactor * spec.save_s;
-    bool saves = spec.checkpoint_s > 0 && save_s <= settings_.worker_lease_s / 2;
+    bool may_save = spec.checkpoint_s > 0 && save_s <= settings_.worker_lease_s / 2;
     candidate.job_since = job.first_seen;
     candidate.cpus = spec.cpus;
     candidate.gpus = spec.gpus;
-    if (saves) {
+    if (may_save) {
         candidate.loss = Loss::saving_time;
         candidate.grace_s = std::max(save_s, settings_.heartbeat_interval_s / 12);
     } else {
--- a/src/core/scheduling/quota_evictor.h
+++ b/src/core/scheduling/quota_evictor.h
@@ -25,8 +25,8 @@
     class Delegate {
       public:
         virtual ~Delegate() = default;
-        /// Stops all tasks of the gang's running attempt. `saves`: they may save first.
-        virtual void end_attempt(Time now, const std::string& job, bool saves) = 0;
+        /// Stops all tasks of the gang's running attempt. `may_save`: they may save first.
+        virtual void end_attempt(Time now, const std::string& job, bool may_save) = 0;
         /// Sends the commands that are queued for the machines.
         virtual void send_commands(Time now) = 0;
     };
--- a/src/core/sharding/shard_manager.cpp
+++ b/src/core/sharding/shard_manager.cpp
@@ -39,7 +39,7 @@
 // recorded as borrowed until the machines have listed them.
 void ShardManager::on_shard_gained(Time now, const ShardId& shard) {
     state_.reconciliation.begin(now, shard);
-    state_.borrower.migrated_in(shard, owned_shards_.term(shard));
+    state_.borrower.on_shard_migrated_in(shard, owned_shards_.term(shard));
     if (owned_shards_.find(shard)->since > leadership_.since()) {
         requests_.log(LogLevel::info, "event=shard_acquired shard=" + to_string(shard) +
                                           " partition=" + std::to_string(leadership_.partition()) +
@@ -93,12 +93,12 @@
     }
     for (const auto& [task, placement] : machine.tasks) {
         if (leadership_.is_own_attempt(placement.attempt)) {
-            state_.borrower.migrated_out(task, {placement.attempt, to_partition, name, machine.zone,
-                                                machine.shard, machine.term});
+            state_.borrower.on_task_migrated_out(task, {placement.attempt, to_partition, name,
+                                                        machine.zone, machine.shard, machine.term});
         }
     }
     state_.registry.forget(name);
-    state_.lender.forget(machine);
+    state_.lender.on_machine_migrated_out(machine);
     state_.slots.forget(name);
     state_.machines.remove(name);
 }
--- a/src/core/stealing/slot_borrower.cpp
+++ b/src/core/stealing/slot_borrower.cpp
@@ -291,7 +291,7 @@
 void SlotBorrower::queue_clears(Peer& peer) {
     std::erase_if(peer.exited, [&](const auto& entry) {
         const RemoteTaskStatus& remote_task = entry.second;
-        if (!delegate_.end_is_durable(remote_task.status)) {
+        if (!delegate_.is_exit_durable(remote_task.status)) {
             return false;
         }
         peer.commands[entry.first] = {RemoteTaskCommand::Type::clear, remote_task.machine,
@@ -411,7 +411,7 @@
     if (is_recorded) {
         on_task_gone(now, status.task, status.exit_reason);
     } else if (waits && status.exit_reason == ExitReason::done && job->open()) {
-        delegate_.on_found_done(now, *job, status.task.index);
+        delegate_.on_completion_discovered(now, *job, status.task.index);
     }
     LaunchId id = launch_id(status.attempt, status.task.index);
     peer.exited[{id, remote_task.machine}] = remote_task;
@@ -451,7 +451,7 @@
         return false;
     }
     double grace_s =
-        is_recorded && attempt_ends && attempt->saves ? kSaveGraceFactor * job->spec.save_s : 0;
+        is_recorded && attempt_ends && attempt->may_save ? kSaveGraceFactor * job->spec.save_s : 0;
     LaunchId id = launch_id(status.attempt, status.task.index);
     peer.commands[{id, remote_task.machine}] = {RemoteTaskCommand::Type::stop, remote_task.machine,
                                                 id, grace_s};
@@ -481,7 +481,7 @@
         peer.commands[{id, remote_task.machine}] = describe_command(remote_task.machine, id, spec);
     }
     if (spec.kind == JobKind::gang && status.stage == TaskStage::running) {
-        gangs_.on_running(status.task.job);
+        gangs_.on_task_running(status.task.job);
     }
     if (spec.kind == JobKind::gang && remote_task.preemption_notice) {
         delegate_.end_attempt(now, status.task.job, true);
@@ -583,13 +583,13 @@
     peers_.at(partition).next = 0;
 }
 
-void SlotBorrower::migrated_out(const TaskId& task, RemoteTask remote) {
+void SlotBorrower::on_task_migrated_out(const TaskId& task, RemoteTask remote) {
     std::uint64_t& latest_term = shard_terms_[remote.shard];
     latest_term = std::max(latest_term, remote.term);
     on_placed(task, std::move(remote));
 }
 
-void SlotBorrower::migrated_in(const ShardId& shard, std::uint64_t term) {
+void SlotBorrower::on_shard_migrated_in(const ShardId& shard, std::uint64_t term) {
     shard_terms_[shard] = term;
 }
 
@@ -629,7 +629,7 @@
 
 // ---- Granted slots ----
 
-bool SlotBorrower::grant_suits(const Job& job, const SlotGrant& grant) const {
+bool SlotBorrower::fits_grant(const Job& job, const SlotGrant& grant) const {
     const JobSpec& spec = job.spec;
     return spec.cpus <= grant.cpus && spec.gpus <= grant.gpus && spec.ram_gb <= grant.ram_gb &&
            (spec.spot || !grant.spot) && spec.allows_type(grant.type) &&
@@ -641,7 +641,7 @@
 Job* SlotBorrower::job_for_grant(Time now, const SlotGrant& grant) const {
     auto suits = [&](const Job& job) {
         return job.spec.kind != JobKind::gang && delegate_.has_schedulable_tasks(now, job) &&
-               grant_suits(job, grant);
+               fits_grant(job, grant);
     };
     Job* job = jobs_.find(grant.job);
     if (job && suits(*job)) {
--- a/src/core/stealing/slot_borrower.h
+++ b/src/core/stealing/slot_borrower.h
@@ -22,19 +22,19 @@
         // Are all tasks of older jobs known?
         virtual bool reconciled() const = 0;
         // May the worker forget this exited task of this partition?
-        virtual bool end_is_durable(const TaskStatus& task) = 0;
+        virtual bool is_exit_durable(const TaskStatus& task) = 0;
         // A task that was on a machine of another partition is on no machine any more.
         virtual void on_remote_exit(Time now, const TaskId& task, ExitReason reason,
                                     const std::string& zone) = 0;
         // A task that an earlier leader had launched there was done.
-        virtual void on_found_done(Time now, Job& job, std::uint32_t task) = 0;
+        virtual void on_completion_discovered(Time now, Job& job, std::uint32_t task) = 0;
         // Completes the request for slots of a gang from one peer; false: nothing is wanted now.
         // `remainder`: only those slots that are missing in a reservation.
         virtual bool request_gang_slots(const Job& job, bool remainder, SlotRequest& request) = 0;
         virtual void on_gang_grants(Time now, int partition,
                                     const std::vector<SlotGrant>& grants) = 0;
-        // Ends the attempt of a gang. `saves`: its tasks may save their state first.
-        virtual void end_attempt(Time now, const std::string& job, bool saves) = 0;
+        // Ends the attempt of a gang. `may_save`: its tasks may save their state first.
+        virtual void end_attempt(Time now, const std::string& job, bool may_save) = 0;
         // Another partition has sent a complete inventory of some more shards.
         virtual void try_reconcile(Time now) = 0;
         // A peer has responded: slots may have become free, or be needed from other peers.
@@ -69,9 +69,9 @@
     // were granted with that answer.
     void apply_posted_inventory(Time now, int partition, const PeerSyncResponse& response);
     // Has the shard's owner sent a complete inventory of this partition's tasks on its machines?
-    bool is_inventoried(const ShardId& shard) const { return inventoried_.contains(shard); }
+    bool has_complete_inventory(const ShardId& shard) const { return inventoried_.contains(shard); }
     // May a task of the job run on the granted slot?
-    bool grant_suits(const Job& job, const SlotGrant& grant) const;
+    bool fits_grant(const Job& job, const SlotGrant& grant) const;
     // Launches a task on slots that another partition's leader has granted.
     void launch(int partition, const SlotGrant& grant, Job& job, std::uint32_t index);
     // A slot of the partition that was reserved for a while is used now. The lender may have
@@ -93,9 +93,9 @@
     // Tells the partition's leader that a shard was transferred to it, until it has responded.
     void announce_transfer(int partition, const ShardTransfer& transfer);
     // A placed task of this partition becomes remote, with its machine's shard.
-    void migrated_out(const TaskId& task, RemoteTask remote);
+    void on_task_migrated_out(const TaskId& task, RemoteTask remote);
     // The shard is owned from now on: no inventory of an earlier owner counts any more.
-    void migrated_in(const ShardId& shard, std::uint64_t term);
+    void on_shard_migrated_in(const ShardId& shard, std::uint64_t term);
     // The task runs on a machine that is owned now, so it is no longer remote. Returns false if it
     // was not remote, or if this is another launch of it.
     bool adopt_local(const TaskId& task, std::uint64_t attempt, const std::string& machine);
--- a/src/core/stealing/slot_lender.cpp
+++ b/src/core/stealing/slot_lender.cpp
@@ -68,7 +68,7 @@
     return all;
 }
 
-bool SlotLender::heard_from_all() const {
+bool SlotLender::all_borrowers_synced() const {
     return std::all_of(borrowers_.begin(), borrowers_.end(),
                        [](const auto& entry) { return entry.second.called_term > 0; });
 }
--- a/src/core/stealing/slot_lender.h
+++ b/src/core/stealing/slot_lender.h
@@ -52,7 +52,9 @@
     // The shard is another partition's, or about to be.
     void unpublish_shard(const ShardId& shard) { published_shards_.erase(shard); }
     // The machine migrates with its shard, whose new owner reports it.
-    void forget(const Machine& machine) { changes_.erase(machine.remote_tasks_version); }
+    void on_machine_migrated_out(const Machine& machine) {
+        changes_.erase(machine.remote_tasks_version);
+    }
     // The machine is about to be removed from the table. A borrower may not know yet that its tasks
     // there are gone, so the change stays in the log.
     void on_machine_removed(const Machine& machine);
@@ -61,9 +63,11 @@
     // Did a task complete on the machine without its job's leader knowing of it yet?
     bool has_unacked_exits(const Machine& machine) const;
     // Have the leaders of all other partitions called?
-    bool heard_from_all() const;
+    bool all_borrowers_synced() const;
     // The term under which the partition's leader last called; 0: it has not.
-    std::uint64_t last_term_of(int partition) const { return borrowers_.at(partition).called_term; }
+    std::uint64_t last_synced_term(int partition) const {
+        return borrowers_.at(partition).called_term;
+    }
     // The full inventory for the partition's leader under that term, as if it had called; none
     // while the inventory would not be complete. From then on calls of earlier leaders are refused.
     std::optional<PeerSyncResponse> inventory_for(Time now, int partition, std::uint64_t term);
--- a/tests/borrowing_test.cpp
+++ b/tests/borrowing_test.cpp
@@ -67,12 +67,12 @@
     }
     bool has_schedulable_tasks(Time, const Job& job) const override { return !job.waiting.empty(); }
     bool reconciled() const override { return true; }
-    bool end_is_durable(const TaskStatus&) override { return false; }
+    bool is_exit_durable(const TaskStatus&) override { return false; }
     void on_remote_exit(Time, const TaskId& task, ExitReason, const std::string& zone) override {
         ended.push_back(task);
         jobs.mark_waiting(*jobs.find(task.job), task.index, zone);
     }
-    void on_found_done(Time, Job&, std::uint32_t) override {}
+    void on_completion_discovered(Time, Job&, std::uint32_t) override {}
     bool request_gang_slots(const Job&, bool, SlotRequest&) override { return false; }
     void on_gang_grants(Time, int, const std::vector<SlotGrant>&) override {}
     void end_attempt(Time, const std::string&, bool) override {}
@@ -264,7 +264,7 @@
     o.holdings->migrated_out({0, 0}, 39);
     o.reply(2, 2, all, response);
     EXPECT_EQ(o.call_to(2, all, 3)->acked_version, 3u);
-    EXPECT_TRUE(o.borrowing->is_inventoried({0, 0}));
+    EXPECT_TRUE(o.borrowing->has_complete_inventory({0, 0}));
 }
 
 TEST(ShareListings, ANodeOfTheVersionBeforeListsWhatIsAtHome) {
@@ -279,9 +279,9 @@
     o.reply(2, 1, all, response);
     EXPECT_EQ(o.ended.size(), 1u);
     for (int number = 0; number < shards_per_home(o.facts, 1); ++number) {
-        EXPECT_TRUE(o.borrowing->is_inventoried({1, number}));
+        EXPECT_TRUE(o.borrowing->has_complete_inventory({1, number}));
     }
-    EXPECT_FALSE(o.borrowing->is_inventoried({2, 0}));
+    EXPECT_FALSE(o.borrowing->has_complete_inventory({2, 0}));
 }
 
 // The owner of part 1 with one machine that a gang of part 0 has been handed a slot of.
