--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -25,7 +25,7 @@
 }
 
 // Are slots being held for this gang?
-bool GangScheduler::is_gathering(const Job& job) const {
+bool GangScheduler::has_reservation_for(const Job& job) const {
     return reservation_ && reservation_->job == job.spec.id;
 }
 
@@ -111,7 +111,7 @@
         // A lost member comes back where the others are.
         request.zone = job.placed_by_zone.begin()->first;
     } else if (missing_only && !attempt && members.size() > 1 &&
-               (is_gathering(job) || !reservation_)) {
+               (has_reservation_for(job) || !reservation_)) {
         request_missing(job, members, request);
     }
     if (members.empty()) {
@@ -129,9 +129,9 @@
 // gather slots for them.
 void GangScheduler::request_missing(const Job& job, Members& members, SlotRequest& request) {
     const JobSpec& spec = job.spec;
-    bool gathers = is_gathering(job);
+    bool has_reservation = has_reservation_for(job);
     std::string zone;
-    if (gathers) {
+    if (has_reservation) {
         const HeldGrants& held = reservation_->grants;
         std::erase_if(members, [&](std::uint32_t member) { return held.contains(member); });
         zone = spec.one_zone && !held.empty() ? held.begin()->second.grant.zone : "";
@@ -143,7 +143,7 @@
         request.zone = zone;
     }
     request.accepts_partial = true;
-    if (!gathers && !members.empty()) {
+    if (!has_reservation && !members.empty()) {
         std::uint64_t attempt = leadership_.next_attempt(leadership_.partition(), true);
         reservation_ = GangReservation{spec.id, attempt, {}, 0};
     }
@@ -155,7 +155,7 @@
 std::size_t GangScheduler::count_own_slots(const Job& job, const Members& members,
                                            std::string& zone) const {
     const JobSpec& spec = job.spec;
-    std::size_t most = 0;
+    std::size_t max_slots = 0;
     for (const auto& candidate : candidate_zones(spec.one_zone)) {
         if (!zone.empty() && candidate != zone) {
             continue;
@@ -166,13 +166,13 @@
             }
             GangPlacement found = plan(
                 {.spot = spot, .spec = spec, .members = members, .job = &job, .zone = candidate});
-            if (found.machines.size() > most) {
-                most = found.machines.size();
+            if (found.machines.size() > max_slots) {
+                max_slots = found.machines.size();
                 zone = candidate;
             }
         }
     }
-    return most;
+    return max_slots;
 }
 
 // With our own slots for the rest the grants become an attempt; else they are held for a moment or
@@ -180,26 +180,26 @@
 void GangScheduler::on_grants(Time now, int partition, const std::vector<SlotGrant>& grants) {
     Job* job = jobs_.find(grants.front().job);
     std::uint64_t number = grants.front().launch.attempt;
-    bool gathers = reservation_ && reservation_->attempt == number;
+    bool has_reservation = reservation_ && reservation_->attempt == number;
     bool usable = can_use_grants(now, job, number);
     HeldGrants held;
-    if (gathers) {
+    if (has_reservation) {
         held = reservation_->grants;
     }
     hold_or_return(usable ? job : nullptr, partition, grants, held);
     if (!usable) {
         return;
     }
-    Members rest = waiting_members(*job);
-    std::erase_if(rest, [&](std::uint32_t member) { return held.contains(member); });
-    GangPlacement own = plan_rest(*job, rest, held);
-    if (!held.empty() && own.machines.size() == rest.size()) {
-        if (gathers) {
+    Members remaining = waiting_members(*job);
+    std::erase_if(remaining, [&](std::uint32_t member) { return held.contains(member); });
+    GangPlacement own_placement = plan_remaining(*job, remaining, held);
+    if (!held.empty() && own_placement.machines.size() == remaining.size()) {
+        if (has_reservation) {
             reservation_.reset(); // what it held is used now
         }
-        launch(now, *job, rest, own, number);
-        launch_with_grants(*job, held, gathers);
-    } else if (gathers) {
+        launch(now, *job, remaining, own_placement, number);
+        launch_with_grants(*job, held, has_reservation);
+    } else if (has_reservation) {
         reservation_->grants = std::move(held);
         if (reservation_->until == 0) {
             // Before their leader takes them back.
@@ -242,18 +242,18 @@
 }
 
 // Our own slots for the members that no slot is held for; fewer if there are not enough.
-GangPlacement GangScheduler::plan_rest(const Job& job, const Members& rest,
-                                       const HeldGrants& held) const {
+GangPlacement GangScheduler::plan_remaining(const Job& job, const Members& remaining,
+                                            const HeldGrants& held) const {
     const JobSpec& spec = job.spec;
     bool keep_zone = spec.one_zone && !held.empty();
     PlanRequest request{.spec = spec,
-                        .members = rest,
+                        .members = remaining,
                         .job = &job,
                         .zone = keep_zone ? held.begin()->second.grant.zone : "",
                         .tasks_by_zone = count_by_zone(held)};
     GangPlacement found;
     for (bool spot : {true, false}) {
-        if (found.machines.size() < rest.size() && (!spot || spec.spot)) {
+        if (found.machines.size() < remaining.size() && (!spot || spec.spot)) {
             request.spot = spot;
             found = plan(request);
         }
@@ -262,10 +262,10 @@
 }
 
 // `gathered`: the slots came from several partitions, so what these were asked for is out of date.
-void GangScheduler::launch_with_grants(Job& job, const HeldGrants& held, bool gathered) {
+void GangScheduler::launch_with_grants(Job& job, const HeldGrants& held, bool from_reservation) {
     for (const auto& [member, held_grant] : held) {
         borrower_.launch(held_grant.partition, held_grant.grant, job, member);
-        if (gathered) {
+        if (from_reservation) {
             borrower_.request_full_resync(held_grant.partition);
         }
     }
@@ -288,11 +288,11 @@
     if (request.count == 0 || lender_.slots_left(borrower) < request.count) {
         return false;
     }
-    JobSpec shape = requested_resources(request);
+    JobSpec spec = requested_resources(request);
     GangPlacement best;
     for (const auto& zone : candidate_zones(request.one_zone)) {
         GangPlacement found =
-            plan({.spot = spot, .spec = shape, .members = request.gang_members, .zone = zone});
+            plan({.spot = spot, .spec = spec, .members = request.gang_members, .zone = zone});
         if (found.machines.size() > best.machines.size()) {
             best = std::move(found);
         }
@@ -369,7 +369,7 @@
 }
 
 void GangScheduler::on_machine_inventory(Time now, const Machine& machine) {
-    std::set<std::string> leaving; // gangs with tasks on a machine that is about to go
+    std::set<std::string> preempted_gangs; // gangs with tasks on a machine that is about to go
     for (const auto& [task, placement] : machine.tasks) {
         if (placement.kind != JobKind::gang || !leadership_.is_own_attempt(placement.attempt)) {
             continue;
@@ -378,10 +378,10 @@
             gangs_.on_task_running(task.job);
         }
         if (machine.preemption_notice_s) {
-            leaving.insert(task.job);
+            preempted_gangs.insert(task.job);
         }
     }
-    for (const auto& id : leaving) {
+    for (const auto& id : preempted_gangs) {
         end_attempt(now, id, true);
     }
 }
@@ -390,7 +390,7 @@
     if (!delegate_.reconciled()) {
         return;
     }
-    supervise_reservation(now);
+    check_reservation(now);
     for (const auto& id : gangs_.overdue_gangs(now, jobs_)) {
         end_attempt(now, id, false);
     }
@@ -403,13 +403,13 @@
 }
 
 // Held slots go back when they were not enough in time, or are wanted no more.
-void GangScheduler::supervise_reservation(Time now) {
+void GangScheduler::check_reservation(Time now) {
     if (!reservation_) {
         return;
     }
     const Job* job = jobs_.find(reservation_->job);
-    bool late = reservation_->until > 0 && now > reservation_->until;
-    if (late || !job || !delegate_.has_schedulable_tasks(now, *job)) {
+    bool expired = reservation_->until > 0 && now > reservation_->until;
+    if (expired || !job || !delegate_.has_schedulable_tasks(now, *job)) {
         release_reservation();
     }
 }
--- a/src/core/scheduling/gang_scheduler.h
+++ b/src/core/scheduling/gang_scheduler.h
@@ -90,7 +90,7 @@
 
     static Members waiting_members(const Job& job);
     static TasksByZone count_by_zone(const HeldGrants& held);
-    bool is_gathering(const Job& job) const;
+    bool has_reservation_for(const Job& job) const;
     std::vector<std::string> candidate_zones(bool one_zone) const;
     GangPlacement plan(const PlanRequest& request) const;
     void launch(Time now, Job& job, const Members& members, const GangPlacement& plan,
@@ -100,11 +100,12 @@
     bool can_use_grants(Time now, const Job* job, std::uint64_t attempt) const;
     void hold_or_return(const Job* job, int partition, const std::vector<SlotGrant>& grants,
                         HeldGrants& held);
-    GangPlacement plan_rest(const Job& job, const Members& rest, const HeldGrants& held) const;
-    void launch_with_grants(Job& job, const HeldGrants& held, bool gathered);
+    GangPlacement plan_remaining(const Job& job, const Members& remaining,
+                                 const HeldGrants& held) const;
+    void launch_with_grants(Job& job, const HeldGrants& held, bool from_reservation);
     void return_grants(const HeldGrants& held);
     void release_reservation();
-    void supervise_reservation(Time now);
+    void check_reservation(Time now);
     void stop_tasks_on(Time now, Machine& machine, const std::string& job, double grace_s);
     void finish_members(Time now, Job& job);
 
--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -12,9 +12,9 @@
 namespace {
 // Work for more than this many times the time left cannot be done in time, although estimates err
 // and a team may get more CPUs than it has now.
-constexpr double kHopelessFactor = 1.5;
+constexpr double kInfeasibleLoadFactor = 1.5;
 // A job is left behind when it has waited for this many times what its latest objective allows.
-constexpr double kLeftBehindFactor = 2;
+constexpr double kOverdueFactor = 2;
 
 // A job that can meet its due time, ordered by the work left.
 struct AcceptedJob {
@@ -36,7 +36,7 @@
     }
     partitions_with_teams_ = std::max<std::size_t>(1, partitions.size());
     for (const auto& objective : settings_.objectives) {
-        classes_[objective.job_class];
+        class_counts_[objective.job_class];
     }
 }
 
@@ -46,13 +46,13 @@
 }
 
 void PendingQueue::on_job_arrived(const JobSpec& spec) {
-    ++classes_[spec.job_class].seen;
-    ++served_teams_[spec.team].seen;
+    ++class_counts_[spec.job_class].seen;
+    ++team_counts_[spec.team].seen;
 }
 
 void PendingQueue::on_job_done(const JobSpec& spec) {
-    ++classes_[spec.job_class].done;
-    ++served_teams_[spec.team].done;
+    ++class_counts_[spec.job_class].done;
+    ++team_counts_[spec.team].done;
 }
 
 // Tasks that run are half done on average; replicas of services run for ever.
@@ -62,7 +62,7 @@
 }
 
 // What is left of the job takes at least this long, even with all that its team may use.
-double PendingQueue::shortest_run_s(const Job& job) const {
+double PendingQueue::min_run_time_s(const Job& job) const {
     const JobSpec& spec = job.spec;
     const TeamQuota* quota = quotas_.quota(spec.team);
     double tasks_left = static_cast<double>(spec.tasks - job.done);
@@ -73,8 +73,8 @@
 
 Time PendingQueue::due(Time now, const Job& job) const {
     // A job that has missed all its objectives comes after those that can still meet one.
-    Time next = latest_due(job);
-    double shortest_s = shortest_run_s(job);
+    Time next = due_without_objective(job);
+    double shortest_s = min_run_time_s(job);
     for (const auto& objective : settings_.objectives) {
         if (objective.job_class != job.spec.job_class) {
             continue;
@@ -107,7 +107,7 @@
                                  now - job->waiting_since > policy_.first_task_deadline_s;
         if (job->open()) {
             job->due = due(now, *job);
-            if (job->due < latest_due(*job)) {
+            if (job->due < due_without_objective(*job)) {
                 by_team[job->spec.team].push_back(job.get());
             }
         }
@@ -118,7 +118,7 @@
 // Where a team cannot meet all due times with the CPUs it has, the job with most work left of those
 // due by then is postponed: objectives count jobs, and one large job that would be late all the
 // same makes many small ones late (the rule of Moore and Hodgson).
-void PendingQueue::postpone_hopeless(Time now, const std::string& team, std::vector<Job*>& jobs) {
+void PendingQueue::postpone_infeasible(Time now, const std::string& team, std::vector<Job*>& jobs) {
     std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
         return std::tie(a->spec.priority, a->due, a->spec.id) <
                std::tie(b->spec.priority, b->due, b->spec.id);
@@ -131,13 +131,13 @@
         double work_s = remaining_s(*job) * quota.amount(job->spec.cpus, job->spec.gpus) / slots;
         total_work_s += work_s;
         accepted.insert({work_s, job->spec.id, job});
-        while (total_work_s > kHopelessFactor * (job->due - now) && !accepted.empty()) {
+        while (total_work_s > kInfeasibleLoadFactor * (job->due - now) && !accepted.empty()) {
             auto largest = std::prev(accepted.end());
             if (largest->job->spec.priority < job->spec.priority) {
                 break; // it runs first whatever its due time
             }
             total_work_s -= largest->work_s;
-            largest->job->due = latest_due(*largest->job);
+            largest->job->due = due_without_objective(*largest->job);
             accepted.erase(largest);
         }
     }
@@ -145,7 +145,7 @@
 
 void PendingQueue::update_due_times(Time now) {
     for (auto& [team, jobs] : assign_due_times(now)) {
-        postpone_hopeless(now, team, jobs);
+        postpone_infeasible(now, team, jobs);
     }
 }
 
@@ -154,7 +154,7 @@
         const JobSpec& spec = job->spec;
         if (is_schedulable_(now, *job)) {
             queue_.push_back({job->awaits_first_task || is_starving(spec),
-                              rank(*job, job->awaits_first_task),
+                              effective_priority(*job, job->awaits_first_task),
                               !quotas_.within_guarantee(spec.team, spec.cpus, spec.gpus),
                               bottleneck_teams_.contains(spec.team), job->due, job->first_seen,
                               job.get(), nullptr, 0, spec.kind, spec.spot, job->awaits_first_task});
@@ -164,15 +164,15 @@
 
 void PendingQueue::append_peer_requests(Time now) {
     for (const auto& peer : peer_requests_()) {
-        if (now - peer.at > settings_.heartbeat_interval_s / 2) {
+        if (now - peer.received_at > settings_.heartbeat_interval_s / 2) {
             continue; // outdated: a live peer would have called again
         }
         for (auto& request : *peer.requests) {
             if (request.count > 0) {
                 queue_.push_back({request.starving, request.priority, request.over_guarantee,
-                                  request.bottleneck_team, peer.at + request.due_s,
-                                  peer.at - request.age_s, nullptr, &request, peer.partition,
-                                  request.kind, request.spot});
+                                  request.bottleneck_team, peer.received_at + request.due_s,
+                                  peer.received_at - request.age_s, nullptr, &request,
+                                  peer.partition, request.kind, request.spot});
             }
         }
     }
@@ -190,8 +190,8 @@
     append_peer_requests(now);
     std::sort(queue_.begin(), queue_.end(), [](const PendingJob& a, const PendingJob& b) {
         return std::tie(b.starving, a.priority, a.over_guarantee, b.bottleneck_team, a.due,
-                        a.since) < std::tie(a.starving, b.priority, b.over_guarantee,
-                                            a.bottleneck_team, b.due, b.since);
+                        a.arrived_at) < std::tie(a.starving, b.priority, b.over_guarantee,
+                                                 a.bottleneck_team, b.due, b.arrived_at);
     });
     return queue_;
 }
@@ -222,7 +222,7 @@
     }
 }
 
-bool PendingQueue::is_left_behind(Time now, const Job& job) const {
+bool PendingQueue::is_overdue(Time now, const Job& job) const {
     double latest_s = settings_.worker_lease_s;
     for (const auto& objective : settings_.objectives) {
         if (objective.job_class == job.spec.job_class) {
@@ -231,7 +231,7 @@
             latest_s = std::max(latest_s, is_deadline ? deadline_s : objective.within_s);
         }
     }
-    return now > job.first_seen + kLeftBehindFactor * latest_s;
+    return now > job.first_seen + kOverdueFactor * latest_s;
 }
 
 // Under lasting overload some class or team would stay behind the others for ever. So a class with
@@ -249,10 +249,10 @@
         if (!job->open() || !quota) {
             continue;
         }
-        bool left_behind = !job->waiting.empty() && is_left_behind(now, *job);
+        bool has_overdue_job = !job->waiting.empty() && is_overdue(now, *job);
         for (Usage* usage : {&classes[spec.job_class], &teams[spec.team]}) {
             usage->running += job->placed * quota->amount(spec.cpus, spec.gpus);
-            usage->left_behind = usage->left_behind || left_behind;
+            usage->has_overdue_job = usage->has_overdue_job || has_overdue_job;
         }
     }
     find_starving_classes(classes, slots);
@@ -260,11 +260,13 @@
 }
 
 void PendingQueue::find_starving_classes(const UsageByName& usages, double slots) {
-    double even_part = slots / static_cast<double>(std::max<std::size_t>(1, classes_.size())) /
-                       static_cast<double>(partitions_with_teams_);
+    double fair_share = slots /
+                        static_cast<double>(std::max<std::size_t>(1, class_counts_.size())) /
+                        static_cast<double>(partitions_with_teams_);
     starving_classes_.clear();
     for (const auto& [name, usage] : usages) {
-        if (usage.left_behind && !classes_[name].is_half_done() && usage.running < even_part) {
+        if (usage.has_overdue_job && !class_counts_[name].is_half_done() &&
+            usage.running < fair_share) {
             starving_classes_.insert(name);
         }
     }
@@ -276,8 +278,9 @@
     for (const auto& [name, usage] : usages) {
         const TeamQuota& quota = *quotas_.quota(name);
         double guaranteed = quota.amount(quota.guaranteed_cpus, quota.guaranteed_gpus);
-        double team_part = guaranteed / guarantees * slots;
-        if (usage.left_behind && !served_teams_[name].is_half_done() && usage.running < team_part) {
+        double team_share = guaranteed / guarantees * slots;
+        if (usage.has_overdue_job && !team_counts_[name].is_half_done() &&
+            usage.running < team_share) {
             starving_teams_.insert(name);
         }
     }
--- a/src/core/scheduling/pending_queue.h
+++ b/src/core/scheduling/pending_queue.h
@@ -20,7 +20,7 @@
     bool over_guarantee = false;
     bool bottleneck_team = false; // see PendingQueue::is_bottleneck
     Time due = 0;
-    Time since = 0;
+    Time arrived_at = 0;
     Job* job = nullptr;                  // of this partition, or null
     SlotRequest* slot_request = nullptr; // of another partition, or null
     int borrower = 0;                    // that partition
@@ -43,7 +43,7 @@
 // The latest slot requests of another partition's leader.
 struct PeerSlotRequests {
     int partition = 0;
-    Time at = 0;
+    Time received_at = 0;
     std::vector<SlotRequest>* requests = nullptr;
 };
 
@@ -76,8 +76,8 @@
     }
     // The priority of a pending job. `begins`: only its first task is wanted, which comes before
     // the tasks of others.
-    static Priority rank(const Job& job, bool begins) {
-        return begins ? Priority::production : job.spec.priority;
+    static Priority effective_priority(const Job& job, bool first_task_only) {
+        return first_task_only ? Priority::production : job.spec.priority;
     }
     // Counts the jobs of the class and the team that arrived, and those that are done.
     void on_job_arrived(const JobSpec& spec);
@@ -87,10 +87,10 @@
     static double remaining_s(const Job& job);
 
   private:
-    static constexpr double kLatestDueS = 1e6;
+    static constexpr double kNoObjectiveDueS = 1e6;
 
     // Jobs of a class or team since this leadership began.
-    struct Served {
+    struct JobCounts {
         std::uint64_t seen = 0;
         std::uint64_t done = 0;
         bool is_half_done() const { return 2 * done >= seen; }
@@ -98,24 +98,24 @@
     // How much a class or team runs, in its teams' own measures.
     struct Usage {
         double running = 0;
-        bool left_behind = false; // it has a pending job that is left behind
+        bool has_overdue_job = false; // it has a pending job that is left behind
     };
     using UsageByName = std::map<std::string, Usage>;
     using JobsByTeam = std::map<std::string, std::vector<Job*>>;
     Time due(Time now, const Job& job) const;
-    double shortest_run_s(const Job& job) const;
+    double min_run_time_s(const Job& job) const;
     // The due time of a job that cannot meet any objective.
-    static Time latest_due(const Job& job) { return job.first_seen + kLatestDueS; }
+    static Time due_without_objective(const Job& job) { return job.first_seen + kNoObjectiveDueS; }
     void update_due_times(Time now);
     JobsByTeam assign_due_times(Time now);
-    void postpone_hopeless(Time now, const std::string& team, std::vector<Job*>& jobs);
+    void postpone_infeasible(Time now, const std::string& team, std::vector<Job*>& jobs);
     void append_jobs(Time now);
     void append_peer_requests(Time now);
     void find_bottleneck_teams(double slots, double remaining_slot_s);
     void find_starving(Time now, double slots);
     void find_starving_classes(const UsageByName& usages, double slots);
     void find_starving_teams(const UsageByName& usages, double slots);
-    bool is_left_behind(Time now, const Job& job) const;
+    bool is_overdue(Time now, const Job& job) const;
 
     const ClusterSettings& settings_;
     const SchedulingPolicy& policy_;
@@ -129,8 +129,8 @@
     std::set<std::string> bottleneck_teams_; // see is_bottleneck
     std::set<std::string> starving_classes_;
     std::set<std::string> starving_teams_;
-    std::map<std::string, Served> classes_;
-    std::map<std::string, Served> served_teams_;
+    std::map<std::string, JobCounts> class_counts_;
+    std::map<std::string, JobCounts> team_counts_;
     std::size_t partitions_with_teams_ = 1;
 };
 
--- a/src/core/scheduling/preemptor.cpp
+++ b/src/core/scheduling/preemptor.cpp
@@ -15,20 +15,20 @@
     auto operator<=>(const Victim&) const = default;
 };
 
-struct Resources {
+struct FreeResources {
     double cpus = 0;
     double gpus = 0;
     double ram_gb = 0;
 
-    bool fit(const JobSpec& spec) const {
+    bool covers(const JobSpec& spec) const {
         return cpus >= spec.cpus && gpus >= spec.gpus && ram_gb >= spec.ram_gb;
     }
-    void take(const JobSpec& spec) {
+    void subtract(const JobSpec& spec) {
         cpus -= spec.cpus;
         gpus -= spec.gpus;
         ram_gb -= spec.ram_gb;
     }
-    void release(const Placement& placement) {
+    void add(const Placement& placement) {
         cpus += placement.cpus;
         gpus += placement.gpus;
         ram_gb += placement.ram_gb;
@@ -40,14 +40,14 @@
                                  bool within_guarantee) {
     std::vector<Victim> victims;
     for (const auto& [task, placement] : machine.tasks) {
-        bool lower =
+        bool is_preemptible =
             placement.priority > spec.priority || (within_guarantee && placement.over_guarantee);
-        bool stays = placement.via != Placement::Via::reported ||
-                     placement.kind != JobKind::array || placement.stage == TaskStage::saving ||
-                     placement.resources_unknown;
-        if (lower && !stays) {
-            bool runs = placement.stage == TaskStage::running;
-            victims.push_back({runs ? now - placement.running_since : 0, task});
+        bool must_stay = placement.via != Placement::Via::reported ||
+                         placement.kind != JobKind::array || placement.stage == TaskStage::saving ||
+                         placement.resources_unknown;
+        if (is_preemptible && !must_stay) {
+            bool is_running = placement.stage == TaskStage::running;
+            victims.push_back({is_running ? now - placement.running_since : 0, task});
         }
     }
     std::sort(victims.begin(), victims.end());
@@ -57,15 +57,16 @@
 // Up to `most` options on the machine, each with the victims that it needs besides those of the
 // options before it.
 std::vector<PreemptionOption> options_on(Machine& machine, const JobSpec& spec,
-                                         const std::vector<Victim>& victims, std::size_t most) {
-    Resources free{machine.free_cpus(), machine.free_gpus(), machine.free_ram()};
+                                         const std::vector<Victim>& victims,
+                                         std::size_t max_options) {
+    FreeResources free{machine.free_cpus(), machine.free_gpus(), machine.free_ram()};
     double fetch_s = machine.fetch_s(spec.image, spec.image_gb);
     std::vector<PreemptionOption> options;
     PreemptionOption option{fetch_s, &machine, {}};
     auto next = victims.begin();
-    while (options.size() < most) {
-        if (free.fit(spec)) {
-            free.take(spec);
+    while (options.size() < max_options) {
+        if (free.covers(spec)) {
+            free.subtract(spec);
             options.push_back(std::move(option));
             option = PreemptionOption{fetch_s, &machine, {}};
             continue;
@@ -73,7 +74,7 @@
         if (next == victims.end()) {
             break;
         }
-        free.release(machine.tasks.at(next->task));
+        free.add(machine.tasks.at(next->task));
         option.cost_s += next->run_s;
         option.victims.push_back(next->task);
         ++next;
@@ -117,8 +118,8 @@
 void Preemptor::preempt_for_candidate(Time now, const PendingJob& candidate) {
     bool within_guarantee = !candidate.over_guarantee;
     if (const SlotRequest* request = candidate.slot_request) {
-        JobSpec shape = requested_resources(*request);
-        preempt_for(now, {shape, request->count, within_guarantee, nullptr});
+        JobSpec spec = requested_resources(*request);
+        preempt_for(now, {spec, request->count, within_guarantee, nullptr});
         return;
     }
     Job& job = *candidate.job;
@@ -126,8 +127,8 @@
     bool fits_quota = spec.kind == JobKind::gang ? gang_fits_quota(quotas_, job)
                                                  : quotas_.fits(spec.team, spec.cpus, spec.gpus);
     if (fits_quota) {
-        bool made = preempt_for(now, {spec, job.waiting.size(), within_guarantee, &job});
-        job.needs_preemption = !made || spec.spread;
+        bool preempted = preempt_for(now, {spec, job.waiting.size(), within_guarantee, &job});
+        job.needs_preemption = !preempted || spec.spread;
     }
 }
 
@@ -174,7 +175,7 @@
 std::optional<Preemptor::Plan> Preemptor::cheapest_plan(const Demand& demand,
                                                         OptionsByZone&& by_zone) {
     std::optional<Plan> best;
-    bool whole = demand.spec.kind == JobKind::gang;
+    bool all_or_nothing = demand.spec.kind == JobKind::gang;
     for (auto& [zone, options] : by_zone) {
         // A machine's options come in the order of their cost, so the cheapest of all are a
         // consistent choice.
@@ -186,7 +187,7 @@
         for (const auto& option : options) {
             cost_s += option.cost_s;
         }
-        bool enough = whole ? options.size() == demand.tasks : true;
+        bool enough = all_or_nothing ? options.size() == demand.tasks : true;
         if (enough && !options.empty() && (!best || cost_s < best->cost_s)) {
             best = Plan{std::move(options), cost_s};
         }
--- a/src/core/scheduling/quota_evictor.cpp
+++ b/src/core/scheduling/quota_evictor.cpp
@@ -32,16 +32,16 @@
 }
 
 void QuotaEvictor::evict_over_quota(Time now) {
-    forget_ended(now);
+    remove_finished_evictions(now);
     for (const auto& team : quotas_.teams_over_limit()) {
         if (own_teams_.contains(team)) {
             evict_team(now, team);
         }
     }
-    stop_unreached_directly(now);
+    stop_unreachable_directly(now);
 }
 
-void QuotaEvictor::forget_ended(Time now) {
+void QuotaEvictor::remove_finished_evictions(Time now) {
     std::erase_if(pending_evictions_, [&](const auto& entry) {
         const auto& [task, eviction] = entry;
         const Job* job = jobs_.find(task.job);
@@ -51,14 +51,14 @@
 
 // Remote tasks on machines whose leaders our requests do not reach would stay for as long as these
 // renew the machines' leases.
-void QuotaEvictor::stop_unreached_directly(Time now) {
+void QuotaEvictor::stop_unreachable_directly(Time now) {
     // In one step; starts have their share of the sockets.
-    int most = settings_.max_concurrent_commands / 2;
+    int stops_left = settings_.max_concurrent_commands / 2;
     for (auto& [task, eviction] : pending_evictions_) {
-        if (most > 0 && now >= eviction.direct_stop_at &&
+        if (stops_left > 0 && now >= eviction.direct_stop_at &&
             borrower_.stop_directly(task, eviction.grace_s)) {
             eviction.direct_stop_at = now + settings_.heartbeat_interval_s;
-            --most;
+            --stops_left;
         }
     }
 }
@@ -112,7 +112,7 @@
     eviction.direct_stop_at = now + settings_.heartbeat_interval_s / 2;
     eviction.grace_s = candidate.grace_s;
     const std::string& id = candidate.task.job;
-    if (candidate.gang) {
+    if (candidate.is_gang) {
         const Job& job = *jobs_.find(id);
         for (std::uint32_t index = 0; index < job.spec.tasks; ++index) {
             if (job.tasks[index] == TaskState::placed) {
@@ -134,7 +134,8 @@
 // How long a task on another partition's machine has run is known to that machine's leader only,
 // which chose the attempt's number too: so the tasks of the youngest jobs go first.
 bool QuotaEvictor::EvictionCandidate::operator<(const EvictionCandidate& other) const {
-    return std::tie(loss, other.job_since, task) < std::tie(other.loss, job_since, other.task);
+    return std::tie(loss, other.job_arrived_at, task) <
+           std::tie(other.loss, job_arrived_at, other.task);
 }
 
 // What of the team can be stopped now.
@@ -174,7 +175,7 @@
         if (!is_new || (attempt && attempt->ending)) {
             return;
         }
-        candidate.gang = true;
+        candidate.is_gang = true;
     }
     set_costs(candidate, *job);
     candidates.push_back(std::move(candidate));
@@ -185,16 +186,16 @@
     const JobSpec& spec = job.spec;
     double save_s = kSaveGraceFactor * spec.save_s;
     bool may_save = spec.checkpoint_s > 0 && save_s <= settings_.worker_lease_s / 2;
-    candidate.job_since = job.first_seen;
+    candidate.job_arrived_at = job.first_seen;
     candidate.cpus = spec.cpus;
     candidate.gpus = spec.gpus;
     if (may_save) {
         candidate.loss = Loss::saving_time;
         candidate.grace_s = std::max(save_s, settings_.heartbeat_interval_s / 12);
     } else {
-        candidate.loss = candidate.gang ? Loss::all_run_time : Loss::run_time;
+        candidate.loss = candidate.is_gang ? Loss::all_run_time : Loss::run_time;
     }
-    if (candidate.gang) {
+    if (candidate.is_gang) {
         candidate.cpus *= job.placed;
         candidate.gpus *= job.placed;
     }
--- a/src/core/scheduling/quota_evictor.h
+++ b/src/core/scheduling/quota_evictor.h
@@ -57,9 +57,9 @@
         TaskId task;                // of a gang: the one it was found by
         Machine* machine = nullptr; // none: another partition's
         std::uint64_t attempt = 0;
-        bool gang = false;
+        bool is_gang = false;
         Loss loss = Loss::run_time;
-        Time job_since = 0; // when its job became known
+        Time job_arrived_at = 0; // when its job became known
         double cpus = 0;
         double gpus = 0;
         double grace_s = 0; // time to save that it is given
@@ -76,10 +76,10 @@
         double grace_s = 0;
     };
 
-    void forget_ended(Time now);
+    void remove_finished_evictions(Time now);
     void evict_team(Time now, const std::string& team);
     void evict(Time now, const EvictionCandidate& candidate);
-    void stop_unreached_directly(Time now);
+    void stop_unreachable_directly(Time now);
     /// What the team uses beyond its limit and is not on its way out yet.
     QuotaLedger::Excess remaining_excess(const std::string& team) const;
     std::vector<EvictionCandidate> eviction_candidates(const std::string& team);
--- a/src/core/scheduling/slot_finder.cpp
+++ b/src/core/scheduling/slot_finder.cpp
@@ -3,9 +3,9 @@
 namespace scheduler {
 
 namespace {
-std::uint32_t planned_at(const std::map<std::string, std::uint32_t>& planned,
-                         const std::string& where) {
-    auto it = planned.find(where);
+std::uint32_t planned_count(const std::map<std::string, std::uint32_t>& planned,
+                            const std::string& key) {
+    auto it = planned.find(key);
     return it == planned.end() ? 0 : it->second;
 }
 } // namespace
@@ -20,12 +20,12 @@
 
 const std::string* SlotFinder::find(const SlotQuery& query) const {
     // A machine that has the image before one that has to fetch it.
-    for (bool warm : {true, false}) {
+    for (bool image_cached : {true, false}) {
         for (const InstanceType* type : instance_types_.by_fetch_speed()) {
             if (!query.spec.allows_type(type->name)) {
                 continue;
             }
-            if (const std::string* found = find_on_type(query, *type, warm)) {
+            if (const std::string* found = find_on_type(query, *type, image_cached)) {
                 return found;
             }
         }
@@ -34,34 +34,34 @@
 }
 
 const std::string* SlotFinder::find_on_type(const SlotQuery& query, const InstanceType& type,
-                                            bool warm) const {
+                                            bool image_cached) const {
     const JobSpec& spec = query.spec;
     auto accepts = [&](const std::string& name) {
         ++effort_;
-        return has_room(query, machines_.all().at(name));
+        return fits(query, machines_.all().at(name));
     };
     SlotKind kind{type.name, query.spot};
-    int least = min_listed_slots(type, spec.cpus, spec.gpus, spec.ram_gb);
-    return warm ? slots_.pop_warm(kind, least, spec.image, accepts)
-                : slots_.pop(kind, least, accepts);
+    int min_slots = min_listed_slots(type, spec.cpus, spec.gpus, spec.ram_gb);
+    return image_cached ? slots_.pop_warm(kind, min_slots, spec.image, accepts)
+                        : slots_.pop(kind, min_slots, accepts);
 }
 
-bool SlotFinder::has_room(const SlotQuery& query, const Machine& machine) const {
+bool SlotFinder::fits(const SlotQuery& query, const Machine& machine) const {
     const JobSpec& spec = query.spec;
-    double on_machine = 1;
-    std::uint32_t in_zone = 1;
+    double tasks_on_machine = 1;
+    std::uint32_t tasks_in_zone = 1;
     if (query.plan) {
-        on_machine += planned_at(query.plan->tasks_by_machine, machine.name);
-        in_zone += planned_at(query.plan->tasks_by_zone, machine.zone);
+        tasks_on_machine += planned_count(query.plan->tasks_by_machine, machine.name);
+        tasks_in_zone += planned_count(query.plan->tasks_by_zone, machine.zone);
     }
     bool zone_allowed =
-        query.job ? query.job->allows_zone(machine.zone, in_zone)
-                  : (!spec.zone || *spec.zone == machine.zone) && spec.may_spread(in_zone);
+        query.job ? query.job->allows_zone(machine.zone, tasks_in_zone)
+                  : (!spec.zone || *spec.zone == machine.zone) && spec.may_spread(tasks_in_zone);
     return zone_allowed && (query.zone.empty() || query.zone == machine.zone) &&
            machine.command_in_flight == 0 && machine.available_to(spec.id) &&
-           machine.free_cpus() >= on_machine * spec.cpus &&
-           machine.free_ram() >= on_machine * spec.ram_gb &&
-           machine.free_gpus() >= on_machine * spec.gpus &&
+           machine.free_cpus() >= tasks_on_machine * spec.cpus &&
+           machine.free_ram() >= tasks_on_machine * spec.ram_gb &&
+           machine.free_gpus() >= tasks_on_machine * spec.gpus &&
            !(query.task && machine.reports_exited(*query.task));
 }
 
--- a/src/core/scheduling/slot_finder.h
+++ b/src/core/scheduling/slot_finder.h
@@ -39,8 +39,8 @@
 
   private:
     const std::string* find_on_type(const SlotQuery& query, const InstanceType& type,
-                                    bool warm) const;
-    bool has_room(const SlotQuery& query, const Machine& machine) const;
+                                    bool image_cached) const;
+    bool fits(const SlotQuery& query, const Machine& machine) const;
 
     const SchedulingPolicy& policy_;
     const OwnedShards& owned_shards_;
--- a/src/core/scheduling/task_scheduler.cpp
+++ b/src/core/scheduling/task_scheduler.cpp
@@ -25,28 +25,28 @@
 }
 
 void TaskScheduler::fill_slots(Time now, bool spot, bool spot_jobs) {
-    std::set<Shape> full;
+    std::set<TaskResources> exhausted;
     for (const PendingJob& candidate : queue_.ordered(now)) {
         if (candidate.spot != spot_jobs) {
             continue;
         }
         if (candidate.slot_request) {
-            fill_request(now, spot, candidate, full);
+            fill_request(now, spot, candidate, exhausted);
         } else if (candidate.job->spec.kind == JobKind::gang) {
             gang_scheduler_.schedule(now, spot, *candidate.job);
         } else {
-            fill_job(now, spot, candidate, full);
+            fill_job(now, spot, candidate, exhausted);
         }
     }
 }
 
 // Lends slots to another partition. `full`: shapes that there are no slots for.
 void TaskScheduler::fill_request(Time now, bool spot, const PendingJob& candidate,
-                                 const std::set<Shape>& full) {
+                                 const std::set<TaskResources>& exhausted) {
     SlotRequest& request = *candidate.slot_request;
     if (candidate.kind == JobKind::gang) {
         gang_scheduler_.lend_slots(now, spot, candidate.borrower, request);
-    } else if (!full.contains({request.cpus, request.gpus, request.ram_gb})) {
+    } else if (!exhausted.contains({request.cpus, request.gpus, request.ram_gb})) {
         lend_slots(now, spot, candidate.borrower, request);
     }
 }
@@ -54,19 +54,19 @@
 // Starts tasks of our own job. `full`: shapes that there are no slots for, to which its own is
 // added if that shows here.
 void TaskScheduler::fill_job(Time now, bool spot, const PendingJob& candidate,
-                             std::set<Shape>& full) {
+                             std::set<TaskResources>& exhausted) {
     Job& job = *candidate.job;
     const JobSpec& spec = job.spec;
-    bool plain = !spec.types && !spec.zone && !spec.one_zone && !spec.spread;
-    Shape shape{spec.cpus, spec.gpus, spec.ram_gb};
-    if (plain && full.contains(shape)) {
+    bool is_unconstrained = !spec.types && !spec.zone && !spec.one_zone && !spec.spread;
+    TaskResources resources{spec.cpus, spec.gpus, spec.ram_gb};
+    if (is_unconstrained && exhausted.contains(resources)) {
         return; // no slot for its like a moment ago, so none now
     }
     while (!job.waiting.empty() && !candidate.first_task_placed() &&
            quotas_.fits(spec.team, spec.cpus, spec.gpus)) {
         if (!schedule_task(now, spot, job, job.waiting.first())) {
-            if (plain) {
-                full.insert(shape);
+            if (is_unconstrained) {
+                exhausted.insert(resources);
             }
             return;
         }
@@ -75,25 +75,25 @@
 
 bool TaskScheduler::schedule_task(Time now, bool spot, Job& job, std::uint32_t index) {
     TaskId task{job.spec.id, index};
-    const std::string* found =
+    const std::string* machine_name =
         slot_finder_.find({.spot = spot, .spec = job.spec, .task = &task, .job = &job});
-    if (!found) {
+    if (!machine_name) {
         return false;
     }
-    launcher_.launch(now, *machines_.find(*found), job, index,
+    launcher_.launch(now, *machines_.find(*machine_name), job, index,
                      leadership_.next_attempt(leadership_.partition(), false));
     return true;
 }
 
 // Takes slots off our lists for tasks of another partition.
 void TaskScheduler::lend_slots(Time now, bool spot, int borrower, SlotRequest& request) {
-    JobSpec shape = requested_resources(request);
+    JobSpec spec = requested_resources(request);
     while (request.count > 0 && lender_.slots_left(borrower) > 0) {
-        const std::string* found = slot_finder_.find({.spot = spot, .spec = shape});
-        if (!found) {
+        const std::string* machine_name = slot_finder_.find({.spot = spot, .spec = spec});
+        if (!machine_name) {
             return;
         }
-        lender_.lend(now, *machines_.find(*found), borrower, request);
+        lender_.lend(now, *machines_.find(*machine_name), borrower, request);
     }
 }
 
@@ -125,16 +125,16 @@
 // Of the candidates of the same rank, one whose image the machine has goes before one due a little
 // earlier whose image it would have to fetch: while it is fetched, the slots stand idle.
 const PendingJob* TaskScheduler::best_for(Time now, const Machine& machine, bool spot_jobs,
-                                          const std::vector<PendingJob>& order,
-                                          const Candidates& lacking) {
+                                          const std::vector<PendingJob>& pending,
+                                          const Candidates& insufficient) {
     const PendingJob* best = nullptr;
     Time best_due = 0;
-    for (const PendingJob& candidate : order) {
+    for (const PendingJob& candidate : pending) {
         ++effort_;
         if (best && (!candidate.same_rank(*best) || candidate.due >= best_due)) {
             break; // no warm image makes up for that
         }
-        if (candidate.spot != spot_jobs || lacking.contains(&candidate) ||
+        if (candidate.spot != spot_jobs || insufficient.contains(&candidate) ||
             !fits_machine(now, machine, candidate)) {
             continue;
         }
@@ -152,16 +152,17 @@
     if (!slot_finder_.is_schedulable(machine) || machine.command_in_flight != 0) {
         return;
     }
-    const std::vector<PendingJob>& order = queue_.ordered(now);
-    Candidates lacking; // gangs for which this machine is not enough
+    const std::vector<PendingJob>& pending = queue_.ordered(now);
+    Candidates insufficient; // gangs for which this machine is not enough
     // On-demand machines serve first what may use nothing else.
     for (bool spot_jobs : {false, true}) {
         if (machine.spot && !spot_jobs) {
             continue;
         }
-        while (const PendingJob* candidate = best_for(now, machine, spot_jobs, order, lacking)) {
+        while (const PendingJob* candidate =
+                   best_for(now, machine, spot_jobs, pending, insufficient)) {
             if (!place_on(now, machine, *candidate)) {
-                lacking.insert(candidate);
+                insufficient.insert(candidate);
             }
         }
     }
--- a/src/core/scheduling/task_scheduler.h
+++ b/src/core/scheduling/task_scheduler.h
@@ -36,24 +36,26 @@
     std::uint64_t effort() const { return effort_; }
 
   private:
-    struct Shape { // what a task takes
+    struct TaskResources { // what a task takes
         double cpus = 0;
         double gpus = 0;
         double ram_gb = 0;
-        auto operator<=>(const Shape&) const = default;
+        auto operator<=>(const TaskResources&) const = default;
     };
     using Candidates = std::set<const PendingJob*>;
 
     void fill_slots(Time now, bool spot, bool spot_jobs);
     void fill_request(Time now, bool spot, const PendingJob& candidate,
-                      const std::set<Shape>& full);
-    void fill_job(Time now, bool spot, const PendingJob& candidate, std::set<Shape>& full);
+                      const std::set<TaskResources>& exhausted);
+    void fill_job(Time now, bool spot, const PendingJob& candidate,
+                  std::set<TaskResources>& exhausted);
     bool schedule_task(Time now, bool spot, Job& job, std::uint32_t index);
     void lend_slots(Time now, bool spot, int borrower, SlotRequest& request);
     bool fits_request(const Machine& machine, const PendingJob& candidate) const;
     bool fits_machine(Time now, const Machine& machine, const PendingJob& candidate) const;
     const PendingJob* best_for(Time now, const Machine& machine, bool spot_jobs,
-                               const std::vector<PendingJob>& order, const Candidates& lacking);
+                               const std::vector<PendingJob>& pending,
+                               const Candidates& insufficient);
     bool place_on(Time now, Machine& machine, const PendingJob& candidate);
 
     Leadership& leadership_;
--- a/src/core/stealing/slot_borrower.cpp
+++ b/src/core/stealing/slot_borrower.cpp
@@ -8,11 +8,11 @@
 namespace scheduler {
 
 namespace {
-constexpr double kMaxBatch = 64;                    // slots requested in a call
-constexpr std::size_t kMaxRequestsPerCall = 24;     // jobs for which slots are requested
-constexpr std::size_t kMaxCommandsPerCall = 256;    // commands about remote tasks
-constexpr std::size_t kMaxProvisionedPerCall = 256; // provisioned machines
-constexpr double kIdleCallsPerHeartbeat = 3;        // calls in a heartbeat interval when idle
+constexpr double kMaxBatchSlots = 64;               // slots requested in a call
+constexpr std::size_t kMaxRequestsPerSync = 24;     // jobs for which slots are requested
+constexpr std::size_t kMaxCommandsPerSync = 256;    // commands about remote tasks
+constexpr std::size_t kMaxProvisionedPerSync = 256; // provisioned machines
+constexpr double kIdleSyncsPerHeartbeat = 3;        // calls in a heartbeat interval when idle
 
 RemoteTaskCommand describe_command(const std::string& machine, const LaunchId& id,
                                    const JobSpec& spec) {
@@ -50,7 +50,8 @@
         return;
     }
     for (auto& [partition, peer] : peers_) {
-        if (!peer.in_flight && now >= peer.next && !partition_map_.at(partition).leader.empty()) {
+        if (!peer.in_flight && now >= peer.next_sync_at &&
+            !partition_map_.at(partition).leader.empty()) {
             sync_peer(now, partition, peer);
         }
     }
@@ -58,20 +59,22 @@
 
 void SlotBorrower::sync_soon() {
     for (auto& [partition, peer] : peers_) {
-        peer.next = 0;
+        peer.next_sync_at = 0;
     }
 }
 
 // One slot is requested for a job to begin with, from one peer at a time, each in turn for a
 // heartbeat interval.
-bool SlotBorrower::begins_at(Time now, const Job& job, std::uint64_t peer_index) const {
+bool SlotBorrower::requests_first_task_from(Time now, const Job& job,
+                                            std::uint64_t peer_index) const {
     auto turn =
         stable_hash(job.spec.id) + static_cast<std::uint64_t>(now / settings_.heartbeat_interval_s);
     return job.awaits_first_task && turn % peers_.size() == peer_index;
 }
 
 // The jobs with tasks to schedule, in the order in which slots are requested for them.
-std::vector<const Job*> SlotBorrower::jobs_to_request(Time now, std::uint64_t peer_index) const {
+std::vector<const Job*> SlotBorrower::jobs_awaiting_slots(Time now,
+                                                          std::uint64_t peer_index) const {
     std::vector<const Job*> waiting;
     for (const auto& [id, job] : jobs_.all()) {
         if (delegate_.has_schedulable_tasks(now, *job)) {
@@ -79,7 +82,8 @@
         }
     }
     auto rank = [&](const Job* job) {
-        bool first = begins_at(now, *job, peer_index) || queue_.is_starving(job->spec);
+        bool first =
+            requests_first_task_from(now, *job, peer_index) || queue_.is_starving(job->spec);
         return std::tuple(!first, job->spec.priority, !queue_.is_bottleneck(job->spec.team),
                           job->due, job->first_seen);
     };
@@ -89,7 +93,7 @@
 }
 
 // A request of slots for the job, without their number.
-SlotRequest SlotBorrower::describe(Time now, const Job& job, bool begins) const {
+SlotRequest SlotBorrower::make_slot_request(Time now, const Job& job, bool first_task_only) const {
     const JobSpec& spec = job.spec;
     SlotRequest request;
     request.job = spec.id;
@@ -102,9 +106,9 @@
     request.types = spec.types;
     request.zone = spec.zone;
     request.spot = spec.spot;
-    request.priority = PendingQueue::rank(job, begins);
+    request.priority = PendingQueue::effective_priority(job, first_task_only);
     request.bottleneck_team = queue_.is_bottleneck(spec.team);
-    request.starving = begins || queue_.is_starving(spec);
+    request.starving = first_task_only || queue_.is_starving(spec);
     request.over_guarantee = !quotas_.within_guarantee(spec.team, spec.cpus, spec.gpus);
     request.preempt = job.needs_preemption;
     request.age_s = now - job.first_seen;
@@ -116,7 +120,7 @@
                                 SlotRequest& request) {
     const JobSpec& spec = job.spec;
     auto tasks = static_cast<double>(job.waiting.size());
-    bool remainder = peer.calls % 2 == 1;
+    bool remainder = peer.last_sequence % 2 == 1;
     if (!quota_left.fits(spec.team, tasks * spec.cpus, tasks * spec.gpus) ||
         !delegate_.request_gang_slots(job, remainder, request)) {
         return false;
@@ -125,11 +129,11 @@
     return true;
 }
 
-void SlotBorrower::count_slots(const Job& job, const Peer& peer, bool begins,
-                               QuotaLedger& quota_left, SlotRequest& request) {
+void SlotBorrower::set_slot_count(const Job& job, const Peer& peer, bool first_task_only,
+                                  QuotaLedger& quota_left, SlotRequest& request) {
     const JobSpec& spec = job.spec;
     // After its first task a job is in line with the others again.
-    std::size_t max_count = begins ? 1 : job.waiting.size();
+    std::size_t max_count = first_task_only ? 1 : job.waiting.size();
     while (request.count < peer.batch && request.count < max_count &&
            quota_left.fits(spec.team, spec.cpus, spec.gpus)) {
         quota_left.add_usage(spec.team, spec.cpus, spec.gpus);
@@ -145,18 +149,18 @@
         static_cast<std::uint64_t>(std::distance(peers_.begin(), peers_.find(partition)));
     std::vector<SlotRequest> requests;
     QuotaLedger quota_left = quotas_; // so that slots are not requested beyond a team's limit
-    for (const Job* job : jobs_to_request(now, peer_index)) {
-        bool begins = begins_at(now, *job, peer_index);
-        SlotRequest request = describe(now, *job, begins);
+    for (const Job* job : jobs_awaiting_slots(now, peer_index)) {
+        bool first_task_only = requests_first_task_from(now, *job, peer_index);
+        SlotRequest request = make_slot_request(now, *job, first_task_only);
         if (job->spec.kind != JobKind::gang) {
-            count_slots(*job, peer, begins, quota_left, request);
+            set_slot_count(*job, peer, first_task_only, quota_left, request);
         } else if (!request_gang(*job, peer, quota_left, request)) {
             continue;
         }
         if (request.count > 0) {
             requests.push_back(std::move(request));
         }
-        if (requests.size() == kMaxRequestsPerCall) {
+        if (requests.size() == kMaxRequestsPerSync) {
             break;
         }
     }
@@ -164,24 +168,24 @@
 }
 
 void SlotBorrower::append_commands(const Peer& peer, PeerSyncRequest& request,
-                                   SyncCall& call) const {
+                                   SentSync& sent_sync) const {
     for (const auto& [launch, command] : peer.commands) {
-        if (call.commands.size() == kMaxCommandsPerCall) {
+        if (sent_sync.commands.size() == kMaxCommandsPerSync) {
             break;
         }
-        call.commands.push_back(launch);
+        sent_sync.commands.push_back(launch);
         request.commands.push_back(command);
     }
 }
 
-void SlotBorrower::append_provisioned(PeerSyncRequest& request, SyncCall& call) const {
+void SlotBorrower::append_provisioned(PeerSyncRequest& request, SentSync& sent_sync) const {
     for (const auto& [name, provisioned] : demand_.provisioned()) {
-        const ScaleOut& order = provisioned.order;
-        ShardId shard = shard_of_machine(settings_, name, order.zone);
-        if (partition_map_.holder(shard) == call.partition &&
-            call.provisioned.size() < kMaxProvisionedPerCall) {
-            call.provisioned.push_back(name);
-            request.provisioned.push_back({name, order.type, order.zone, order.spot});
+        const ScaleOut& scale_out = provisioned.order;
+        ShardId shard = shard_of_machine(settings_, name, scale_out.zone);
+        if (partition_map_.holder(shard) == sent_sync.partition &&
+            sent_sync.provisioned.size() < kMaxProvisionedPerSync) {
+            sent_sync.provisioned.push_back(name);
+            request.provisioned.push_back({name, scale_out.type, scale_out.zone, scale_out.spot});
         }
     }
 }
@@ -198,18 +202,18 @@
     return std::min(total, std::max(largest_gang, static_cast<std::uint32_t>(peer.batch)));
 }
 
-PeerSyncRequest SlotBorrower::build_request(Time now, Peer& peer, SyncCall& call) {
+PeerSyncRequest SlotBorrower::build_request(Time now, Peer& peer, SentSync& sent_sync) {
     PeerSyncRequest request;
     request.from_partition = leadership_.partition();
     request.term = leadership_.term();
-    request.to_partition = call.partition;
+    request.to_partition = sent_sync.partition;
     queue_.ordered(now); // updates the due times of jobs
-    request.sequence = ++peer.calls;
-    if (now >= peer.request_again_at) {
-        request.slot_requests = slot_requests_for(now, call.partition, peer);
+    request.sequence = ++peer.last_sequence;
+    if (now >= peer.requests_paused_until) {
+        request.slot_requests = slot_requests_for(now, sent_sync.partition, peer);
     }
-    append_commands(peer, request, call);
-    append_provisioned(request, call);
+    append_commands(peer, request, sent_sync);
+    append_provisioned(request, sent_sync);
     request.transfers = peer.transfers;
     request.acked_term = peer.acked_term;
     bool wants_full_inventory = peer.resyncs_requested != peer.resyncs_answered;
@@ -217,44 +221,44 @@
     request.demand = demand_.current(now).demand;
     request.capacity = demand_.current(now).capacity;
     request.max_slots = max_slots_for(peer, request.slot_requests);
-    call.max_slots = request.max_slots;
-    call.transfers = peer.transfers.size();
-    call.resyncs_requested = peer.resyncs_requested;
+    sent_sync.max_slots = request.max_slots;
+    sent_sync.transfers = peer.transfers.size();
+    sent_sync.resyncs_requested = peer.resyncs_requested;
     return request;
 }
 
 void SlotBorrower::sync_peer(Time now, int partition, Peer& peer) {
     queue_clears(peer);
-    SyncCall call;
-    call.partition = partition;
-    PeerSyncRequest request = build_request(now, peer, call);
-    bool busy = call.max_slots > 0 || peer.tasks > 0 || !delegate_.reconciled();
-    double idle_interval_s = settings_.heartbeat_interval_s / kIdleCallsPerHeartbeat;
-    peer.next = now + (busy ? policy_.peer_sync_interval_s : idle_interval_s);
+    SentSync sent_sync;
+    sent_sync.partition = partition;
+    PeerSyncRequest request = build_request(now, peer, sent_sync);
+    bool busy = sent_sync.max_slots > 0 || peer.tasks > 0 || !delegate_.reconciled();
+    double idle_interval_s = settings_.heartbeat_interval_s / kIdleSyncsPerHeartbeat;
+    peer.next_sync_at = now + (busy ? policy_.peer_sync_interval_s : idle_interval_s);
     peer.in_flight = true;
     requests_.send(PeerSyncCall{partition_map_.at(partition).leader, std::move(request)},
-                   [this, call](Time at, OutboundResponse& response) {
-                       on_sync_response(at, call, response);
+                   [this, sent_sync](Time at, OutboundResponse& response) {
+                       on_sync_response(at, sent_sync, response);
                    });
 }
 
-void SlotBorrower::on_sync_response(Time now, const SyncCall& call,
+void SlotBorrower::on_sync_response(Time now, const SentSync& sent_sync,
                                     const OutboundResponse& response) {
-    Peer& peer = peers_.at(call.partition);
+    Peer& peer = peers_.at(sent_sync.partition);
     peer.in_flight = false;
     if (response.status != 200 || !response.peer_sync || !leadership_.is_active(now)) {
         return;
     }
-    peer.resyncs_answered = call.resyncs_requested;
-    for (const auto& launch : call.commands) {
+    peer.resyncs_answered = sent_sync.resyncs_requested;
+    for (const auto& launch : sent_sync.commands) {
         peer.commands.erase(launch);
     }
     peer.transfers.erase(peer.transfers.begin(),
-                         peer.transfers.begin() + static_cast<std::ptrdiff_t>(call.transfers));
-    for (const auto& name : call.provisioned) {
+                         peer.transfers.begin() + static_cast<std::ptrdiff_t>(sent_sync.transfers));
+    for (const auto& name : sent_sync.provisioned) {
         demand_.remove_provisioned(name); // its owner counts it now, in this very response
     }
-    on_response(now, call.partition, call.max_slots, *response.peer_sync);
+    on_response(now, sent_sync.partition, sent_sync.max_slots, *response.peer_sync);
 }
 
 // The first batch is small; while everything requested is granted, the next is twice as large and
@@ -262,8 +266,8 @@
 void SlotBorrower::adapt_batch(Time now, Peer& peer, std::uint32_t max_slots,
                                std::size_t granted) const {
     if (max_slots > 0 && granted >= max_slots) {
-        peer.batch = std::min(kMaxBatch, peer.batch * 2);
-        peer.next = now;
+        peer.batch = std::min(kMaxBatchSlots, peer.batch * 2);
+        peer.next_sync_at = now;
     } else {
         peer.batch = std::max(policy_.initial_steal_batch, peer.batch / 2);
     }
@@ -281,15 +285,15 @@
     if (returns_slots) {
         // The slots are returned at once; but requested again at once, they would come and go as
         // fast as calls do.
-        peer.next = now;
-        peer.request_again_at = now + policy_.peer_sync_interval_s;
+        peer.next_sync_at = now;
+        peer.requests_paused_until = now + policy_.peer_sync_interval_s;
     }
     delegate_.on_peer_response(now);
 }
 
 // Tasks that exited there: their machine may forget them once that is durable here.
 void SlotBorrower::queue_clears(Peer& peer) {
-    std::erase_if(peer.exited, [&](const auto& entry) {
+    std::erase_if(peer.unacked_exits, [&](const auto& entry) {
         const RemoteTaskStatus& remote_task = entry.second;
         if (!delegate_.is_exit_durable(remote_task.status)) {
             return false;
@@ -304,16 +308,16 @@
 void SlotBorrower::queue_command(Peer& peer, RemoteTaskCommand command) {
     RemoteLaunch launch{command.launch, command.machine};
     peer.commands[launch] = std::move(command);
-    peer.next = 0;
+    peer.next_sync_at = 0;
 }
 
 void SlotBorrower::apply_response(Time now, int partition, Peer& peer,
                                   const PeerSyncResponse& response) {
-    if (response.term < peer.heard_term) {
+    if (response.term < peer.latest_leader_term) {
         return;
     }
-    peer.heard_term = response.term;
-    peer.answered_term = response.term;
+    peer.latest_leader_term = response.term;
+    peer.synced_term = response.term;
     demand_.on_peer_demand(now, partition, response.demand, response.capacity);
     reconcile(now, partition, peer, response);
     std::map<std::uint64_t, std::vector<SlotGrant>> gangs;
@@ -335,8 +339,8 @@
 void SlotBorrower::apply_posted_inventory(Time now, int partition,
                                           const PeerSyncResponse& response) {
     Peer& peer = peers_.at(partition);
-    if (response.term >= peer.heard_term && response.term != peer.answered_term) {
-        peer.heard_term = response.term;
+    if (response.term >= peer.latest_leader_term && response.term != peer.synced_term) {
+        peer.latest_leader_term = response.term;
         reconcile(now, partition, peer, response);
     }
 }
@@ -390,13 +394,13 @@
         peer.acked_term = response.term;
         peer.acked_version = response.version;
     }
-    std::size_t before = inventoried_.size();
+    std::size_t before = inventoried_shards_.size();
     for (const auto& [shard, inventory] : inventories) {
         if (inventory.reconciled && response.no_stale_grants) {
-            inventoried_.insert(shard);
+            inventoried_shards_.insert(shard);
         }
     }
-    if (inventoried_.size() > before) {
+    if (inventoried_shards_.size() > before) {
         delegate_.try_reconcile(now);
     }
 }
@@ -406,15 +410,15 @@
                               bool is_recorded) {
     const TaskStatus& status = remote_task.status;
     Job* job = jobs_.find(status.task.job);
-    bool waits = job && status.task.index < job->spec.tasks &&
-                 job->tasks[status.task.index] == TaskState::waiting;
+    bool is_waiting = job && status.task.index < job->spec.tasks &&
+                      job->tasks[status.task.index] == TaskState::waiting;
     if (is_recorded) {
         on_task_gone(now, status.task, status.exit_reason);
-    } else if (waits && status.exit_reason == ExitReason::done && job->open()) {
+    } else if (is_waiting && status.exit_reason == ExitReason::done && job->open()) {
         delegate_.on_completion_discovered(now, *job, status.task.index);
     }
     LaunchId id = launch_id(status.attempt, status.task.index);
-    peer.exited[{id, remote_task.machine}] = remote_task;
+    peer.unacked_exits[{id, remote_task.machine}] = remote_task;
 }
 
 // Records a task that an earlier leader of this partition launched. Returns false if it is not one.
@@ -422,17 +426,17 @@
                                 std::uint64_t term) {
     const TaskStatus& status = remote_task.status;
     Job* job = jobs_.find(status.task.job);
-    bool waits = job && status.task.index < job->spec.tasks &&
-                 job->tasks[status.task.index] == TaskState::waiting;
-    if (!waits ||
+    bool is_waiting = job && status.task.index < job->spec.tasks &&
+                      job->tasks[status.task.index] == TaskState::waiting;
+    if (!is_waiting ||
         (job->spec.kind == JobKind::gang && !gangs_.adopt(now, status.task.job, status.attempt))) {
         return false;
     }
     jobs_.mark_placed(*job, status.task.index, remote_task.zone);
     quotas_.add_usage(job->spec.team, job->spec.cpus, job->spec.gpus);
-    on_placed(status.task,
-              {status.attempt, partition, remote_task.machine, remote_task.zone,
-               shard_of_machine(settings_, remote_task.machine, remote_task.zone), term});
+    add_remote_task(status.task,
+                    {status.attempt, partition, remote_task.machine, remote_task.zone,
+                     shard_of_machine(settings_, remote_task.machine, remote_task.zone), term});
     return true;
 }
 
@@ -552,13 +556,13 @@
     remote.partition = partition;
 }
 
-void SlotBorrower::on_placed(const TaskId& task, RemoteTask remote) {
+void SlotBorrower::add_remote_task(const TaskId& task, RemoteTask remote) {
     tasks_by_machine_[remote.machine].insert(task);
     ++peers_.at(remote.partition).tasks;
     remote_tasks_[task] = std::move(remote);
 }
 
-SlotBorrower::RemoteTask SlotBorrower::remove(const TaskId& task) {
+SlotBorrower::RemoteTask SlotBorrower::remove_remote_task(const TaskId& task) {
     auto it = remote_tasks_.find(task);
     RemoteTask remote = std::move(it->second);
     remote_tasks_.erase(it);
@@ -572,7 +576,7 @@
 }
 
 void SlotBorrower::on_task_gone(Time now, const TaskId& task, ExitReason reason) {
-    RemoteTask remote = remove(task);
+    RemoteTask remote = remove_remote_task(task);
     delegate_.on_remote_exit(now, task, reason, remote.zone);
 }
 
@@ -580,13 +584,13 @@
 
 void SlotBorrower::announce_transfer(int partition, const ShardTransfer& transfer) {
     peers_.at(partition).transfers.push_back(transfer);
-    peers_.at(partition).next = 0;
+    peers_.at(partition).next_sync_at = 0;
 }
 
 void SlotBorrower::on_task_migrated_out(const TaskId& task, RemoteTask remote) {
     std::uint64_t& latest_term = shard_terms_[remote.shard];
     latest_term = std::max(latest_term, remote.term);
-    on_placed(task, std::move(remote));
+    add_remote_task(task, std::move(remote));
 }
 
 void SlotBorrower::on_shard_migrated_in(const ShardId& shard, std::uint64_t term) {
@@ -600,7 +604,7 @@
         it->second.machine != machine) {
         return false;
     }
-    remove(task);
+    remove_remote_task(task);
     return true;
 }
 
@@ -639,18 +643,18 @@
 // The job that the grant was requested for, or else, if its tasks have found slots meanwhile, the
 // first of the other jobs that may use the slot; null if there is none.
 Job* SlotBorrower::job_for_grant(Time now, const SlotGrant& grant) const {
-    auto suits = [&](const Job& job) {
+    auto can_use = [&](const Job& job) {
         return job.spec.kind != JobKind::gang && delegate_.has_schedulable_tasks(now, job) &&
                fits_grant(job, grant);
     };
     Job* job = jobs_.find(grant.job);
-    if (job && suits(*job)) {
+    if (job && can_use(*job)) {
         return job;
     }
     job = nullptr;
     for (const auto& [id, other] : jobs_.all()) {
-        if (suits(*other) && (!job || std::tie(other->spec.priority, other->first_seen) <
-                                          std::tie(job->spec.priority, job->first_seen))) {
+        if (can_use(*other) && (!job || std::tie(other->spec.priority, other->first_seen) <
+                                            std::tie(job->spec.priority, job->first_seen))) {
             job = other.get();
         }
     }
@@ -670,10 +674,10 @@
     TaskId task{job.spec.id, index};
     jobs_.mark_placed(job, index, grant.zone);
     quotas_.add_usage(job.spec.team, job.spec.cpus, job.spec.gpus);
-    on_placed(task, {grant.launch.attempt, partition, grant.machine, grant.zone,
-                     shard_of_machine(settings_, grant.machine, grant.zone),
-                     term_of_fencing_token(grant.fencing_token), grant.endpoint, grant.agent_epoch,
-                     grant.fencing_token});
+    add_remote_task(task, {grant.launch.attempt, partition, grant.machine, grant.zone,
+                           shard_of_machine(settings_, grant.machine, grant.zone),
+                           term_of_fencing_token(grant.fencing_token), grant.endpoint,
+                           grant.agent_epoch, grant.fencing_token});
     WorkerCommands commands{grant.machine,
                             grant.endpoint,
                             grant.fencing_token,
--- a/src/core/stealing/slot_borrower.h
+++ b/src/core/stealing/slot_borrower.h
@@ -69,7 +69,9 @@
     // were granted with that answer.
     void apply_posted_inventory(Time now, int partition, const PeerSyncResponse& response);
     // Has the shard's owner sent a complete inventory of this partition's tasks on its machines?
-    bool has_complete_inventory(const ShardId& shard) const { return inventoried_.contains(shard); }
+    bool has_complete_inventory(const ShardId& shard) const {
+        return inventoried_shards_.contains(shard);
+    }
     // May a task of the job run on the granted slot?
     bool fits_grant(const Job& job, const SlotGrant& grant) const;
     // Launches a task on slots that another partition's leader has granted.
@@ -113,23 +115,23 @@
     };
     struct Peer {
         bool in_flight = false;
-        Time next = 0;                   // of the next call
-        std::uint64_t heard_term = 0;    // the latest term of its leader
-        std::uint64_t answered_term = 0; // the latest term under which a call was answered
-        std::size_t tasks = 0;           // remote tasks on its machines
-        double batch = 0;                // slots to request in a call
-        std::uint64_t calls = 0;
-        Time request_again_at = 0; // slots were returned: nothing is requested until then
-        std::map<RemoteLaunch, RemoteTaskCommand> commands; // until a call is answered
-        std::vector<ShardTransfer> transfers;               // until a call is answered
-        std::map<RemoteLaunch, RemoteTaskStatus> exited;    // there, but not durable here yet
-        std::uint64_t acked_term = 0;                       // of the inventory applied last
+        Time next_sync_at = 0;                // of the next call
+        std::uint64_t latest_leader_term = 0; // the latest term of its leader
+        std::uint64_t synced_term = 0;        // the latest term under which a call was answered
+        std::size_t tasks = 0;                // remote tasks on its machines
+        double batch = 0;                     // slots to request in a call
+        std::uint64_t last_sequence = 0;
+        Time requests_paused_until = 0; // slots were returned: nothing is requested until then
+        std::map<RemoteLaunch, RemoteTaskCommand> commands;     // until a call is answered
+        std::vector<ShardTransfer> transfers;                   // until a call is answered
+        std::map<RemoteLaunch, RemoteTaskStatus> unacked_exits; // there, but not durable here yet
+        std::uint64_t acked_term = 0;                           // of the inventory applied last
         std::uint64_t acked_version = 0;
         std::uint64_t resyncs_requested = 0; // number of full inventories requested
         std::uint64_t resyncs_answered = 0;
     };
     // What a peer sync told the peer, to be dropped when it is answered.
-    struct SyncCall {
+    struct SentSync {
         int partition = 0;
         std::uint32_t max_slots = 0;
         std::vector<RemoteLaunch> commands;
@@ -143,22 +145,22 @@
         std::set<RemoteLaunch> present;
     };
     void sync_peer(Time now, int partition, Peer& peer);
-    PeerSyncRequest build_request(Time now, Peer& peer, SyncCall& call);
-    void append_commands(const Peer& peer, PeerSyncRequest& request, SyncCall& call) const;
-    void append_provisioned(PeerSyncRequest& request, SyncCall& call) const;
+    PeerSyncRequest build_request(Time now, Peer& peer, SentSync& sent_sync);
+    void append_commands(const Peer& peer, PeerSyncRequest& request, SentSync& sent_sync) const;
+    void append_provisioned(PeerSyncRequest& request, SentSync& sent_sync) const;
     static std::uint32_t max_slots_for(const Peer& peer, const std::vector<SlotRequest>& requests);
-    void on_sync_response(Time now, const SyncCall& call, const OutboundResponse& response);
+    void on_sync_response(Time now, const SentSync& sent_sync, const OutboundResponse& response);
     void adapt_batch(Time now, Peer& peer, std::uint32_t max_slots, std::size_t granted) const;
     void on_response(Time now, int partition, std::uint32_t max_slots,
                      const PeerSyncResponse& response);
     std::vector<SlotRequest> slot_requests_for(Time now, int partition, const Peer& peer);
-    bool begins_at(Time now, const Job& job, std::uint64_t peer_index) const;
-    std::vector<const Job*> jobs_to_request(Time now, std::uint64_t peer_index) const;
-    SlotRequest describe(Time now, const Job& job, bool begins) const;
+    bool requests_first_task_from(Time now, const Job& job, std::uint64_t peer_index) const;
+    std::vector<const Job*> jobs_awaiting_slots(Time now, std::uint64_t peer_index) const;
+    SlotRequest make_slot_request(Time now, const Job& job, bool first_task_only) const;
     bool request_gang(const Job& job, const Peer& peer, QuotaLedger& quota_left,
                       SlotRequest& request);
-    static void count_slots(const Job& job, const Peer& peer, bool begins, QuotaLedger& quota_left,
-                            SlotRequest& request);
+    static void set_slot_count(const Job& job, const Peer& peer, bool first_task_only,
+                               QuotaLedger& quota_left, SlotRequest& request);
     void apply_response(Time now, int partition, Peer& peer, const PeerSyncResponse& response);
     // The shards of a response whose inventory counts now.
     using ShardInventories = std::map<ShardId, ShardInventory>;
@@ -181,8 +183,8 @@
     void use_grant(Time now, int partition, Peer& peer, const SlotGrant& grant);
     void queue_command(Peer& peer, RemoteTaskCommand command);
     void queue_clears(Peer& peer);
-    void on_placed(const TaskId& task, RemoteTask remote);
-    RemoteTask remove(const TaskId& task);
+    void add_remote_task(const TaskId& task, RemoteTask remote);
+    RemoteTask remove_remote_task(const TaskId& task);
     void on_task_gone(Time now, const TaskId& task, ExitReason reason);
 
     Leadership& leadership_;
@@ -201,7 +203,7 @@
     std::map<TaskId, RemoteTask> remote_tasks_;
     std::map<std::string, std::set<TaskId>> tasks_by_machine_;
     std::map<ShardId, std::uint64_t> shard_terms_; // the latest term known of each shard
-    std::set<ShardId> inventoried_;                // shards with a complete inventory
+    std::set<ShardId> inventoried_shards_;         // shards with a complete inventory
 };
 
 } // namespace scheduler
--- a/src/core/stealing/slot_lender.cpp
+++ b/src/core/stealing/slot_lender.cpp
@@ -9,11 +9,11 @@
 namespace {
 // The launch in a lent slot shows in a heartbeat within about one interval; a slot that is older
 // than this many intervals is fenced.
-constexpr double kLaunchHeartbeats = 1.5;
+constexpr double kLaunchTimeoutHeartbeats = 1.5;
 // Changes of the inventory that are kept: twice the number of machines, and this many more.
-constexpr std::size_t kExtraChanges = 64;
+constexpr std::size_t kExtraLoggedChanges = 64;
 // States of a remote task that are part of its hash.
-constexpr std::uint64_t kLeavingState = 1;
+constexpr std::uint64_t kDrainingState = 1;
 constexpr std::uint64_t kResourcesUnknownState = 2;
 constexpr std::uint64_t kFinishedState = 4;
 constexpr std::uint64_t kPreemptionNoticeState = 8;
@@ -70,7 +70,7 @@
 
 bool SlotLender::all_borrowers_synced() const {
     return std::all_of(borrowers_.begin(), borrowers_.end(),
-                       [](const auto& entry) { return entry.second.called_term > 0; });
+                       [](const auto& entry) { return entry.second.synced_term > 0; });
 }
 
 bool SlotLender::has_unacked_exits(const Machine& machine) const {
@@ -109,7 +109,7 @@
     }
     // A late call would return slots that were lent since: the tasks of a gang's attempt share its
     // number, so a slot may come to have the launch id of one that was returned.
-    if (request.term == borrower.called_term && request.sequence != 0 &&
+    if (request.term == borrower.synced_term && request.sequence != 0 &&
         request.sequence <= borrower.sequence) {
         requests_.respond(request_id, 409, TextBody{"a later call has come"});
         return true;
@@ -119,7 +119,7 @@
 
 void SlotLender::apply_request(Time now, const PeerSyncRequest& request, Borrower& borrower) {
     observe_term(now, borrower, request.term);
-    borrower.called_term = request.term;
+    borrower.synced_term = request.term;
     borrower.sequence = request.sequence;
     for (const auto& command : request.commands) {
         if (Machine* machine = machines_.find(command.machine)) {
@@ -239,7 +239,7 @@
     if (response.complete) {
         return;
     }
-    for (auto change = changes_.upper_bound(request.acked_version); change != changes_.end();
+    for (auto change = change_log_.upper_bound(request.acked_version); change != change_log_.end();
          ++change) {
         const std::string& name = change->second;
         auto machine = machines_.all().find(name);
@@ -278,7 +278,7 @@
 // A hash of what the inventory says of the machine's remote tasks, in any order. A launch that
 // shows in its lent slot does not change it, so that most changes are exits.
 std::uint64_t SlotLender::hash_remote_tasks(const Machine& machine) const {
-    std::uint64_t machine_state = (machine.draining || machine.cordoned ? kLeavingState : 0) +
+    std::uint64_t machine_state = (machine.draining || machine.cordoned ? kDrainingState : 0) +
                                   (machine.preemption_notice_s ? kPreemptionNoticeState : 0);
     std::uint64_t hash = 0;
     for (const auto& [task, placement] : machine.tasks) {
@@ -305,24 +305,24 @@
         return;
     }
     machine.remote_tasks_hash = hash;
-    changes_.erase(machine.remote_tasks_version);
+    change_log_.erase(machine.remote_tasks_version);
     log_change(machine.name);
     machine.remote_tasks_version = version_;
 }
 
 void SlotLender::on_machine_removed(const Machine& machine) {
-    changes_.erase(machine.remote_tasks_version);
+    change_log_.erase(machine.remote_tasks_version);
     if (machine.remote_tasks_version > 0) {
         log_change(machine.name);
     }
 }
 
 void SlotLender::log_change(const std::string& machine) {
-    changes_[++version_] = machine;
+    change_log_[++version_] = machine;
     // Otherwise machines that are gone would stay in the log for ever.
-    while (changes_.size() > 2 * machines_.all().size() + kExtraChanges) {
-        dropped_version_ = changes_.begin()->first;
-        changes_.erase(changes_.begin());
+    while (change_log_.size() > 2 * machines_.all().size() + kExtraLoggedChanges) {
+        dropped_version_ = change_log_.begin()->first;
+        change_log_.erase(change_log_.begin());
     }
 }
 
@@ -402,7 +402,7 @@
 
 void SlotLender::lend(Time now, Machine& machine, int borrower, SlotRequest& request,
                       std::uint32_t member) {
-    Borrower& to = borrowers_.at(borrower);
+    Borrower& borrower_state = borrowers_.at(borrower);
     if (request.attempt != 0 && machine.lent_slots.contains(launch_id(request.attempt, member))) {
         // Lent already: the borrower holds the slot, or does not know of it and will when it is
         // fenced. A second slot of the same launch id could be returned, and the task on the first
@@ -413,21 +413,22 @@
     LentSlot lent = make_lent_slot(now, machine, borrower, request);
     machine.touch_image(request.image, request.image_gb);
     LaunchId id = launch_id(lent.placement.attempt, member);
-    to.grants.push_back({id, request.job, machine.name, machine.endpoint, machine.agent_epoch,
-                         lent.fencing_token, machine.type.name, machine.zone, machine.spot,
-                         request.cpus, request.gpus, request.ram_gb});
+    borrower_state.grants.push_back({id, request.job, machine.name, machine.endpoint,
+                                     machine.agent_epoch, lent.fencing_token, machine.type.name,
+                                     machine.zone, machine.spot, request.cpus, request.gpus,
+                                     request.ram_gb});
     machine.lent_slots.emplace(id, std::move(lent));
     machines_with_lent_slots_.insert(machine.name);
     delegate_.update_slot_lists(machine);
     --request.count;
-    --to.slots_left;
+    --borrower_state.slots_left;
 }
 
 // Does the machine have a slot that its present fencing token admits, and whose launch does not
 // show in time, or that an earlier leader of the borrowing partition got? A higher token makes sure
 // that the launch never takes effect, and the next heartbeat under it frees the slot.
 bool SlotLender::must_fence(Time now, const Machine& machine) const {
-    double max_age_s = kLaunchHeartbeats * settings_.heartbeat_interval_s;
+    double max_age_s = kLaunchTimeoutHeartbeats * settings_.heartbeat_interval_s;
     return std::any_of(machine.lent_slots.begin(), machine.lent_slots.end(),
                        [&](const auto& entry) {
                            const LentSlot& lent = entry.second;
--- a/src/core/stealing/slot_lender.h
+++ b/src/core/stealing/slot_lender.h
@@ -53,7 +53,7 @@
     void unpublish_shard(const ShardId& shard) { published_shards_.erase(shard); }
     // The machine migrates with its shard, whose new owner reports it.
     void on_machine_migrated_out(const Machine& machine) {
-        changes_.erase(machine.remote_tasks_version);
+        change_log_.erase(machine.remote_tasks_version);
     }
     // The machine is about to be removed from the table. A borrower may not know yet that its tasks
     // there are gone, so the change stays in the log.
@@ -66,7 +66,7 @@
     bool all_borrowers_synced() const;
     // The term under which the partition's leader last called; 0: it has not.
     std::uint64_t last_synced_term(int partition) const {
-        return borrowers_.at(partition).called_term;
+        return borrowers_.at(partition).synced_term;
     }
     // The full inventory for the partition's leader under that term, as if it had called; none
     // while the inventory would not be complete. From then on calls of earlier leaders are refused.
@@ -77,7 +77,7 @@
   private:
     struct Borrower {
         std::uint64_t term = 0;          // the latest that is known
-        std::uint64_t called_term = 0;   // ... and that it has called under
+        std::uint64_t synced_term = 0;   // ... and that it has called under
         std::uint64_t sequence = 0;      // of that call
         std::uint64_t acked_version = 0; // the version of the inventory that it has applied
         std::vector<SlotRequest> requests;
@@ -119,7 +119,7 @@
     std::map<int, Borrower> borrowers_;
     // Machines by the version at which their inventory of remote tasks last changed, so that a
     // borrower is told of changes only.
-    std::map<std::uint64_t, std::string> changes_;
+    std::map<std::uint64_t, std::string> change_log_;
     std::uint64_t version_ = 1;
     std::set<std::string> machines_with_lent_slots_;    // machines that may have some
     std::map<ShardId, std::uint64_t> published_shards_; // with the version of their publication
