--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -24,12 +24,13 @@
     return counts;
 }
 
-// Are slots being held for this gang?
+// Returns whether the current reservation is for this gang.
 bool GangScheduler::has_reservation_for(const Job& job) const {
     return reservation_ && reservation_->job == job.spec.id;
 }
 
-// The zones to try for a gang, each as its only one where it asks for that; else any mix of them.
+// Returns the zones to try for a gang. Without `one_zone` the only entry is empty: the tasks may be
+// in any mix of zones.
 std::vector<std::string> GangScheduler::candidate_zones(bool one_zone) const {
     std::set<std::string> zones;
     if (one_zone) {
@@ -43,7 +44,7 @@
     return {zones.begin(), zones.end()};
 }
 
-// Finds slots for as many of the members as there are, without taking any.
+// Plans slots for as many of the members as possible, in their order, without reserving them.
 GangPlacement GangScheduler::plan(const PlanRequest& request) const {
     GangPlacement plan;
     plan.tasks_by_zone = request.tasks_by_zone;
@@ -81,7 +82,8 @@
     return false;
 }
 
-// `attempt`: the one that other members are part of; 0: the gang's own, or a new one.
+// Launches the members on the planned machines. `attempt` is the attempt of the other members; if
+// it is 0, the gang's current attempt is used, or a new one begins.
 void GangScheduler::launch(Time now, Job& job, const Members& members, const GangPlacement& plan,
                            std::uint64_t attempt) {
     const GangTracker::Attempt* current = gangs_.find(job.spec.id);
@@ -108,14 +110,14 @@
     request.attempt = attempt ? attempt->number : 0;
     Members members = waiting_members(job);
     if (spec.one_zone && !job.placed_by_zone.empty()) {
-        // A lost member comes back where the others are.
+        // A lost member is replaced in the zone of the others.
         request.zone = job.placed_by_zone.begin()->first;
     } else if (missing_only && !attempt && members.size() > 1 &&
                (has_reservation_for(job) || !reservation_)) {
         request_missing(job, members, request);
     }
     if (members.empty()) {
-        return false; // our own slots will do
+        return false; // the partition's own slots suffice
     }
     if (request.attempt == 0) {
         request.attempt = leadership_.next_attempt(leadership_.partition(), true);
@@ -125,8 +127,8 @@
     return true;
 }
 
-// Leaves only the members that neither a held slot nor one of our own is there for, and begins to
-// gather slots for them.
+// Removes the members for which there is a held slot or a slot of this partition, and begins a
+// reservation for the others.
 void GangScheduler::request_missing(const Job& job, Members& members, SlotRequest& request) {
     const JobSpec& spec = job.spec;
     bool has_reservation = has_reservation_for(job);
@@ -136,7 +138,7 @@
         std::erase_if(members, [&](std::uint32_t member) { return held.contains(member); });
         zone = spec.one_zone && !held.empty() ? held.begin()->second.grant.zone : "";
     }
-    // Our own slots are the last to be taken, so they are for the last members.
+    // The partition's own slots are taken last, so they are planned for the last members.
     std::size_t own_slots = count_own_slots(job, members, zone);
     members.resize(members.size() - own_slots);
     if (!zone.empty()) {
@@ -150,8 +152,8 @@
     request.attempt = reservation_ ? reservation_->attempt : 0;
 }
 
-// How many of the members our own slots would do for. `zone`: the only one to look in; if empty,
-// the first zone with any slots is chosen and put there.
+// Returns for how many of the members this partition has slots. Searches `zone` only; if it is
+// empty, sets it to the first zone with any slots.
 std::size_t GangScheduler::count_own_slots(const Job& job, const Members& members,
                                            std::string& zone) const {
     const JobSpec& spec = job.spec;
@@ -195,14 +197,14 @@
     GangPlacement own_placement = plan_remaining(*job, remaining, held);
     if (!held.empty() && own_placement.machines.size() == remaining.size()) {
         if (has_reservation) {
-            reservation_.reset(); // what it held is used now
+            reservation_.reset(); // its grants are used now
         }
         launch(now, *job, remaining, own_placement, number);
         launch_with_grants(*job, held, has_reservation);
     } else if (has_reservation) {
         reservation_->grants = std::move(held);
         if (reservation_->until == 0) {
-            // Before their leader takes them back.
+            // Earlier than the lender fences the slots.
             reservation_->until = now + settings_.heartbeat_interval_s;
         }
     } else {
@@ -219,8 +221,8 @@
     return !current || current->number == attempt;
 }
 
-// Adds the grants that suit the job to those held and returns the others. `job` is null if none
-// can be used.
+// Adds the grants that the job can use to the held ones and returns the others to the lender. `job`
+// is null if none can be used.
 void GangScheduler::hold_or_return(const Job* job, int partition,
                                    const std::vector<SlotGrant>& grants, HeldGrants& held) {
     TasksByZone in_zone = count_by_zone(held);
@@ -236,12 +238,14 @@
         }
         auto same = held.find(member);
         if (same == held.end() || same->second.grant.machine != grant.machine) {
-            borrower_.return_grant(partition, grant); // but not the very slot that is held
+            borrower_.return_grant(partition,
+                                   grant); // unless the grant is for the slot that is already held
         }
     }
 }
 
-// Our own slots for the members that no slot is held for; fewer if there are not enough.
+// Plans this partition's slots for the members without a held grant. The plan is shorter if there
+// are not enough slots.
 GangPlacement GangScheduler::plan_remaining(const Job& job, const Members& remaining,
                                             const HeldGrants& held) const {
     const JobSpec& spec = job.spec;
@@ -261,7 +265,8 @@
     return found;
 }
 
-// `gathered`: the slots came from several partitions, so what these were asked for is out of date.
+// Launches tasks on the held grants. With `from_reservation` the slots were held for a while, so
+// the inventories of their lenders may be outdated and full ones are requested.
 void GangScheduler::launch_with_grants(Job& job, const HeldGrants& held, bool from_reservation) {
     for (const auto& [member, held_grant] : held) {
         borrower_.launch(held_grant.partition, held_grant.grant, job, member);
@@ -305,13 +310,14 @@
         lender_.lend(now, *machines_.find(best.machines[i]), borrower, request,
                      request.gang_members[i]);
     }
-    request.count = 0; // asked and answered
+    request.count = 0; // the request is served
     return true;
 }
 
 // ---- The end of an attempt ----
 
-// All its tasks are told at once, and directly: those that are not told in time cannot save.
+// The stops are sent to all tasks at once, and directly: a task that is not stopped in time cannot
+// save its state.
 void GangScheduler::end_attempt(Time now, const std::string& id, bool may_save) {
     Job* job = jobs_.find(id);
     if (!job || !gangs_.end(id, may_save)) {
@@ -342,8 +348,8 @@
     }
 }
 
-// One that is done shows that all are: they complete together, even if the machine of another was
-// lost before it could say so.
+// The tasks of a gang complete together, so one completed task shows that all are, even if the
+// machine of another was lost before it reported the completion.
 void GangScheduler::on_task_gone(Time now, Job& job, ExitReason reason) {
     const std::string id = job.spec.id;
     const GangTracker::Attempt* attempt = gangs_.find(id);
@@ -369,7 +375,7 @@
 }
 
 void GangScheduler::on_machine_inventory(Time now, const Machine& machine) {
-    std::set<std::string> preempted_gangs; // gangs with tasks on a machine that is about to go
+    std::set<std::string> preempted_gangs; // gangs with tasks on this machine
     for (const auto& [task, placement] : machine.tasks) {
         if (placement.kind != JobKind::gang || !leadership_.is_own_attempt(placement.attempt)) {
             continue;
@@ -397,12 +403,12 @@
     for (const auto& [id, job] : jobs_.all()) {
         if (job->spec.kind == JobKind::gang && job->open() && job->done > 0 &&
             !job->waiting.empty()) {
-            finish_members(now, *job); // the leader before us saw one of them done
+            finish_members(now, *job); // an earlier leader recorded the completion of one task
         }
     }
 }
 
-// Held slots go back when they were not enough in time, or are wanted no more.
+// Returns the held slots if they did not suffice in time, or if the job no longer needs them.
 void GangScheduler::check_reservation(Time now) {
     if (!reservation_) {
         return;
--- a/src/core/scheduling/gang_scheduler.h
+++ b/src/core/scheduling/gang_scheduler.h
@@ -1,5 +1,5 @@
-// Schedules the gangs of the partition: slots for all tasks before any of them starts, an orderly
-// end of an attempt, and the next attempt only after every task of the last is known gone. See
+// Schedules the gangs of the partition. No task of a gang starts before there are slots for all of
+// them, and a new attempt begins only when every task of the previous one is known to be gone. See
 // docs/design.md, "Gangs".
 #pragma once
 
@@ -17,28 +17,29 @@
 };
 using HeldGrants = std::map<std::uint32_t, HeldGrant>; // by task
 
-// A gang that no partition has room for alone: slots of several are held for a moment until they
-// are enough. One gang at a time, so that two of ours never hold halves.
+// Slots that are held for a gang too large for the free capacity of any single partition, until the
+// slots of several partitions suffice. Only one gang of the partition has a reservation at a time:
+// two gangs that each hold half of the slots would block each other.
 struct GangReservation {
     std::string job;
     std::uint64_t attempt = 0;
     HeldGrants grants;
-    Time until = 0; // 0: nothing is held yet
+    Time until = 0; // when the grants are returned; 0 while none is held
 };
 
 class GangScheduler {
   public:
-    struct Delegate { // what it needs of the partition leader
+    struct Delegate { // implemented by the partition leader
         virtual ~Delegate() = default;
         virtual bool has_schedulable_tasks(Time now, const Job& job) const = 0;
-        // All tasks of older jobs are accounted for.
+        // Returns whether all tasks that earlier leaders launched are reconciled.
         virtual bool reconciled() const = 0;
-        // A start that was queued for the machine never goes out.
+        // A start command that was queued for the machine was cancelled before it was sent.
         virtual void on_task_removed(Time now, const std::string& machine,
                                      const HeartbeatResult::RemovedTask& removed) = 0;
         virtual void on_gang_complete(Time now, Job& job) = 0;
     };
-    // The tables and classes that it works on.
+    // The tables and services that the scheduler uses.
     struct Dependencies {
         Leadership& leadership;
         const ClusterSettings& settings;
@@ -55,37 +56,42 @@
     };
     GangScheduler(const Dependencies& dependencies, Delegate& delegate);
 
-    // Launches all waiting tasks of the gang if there are slots for all of them. False: none was.
+    // Launches all waiting tasks of the gang if there are slots for all of them. Returns false if
+    // it launched none.
     bool schedule(Time now, bool spot, Job& job);
-    // Lends all the slots that are wanted for a gang, or none; as many as there are if its leader
-    // gathers the rest elsewhere.
+    // Lends all slots that are requested for a gang, or none. If the request accepts a partial
+    // grant, lends as many as there are. Returns false if it lent none.
     bool lend_slots(Time now, bool spot, int borrower, SlotRequest& request);
-    // Fills in what is wanted for a gang from one peer: all of it or, with `missing_only`, what
-    // our own slots and those held already lack. False: nothing now.
+    // Completes a slot request for a gang to one peer. It requests slots for all waiting tasks or,
+    // with `missing_only`, only for those that neither the partition's own slots nor the held
+    // grants cover. Returns false if no slots are needed from the peer.
     bool request_slots(const Job& job, bool missing_only, SlotRequest& request);
-    // A peer has granted slots: the whole set that was asked for, or a part of what is being
-    // gathered.
+    // Uses, holds or returns the slots that a peer granted: all that were requested, or some of
+    // those that the reservation needs.
     void on_grants(Time now, int partition, const std::vector<SlotGrant>& grants);
 
-    // Stops all tasks of the gang's attempt. `may_save`: they are given the time to save.
+    // Stops all tasks of the gang's attempt. With `may_save` they get a grace period to save their
+    // state.
     void end_attempt(Time now, const std::string& id, bool may_save);
-    // Another task of the gang is known gone.
+    // Another task of the gang is known to be gone.
     void on_task_gone(Time now, Job& job, ExitReason reason);
-    // What the inventory of one of our machines means for gangs.
+    // Updates the gangs with tasks on the machine from its latest inventory: records that they run,
+    // and ends the attempts on a machine with a preemption notice.
     void on_machine_inventory(Time now, const Machine& machine);
-    // Ends what is overdue: held slots, and attempts that can be completed no more.
+    // Called on the timer. Returns held slots that were not used in time, ends attempts that can no
+    // longer be completed, and finishes gangs of which an earlier leader saw a task complete.
     void run_periodic_checks(Time now);
 
   private:
     using Members = std::vector<std::uint32_t>;
     using TasksByZone = std::map<std::string, std::uint32_t>;
-    struct PlanRequest { // slots wanted for members of a gang
+    struct PlanRequest { // slots that are needed for members of a gang
         bool spot = false;
         const JobSpec& spec;
         const Members& members;
-        const Job* job = nullptr;       // null: another partition's
-        std::string zone = {};          // the only one; empty: any
-        TasksByZone tasks_by_zone = {}; // of members that have slots already
+        const Job* job = nullptr;       // null for a job of another partition
+        std::string zone = {};          // the only zone allowed; empty for any
+        TasksByZone tasks_by_zone = {}; // members that already have slots
     };
 
     static Members waiting_members(const Job& job);
--- a/src/core/scheduling/gang_tracker.cpp
+++ b/src/core/scheduling/gang_tracker.cpp
@@ -10,8 +10,8 @@
 }
 
 namespace {
-// A lost member is replaced only in this first part of the start timeout of the others: it still
-// has to fetch its image.
+// A lost member is replaced only within this fraction of the start timeout of the others, because
+// the replacement still has to fetch its image.
 constexpr double kReplaceFraction = 0.5;
 } // namespace
 
@@ -22,7 +22,7 @@
 
 bool GangTracker::may_place(Time now, const Job& job) const {
     if (job.done > 0) {
-        return false; // all members are done together
+        return false; // the members of a gang complete together
     }
     const Attempt* attempt = find(job.spec.id);
     if (!attempt) {
--- a/src/core/scheduling/gang_tracker.h
+++ b/src/core/scheduling/gang_tracker.h
@@ -1,7 +1,8 @@
-// The attempts of gangs: which one is current, whether it has run, whether it is being ended.
+// Tracks the attempts to run gangs: which attempt is current, whether it has run and whether it is
+// being ended.
 //
-// Safety rule: a gang has one attempt at a time, and the next begins only when every task of the
-// one before is known to be gone.
+// Safety rule: a gang has at most one attempt at a time, and the next one begins only when every
+// task of the previous attempt is known to be gone.
 #pragma once
 
 #include "core/jobs/job_store.h"
@@ -10,17 +11,17 @@
 
 namespace scheduler {
 
-// The grace time for saving that a task is given, as a multiple of what its job asks for.
+// The grace period in which a task may save its state, as a multiple of the save time of its job.
 inline constexpr double kSaveGraceFactor = 2;
 
-// Slots found for the tasks of a gang, in the order of the tasks.
+// The machines planned for the tasks of a gang, in the order of the tasks.
 struct GangPlacement {
     std::vector<std::string> machines;
     std::map<std::string, std::uint32_t> tasks_by_machine;
     std::map<std::string, std::uint32_t> tasks_by_zone;
 };
 
-// Does the team's quota leave room for all tasks of the gang that wait?
+// Returns whether all waiting tasks of the gang fit into the team's quota.
 bool gang_fits_quota(const QuotaLedger& quotas, const Job& job);
 
 // Called only from the controller's event loop.
@@ -33,27 +34,29 @@
         std::uint64_t number = 0;
         Time started_at = 0;
         bool has_run = false;  // all tasks have been running at the same time
-        bool ending = false;   // its tasks are being stopped, or exit by themselves
-        bool may_save = false; // ... and may save first
+        bool ending = false;   // its tasks are being stopped, or are exiting
+        bool may_save = false; // the stopped tasks may save their state
     };
 
-    // Null if the gang has no attempt.
+    // Returns the gang's current attempt, or null if it has none.
     const Attempt* find(const std::string& job) const;
-    // May the waiting tasks of the gang be placed now: all of them as a new attempt, or the lost
-    // ones of an attempt that still waits for them?
+    // Returns whether the waiting tasks of the gang may be placed now: all of them as a new
+    // attempt, or the lost ones of an attempt that still waits for them.
     bool may_place(Time now, const Job& job) const;
-    // Begins the attempt with this number.
+    // Begins the attempt with the given number.
     void begin(Time now, const std::string& job, std::uint64_t number);
-    // A task that an earlier leader launched was found. Returns false if it belongs to another
-    // attempt.
+    // Records the attempt of a task that an earlier leader launched. Returns false if the gang
+    // already has another attempt.
     bool adopt(Time now, const std::string& job, std::uint64_t number);
-    // A task of the attempt was seen to run, so all of them did.
+    // Records that the attempt has run. Tasks of a gang start together, so one running task implies
+    // that all have run.
     void on_task_running(const std::string& job);
-    // Begins to end the attempt. Returns false if it is being ended already, or if there is none.
+    // Marks the attempt as ending. Returns false if it is ending already, or if there is none.
     bool end(const std::string& job, bool may_save);
-    // None of its tasks is on a machine any more, or the job is over.
+    // Removes the attempt: none of its tasks is on a machine any more, or the job is over.
     void on_attempt_gone(const std::string& job) { attempts_.erase(job); }
-    // The gangs whose attempt can no longer be completed: a member has been missing for too long.
+    // Returns the gangs whose attempt can no longer be completed because a member has been missing
+    // for too long.
     std::vector<std::string> overdue_gangs(Time now, JobStore& jobs) const;
 
   private:
--- a/src/core/scheduling/preemptor.cpp
+++ b/src/core/scheduling/preemptor.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-struct Victim { // a task that may be stopped; in the order in which they are
+struct Victim { // a task that may be stopped, ordered by run time
     double run_s = 0;
     TaskId task;
     auto operator<=>(const Victim&) const = default;
@@ -35,7 +35,7 @@
     }
 };
 
-// The tasks on the machine that may be stopped for the job, least run time first.
+// Returns the tasks on the machine that may be stopped for the job, shortest run time first.
 std::vector<Victim> find_victims(Time now, const Machine& machine, const JobSpec& spec,
                                  bool within_guarantee) {
     std::vector<Victim> victims;
@@ -54,8 +54,8 @@
     return victims;
 }
 
-// Up to `most` options on the machine, each with the victims that it needs besides those of the
-// options before it.
+// Returns up to `max_options` options on the machine. Each lists the victims that it needs in
+// addition to those of the options before it.
 std::vector<PreemptionOption> options_on(Machine& machine, const JobSpec& spec,
                                          const std::vector<Victim>& victims,
                                          std::size_t max_options) {
@@ -132,8 +132,9 @@
     }
 }
 
-// Stops what has to go for the demand, all of it in one zone if the job says so, or nothing. The
-// machines are reserved for the job for one heartbeat interval.
+// Stops the tasks of the cheapest plan and reserves the machines for the job for one heartbeat
+// interval. Returns false if there is no plan. If the job requires one zone, all machines are in
+// the same zone.
 bool Preemptor::preempt_for(Time now, const Demand& demand) {
     std::optional<Plan> plan = cheapest_plan(demand, options_by_zone(now, demand));
     if (!plan) {
@@ -155,7 +156,7 @@
            (!demand.job || demand.job->allows_zone(machine.zone));
 }
 
-// All options by zone; under one name if the job's tasks need not share a zone.
+// Returns all options by zone, or all under an empty name if the job's tasks need not share a zone.
 Preemptor::OptionsByZone Preemptor::options_by_zone(Time now, const Demand& demand) {
     OptionsByZone by_zone;
     for (auto& [name, machine] : machines_.all()) {
@@ -171,14 +172,14 @@
     return by_zone;
 }
 
-// The plan that loses least run time: for a gang, one for all of its tasks or none.
+// Returns the plan with the lowest cost. A plan for a gang covers all of its tasks.
 std::optional<Preemptor::Plan> Preemptor::cheapest_plan(const Demand& demand,
                                                         OptionsByZone&& by_zone) {
     std::optional<Plan> best;
     bool all_or_nothing = demand.spec.kind == JobKind::gang;
     for (auto& [zone, options] : by_zone) {
-        // A machine's options come in the order of their cost, so the cheapest of all are a
-        // consistent choice.
+        // A machine's options are in the order of their cost and depend on the ones before them, so
+        // that taking the cheapest of all machines never skips one.
         std::stable_sort(options.begin(), options.end(), is_cheaper);
         if (options.size() > demand.tasks) {
             options.resize(demand.tasks);
@@ -195,7 +196,8 @@
     return best;
 }
 
-// Reserves the machines of the plan and queues the stops. Returns how many tasks are stopped.
+// Reserves the machines of the plan and queues the stop commands. Returns the number of stopped
+// tasks.
 std::size_t Preemptor::stop_victims(Time now, const JobSpec& spec, const Plan& plan) {
     std::size_t stopped = 0;
     for (const auto& option : plan.options) {
--- a/src/core/scheduling/preemptor.h
+++ b/src/core/scheduling/preemptor.h
@@ -1,7 +1,6 @@
-// Preemption: makes slots free for work that is to start at once, gangs and service replicas, by
-// stopping tasks of arrays that rank lower or that their team runs beyond its guarantee. Of these
-// it takes the ones that have run least: most are still fetching their image, so that hardly any
-// work is lost.
+// Preemption: frees slots for gangs and service replicas by stopping array tasks that have a lower
+// priority or exceed their team's guarantee. Tasks with the shortest run time are stopped first:
+// most are still fetching their image, so little work is lost.
 #pragma once
 
 #include "core/machines/machine_table.h"
@@ -12,9 +11,9 @@
 
 namespace scheduler {
 
-// Room for one more task on a machine, and what it costs.
+// A way to make place for one more task on a machine, and its cost.
 struct PreemptionOption {
-    double cost_s = 0; // run time lost, and the time until the image is there
+    double cost_s = 0; // run time lost, plus the time to fetch the image
     Machine* machine = nullptr;
     std::vector<TaskId> victims;
 };
@@ -27,24 +26,24 @@
         : settings_(settings), quotas_(quotas), slot_finder_(slot_finder), machines_(machines),
           queue_(queue), requests_(requests) {}
 
-    // Preempts for our own gangs and replicas that wait, and for those of peers that found no room
-    // in their own partition; for each job at most once in a heartbeat interval. The stops are
-    // queued: the caller sends them.
+    // Preempts for pending gangs and service replicas of this partition, and for those of peers
+    // without capacity of their own. Does so for each job at most once in a heartbeat interval. The
+    // stop commands are queued; the caller sends them.
     void preempt_for_pending_jobs(Time now);
-    // Machines whose reservation has run out are open to all jobs again.
+    // Makes machines whose reservation has expired available to all jobs.
     void expire_reservations(Time now);
-    // Machines looked at so far.
+    // Number of machines examined so far, as a measure of work for tests.
     std::uint64_t effort() const { return effort_; }
 
   private:
-    // What stops are wanted for: `tasks` tasks of one shape. `job` is null for a peer's job.
+    // The tasks to free slots for. `job` is null for a peer's job.
     struct Demand {
         const JobSpec& spec;
         std::size_t tasks = 0;
         bool within_guarantee = false;
         const Job* job = nullptr;
     };
-    // What is to be stopped, and the cost of it all.
+    // The preemptions that serve a demand, and their total cost.
     struct Plan {
         std::vector<PreemptionOption> options;
         double cost_s = 0;
@@ -65,7 +64,7 @@
     MachineTable& machines_;
     PendingQueue& queue_;
     OutboundRequests& requests_;
-    std::map<std::string, Time> retry_at_;    // by job: preempted for, not again before then
+    std::map<std::string, Time> retry_at_;    // by job: earliest time of the next preemption for it
     std::set<std::string> reserved_machines_; // machines that may be reserved for a job
     std::uint64_t effort_ = 0;
 };
--- a/src/core/scheduling/quota_evictor.cpp
+++ b/src/core/scheduling/quota_evictor.cpp
@@ -1,4 +1,3 @@
-/// See quota_evictor.h.
 #include "core/scheduling/quota_evictor.h"
 
 #include <algorithm>
@@ -49,10 +48,10 @@
     });
 }
 
-// Remote tasks on machines whose leaders our requests do not reach would stay for as long as these
-// renew the machines' leases.
+// If this partition cannot reach a lender, remote tasks there would keep running for as long as the
+// lender renews the machines' leases.
 void QuotaEvictor::stop_unreachable_directly(Time now) {
-    // In one step; starts have their share of the sockets.
+    // Limits the stops of one call, so that sockets remain for launches.
     int stops_left = settings_.max_concurrent_commands / 2;
     for (auto& [task, eviction] : pending_evictions_) {
         if (stops_left > 0 && now >= eviction.direct_stop_at &&
@@ -107,7 +106,7 @@
 
 void QuotaEvictor::evict(Time now, const EvictionCandidate& candidate) {
     PendingEviction eviction;
-    // By then the lease of an unreachable machine has expired, so that the task is gone there too.
+    // The lease of an unreachable machine has expired by then, so its task is gone too.
     eviction.retry_at = now + candidate.grace_s + settings_.worker_lease_s;
     eviction.direct_stop_at = now + settings_.heartbeat_interval_s / 2;
     eviction.grace_s = candidate.grace_s;
@@ -131,14 +130,14 @@
     }
 }
 
-// How long a task on another partition's machine has run is known to that machine's leader only,
-// which chose the attempt's number too: so the tasks of the youngest jobs go first.
+// Tasks of the youngest jobs are evicted first. The run time of a remote task is known only to the
+// lender, which also chooses the attempt number, so neither can be compared.
 bool QuotaEvictor::EvictionCandidate::operator<(const EvictionCandidate& other) const {
     return std::tie(loss, other.job_arrived_at, task) <
            std::tie(other.loss, job_arrived_at, other.task);
 }
 
-// What of the team can be stopped now.
+// Returns the tasks and gangs of the team that can be stopped now.
 std::vector<QuotaEvictor::EvictionCandidate>
 QuotaEvictor::eviction_candidates(const std::string& team) {
     std::vector<EvictionCandidate> candidates;
@@ -146,7 +145,7 @@
     for (auto& [name, machine] : machines_.all()) {
         ++effort_;
         for (const auto& [task, placement] : machine.tasks) {
-            // A task that is still on its way can be stopped only when the worker reports it.
+            // A launch in flight can be stopped only once the worker has reported the task.
             if (placement.team == team && leadership_.is_own_attempt(placement.attempt) &&
                 placement.via == Placement::Via::reported && placement.stage != TaskStage::saving) {
                 add_candidate({task, &machine, placement.attempt}, team, gangs_seen, candidates);
@@ -159,7 +158,7 @@
     return candidates;
 }
 
-// Adds the task if it may be stopped, a gang whole and once.
+// Adds the task if it may be stopped. A gang is added once, as a whole.
 void QuotaEvictor::add_candidate(EvictionCandidate candidate, const std::string& team,
                                  std::set<std::string>& gangs_seen,
                                  std::vector<EvictionCandidate>& candidates) const {
@@ -181,7 +180,7 @@
     candidates.push_back(std::move(candidate));
 }
 
-// What the eviction frees, and what is lost by it.
+// Sets the resources that the eviction frees, and what is lost by it.
 void QuotaEvictor::set_costs(EvictionCandidate& candidate, const Job& job) const {
     const JobSpec& spec = job.spec;
     double save_s = kSaveGraceFactor * spec.save_s;
--- a/src/core/scheduling/quota_evictor.h
+++ b/src/core/scheduling/quota_evictor.h
@@ -1,7 +1,7 @@
-/// Eviction of a team's tasks beyond a quota limit that was lowered under them.
-///
-/// What is over the limit goes by orderly stops, those that lose least first. See "quota" in
-/// docs/configuration.md.
+// Eviction of the tasks that exceed a team's quota after its limit was lowered.
+//
+// The tasks are stopped in order, those that lose the least work first. See "quota" in
+// docs/configuration.md.
 #pragma once
 
 #include <map>
@@ -17,61 +17,61 @@
 
 namespace scheduler {
 
-/// Chooses and stops the tasks that a partition's teams run beyond their limits, and remembers
-/// those that are on their way out, so that no more are stopped than the excess needs.
+// Selects and stops the tasks that exceed the limits of the partition's teams. Tracks evictions in
+// progress, so that no more tasks are stopped than the excess requires.
 class QuotaEvictor {
   public:
-    /// What it needs of the partition leader.
+    // Implemented by the partition leader.
     class Delegate {
       public:
         virtual ~Delegate() = default;
-        /// Stops all tasks of the gang's running attempt. `may_save`: they may save first.
+        // Stops all tasks of the gang's current attempt. With `may_save` they may save their state
+        // first.
         virtual void end_attempt(Time now, const std::string& job, bool may_save) = 0;
-        /// Sends the commands that are queued for the machines.
+        // Sends the commands that are queued for the machines.
         virtual void send_commands(Time now) = 0;
     };
 
-    /// `own_teams`: the teams whose usage is counted in this partition.
+    // `own_teams`: the teams whose usage is counted in this partition.
     QuotaEvictor(const Leadership& leadership, const ClusterSettings& settings,
                  const std::set<std::string>& own_teams, JobStore& jobs, MachineTable& machines,
                  const QuotaLedger& quotas, const GangTracker& gangs, SlotBorrower& borrower,
                  OutboundRequests& requests, Delegate& delegate);
 
-    /// Stops what the partition's own teams run beyond their limits. To be called on the timer and
-    /// when a limit changes.
+    // Stops the tasks that exceed the limits of the partition's teams. Called on the timer and when
+    // a limit changes.
     void evict_over_quota(Time now);
 
-    /// Marks the placements that run beyond the team's guarantee as it is now: those that count
-    /// first are within it.
+    // Marks the placements that exceed the team's current guarantee. Usage is summed in the order
+    // of the machine table; the placements counted first are within the guarantee.
     void mark_over_guarantee(const std::string& team);
 
-    /// Machines looked at so far.
+    // Number of machines examined so far, as a measure of work for tests.
     std::uint64_t effort() const { return effort_; }
 
   private:
-    /// What would be lost by stopping a task; the least first.
+    // What is lost by stopping a task, in increasing order.
     enum class Loss { saving_time, run_time, all_run_time };
 
-    /// What may be stopped: a task, or all of a gang.
+    // A task that may be stopped, or all tasks of a gang.
     struct EvictionCandidate {
-        TaskId task;                // of a gang: the one it was found by
-        Machine* machine = nullptr; // none: another partition's
+        TaskId task;                // for a gang, any of its tasks
+        Machine* machine = nullptr; // null if the machine is another partition's
         std::uint64_t attempt = 0;
         bool is_gang = false;
         Loss loss = Loss::run_time;
         Time job_arrived_at = 0; // when its job became known
         double cpus = 0;
         double gpus = 0;
-        double grace_s = 0; // time to save that it is given
+        double grace_s = 0; // how long the task may save its state
 
         bool operator<(const EvictionCandidate& other) const;
     };
 
-    /// A task that was told to stop.
+    // An eviction in progress: the task was commanded to stop.
     struct PendingEviction {
-        Time retry_at = 0; // if it is still placed by then, it may be told again
-        // A task on another partition's machine is stopped directly, if its leader has not taken
-        // the command by then.
+        Time retry_at = 0; // if the task is still placed then, it may be stopped again
+        // A remote task is stopped directly if the lender has not acknowledged the command by then.
         Time direct_stop_at = 0;
         double grace_s = 0;
     };
@@ -80,7 +80,7 @@
     void evict_team(Time now, const std::string& team);
     void evict(Time now, const EvictionCandidate& candidate);
     void stop_unreachable_directly(Time now);
-    /// What the team uses beyond its limit and is not on its way out yet.
+    // Returns the usage beyond the team's limit that no eviction in progress frees.
     QuotaLedger::Excess remaining_excess(const std::string& team) const;
     std::vector<EvictionCandidate> eviction_candidates(const std::string& team);
     void add_candidate(EvictionCandidate candidate, const std::string& team,
--- a/src/core/scheduling/slot_finder.h
+++ b/src/core/scheduling/slot_finder.h
@@ -1,5 +1,5 @@
-// Looks up idle slots for tasks: which machine of the partition a task of a given shape may start
-// on. It reads the slot lists and changes nothing; whoever launches or lends takes the slots.
+// Finds a machine of the partition with idle slots for a task. It only reads the slot lists; the
+// caller that launches the task or lends the slots updates them.
 #pragma once
 
 #include "core/machines/machine_table.h"
@@ -10,15 +10,15 @@
 
 namespace scheduler {
 
-// What a slot is looked for. `task` and `job` are null for a task of another partition, whose
-// leader checks the rest itself.
+// Describes the task that needs a slot. `task` and `job` are null for a task of another partition,
+// whose leader checks the job's other constraints.
 struct SlotQuery {
-    bool spot = false; // on spot machines, else on on-demand ones
+    bool spot = false; // search spot machines, else on-demand machines
     const JobSpec& spec;
     const TaskId* task = nullptr;
     const Job* job = nullptr;
-    const GangPlacement* plan = nullptr; // slots already planned for other members of the gang
-    std::string zone = {};               // the only zone to look in; empty: any
+    const GangPlacement* plan = nullptr; // slots planned so far for other tasks of the gang
+    std::string zone = {};               // the only zone to search; empty for any
 };
 
 class SlotFinder {
@@ -29,12 +29,12 @@
         : policy_(policy), owned_shards_(owned_shards), instance_types_(instance_types),
           machines_(machines), slots_(slots) {}
 
-    // May tasks be started on the machine, if it has idle slots?
+    // Returns whether tasks may start on the machine, provided it has idle slots.
     bool is_schedulable(const Machine& machine) const;
-    // The machine at the head of the first list with enough idle slots for one more task; null if
-    // there is none.
+    // Returns the first listed machine with enough idle slots for one more task, preferring
+    // machines that have its image, or null if there is none.
     const std::string* find(const SlotQuery& query) const;
-    // Machines looked at so far.
+    // Number of machines examined so far, as a measure of work for tests.
     std::uint64_t effort() const { return effort_; }
 
   private:
--- a/src/core/scheduling/task_launcher.h
+++ b/src/core/scheduling/task_launcher.h
@@ -1,4 +1,4 @@
-// Starts tasks on machines of the partition, and keeps the slot lists in step with the machines.
+// Starts tasks on machines of the partition and updates the slot lists accordingly.
 #pragma once
 
 #include "core/scheduling/slot_finder.h"
@@ -13,9 +13,10 @@
         : jobs_(jobs), machines_(machines), slots_(slots), quotas_(quotas),
           slot_finder_(slot_finder), lender_(lender) {}
 
-    // Queues the start of the task on the machine, which must have the slots.
+    // Queues the start of the task on the machine, which must have enough idle slots.
     void launch(Time now, Machine& machine, Job& job, std::uint32_t index, std::uint64_t attempt);
-    // What the machine has free, or whether it takes tasks, may have changed.
+    // Updates the slot lists after the machine's free capacity, or whether it is schedulable, may
+    // have changed.
     void update_slot_lists(Machine& machine);
 
   private:
--- a/src/core/scheduling/task_scheduler.cpp
+++ b/src/core/scheduling/task_scheduler.cpp
@@ -16,9 +16,9 @@
         return;
     }
     queue_.invalidate();
-    // Each job on its own kind of machine first. What is left of the on-demand ones then serves
-    // the jobs that may use spot machines as well: were they let in by rank, jobs that have
-    // nowhere else to go would stand behind them.
+    // Spot jobs are placed on spot machines first and other jobs on on-demand machines. Spot jobs
+    // get on-demand slots only after that: ordered by rank alone, they would displace jobs that can
+    // use nothing else.
     fill_slots(now, true, true);
     fill_slots(now, false, false);
     fill_slots(now, false, true);
@@ -40,7 +40,7 @@
     }
 }
 
-// Lends slots to another partition. `full`: shapes that there are no slots for.
+// Lends slots to another partition. `exhausted` holds the requirements for which no slots are left.
 void TaskScheduler::fill_request(Time now, bool spot, const PendingJob& candidate,
                                  const std::set<TaskResources>& exhausted) {
     SlotRequest& request = *candidate.slot_request;
@@ -51,8 +51,8 @@
     }
 }
 
-// Starts tasks of our own job. `full`: shapes that there are no slots for, to which its own is
-// added if that shows here.
+// Starts tasks of one of the partition's jobs. `exhausted` holds the requirements for which no
+// slots are left; those of the job are added if none is found.
 void TaskScheduler::fill_job(Time now, bool spot, const PendingJob& candidate,
                              std::set<TaskResources>& exhausted) {
     Job& job = *candidate.job;
@@ -60,7 +60,7 @@
     bool is_unconstrained = !spec.types && !spec.zone && !spec.one_zone && !spec.spread;
     TaskResources resources{spec.cpus, spec.gpus, spec.ram_gb};
     if (is_unconstrained && exhausted.contains(resources)) {
-        return; // no slot for its like a moment ago, so none now
+        return; // an earlier job with these requirements found no slot
     }
     while (!job.waiting.empty() && !candidate.first_task_placed() &&
            quotas_.fits(spec.team, spec.cpus, spec.gpus)) {
@@ -85,7 +85,7 @@
     return true;
 }
 
-// Takes slots off our lists for tasks of another partition.
+// Lends idle slots of any machine for tasks of another partition.
 void TaskScheduler::lend_slots(Time now, bool spot, int borrower, SlotRequest& request) {
     JobSpec spec = requested_resources(request);
     while (request.count > 0 && lender_.slots_left(borrower) > 0) {
@@ -107,7 +107,7 @@
            (!request.zone || *request.zone == machine.zone);
 }
 
-// Can the slots of this machine serve the candidate now?
+// Returns whether the machine's idle slots can serve the candidate now.
 bool TaskScheduler::fits_machine(Time now, const Machine& machine,
                                  const PendingJob& candidate) const {
     if (candidate.slot_request) {
@@ -122,8 +122,9 @@
            !machine.reports_exited({spec.id, candidate.job->waiting.first()});
 }
 
-// Of the candidates of the same rank, one whose image the machine has goes before one due a little
-// earlier whose image it would have to fetch: while it is fetched, the slots stand idle.
+// Returns the candidate to place next on the machine, null if there is none. Among candidates of
+// the same rank, one whose image is cached on the machine is preferred to one that is due slightly
+// earlier: slots are idle while an image is fetched.
 const PendingJob* TaskScheduler::best_for(Time now, const Machine& machine, bool spot_jobs,
                                           const std::vector<PendingJob>& pending,
                                           const Candidates& insufficient) {
@@ -132,7 +133,7 @@
     for (const PendingJob& candidate : pending) {
         ++effort_;
         if (best && (!candidate.same_rank(*best) || candidate.due >= best_due)) {
-            break; // no warm image makes up for that
+            break; // no later candidate can be better, even with a cached image
         }
         if (candidate.spot != spot_jobs || insufficient.contains(&candidate) ||
             !fits_machine(now, machine, candidate)) {
@@ -153,8 +154,8 @@
         return;
     }
     const std::vector<PendingJob>& pending = queue_.ordered(now);
-    Candidates insufficient; // gangs for which this machine is not enough
-    // On-demand machines serve first what may use nothing else.
+    Candidates insufficient; // gangs that could not be placed in full
+    // On-demand slots go first to jobs that may not use spot machines.
     for (bool spot_jobs : {false, true}) {
         if (machine.spot && !spot_jobs) {
             continue;
@@ -168,8 +169,8 @@
     }
 }
 
-// Gives slots of the machine to the candidate; to a gang also slots of others. False: it is a gang
-// and there were not enough.
+// Assigns slots of the machine to the candidate; a gang may get slots of other machines too.
+// Returns false if it is a gang and there are not enough slots.
 bool TaskScheduler::place_on(Time now, Machine& machine, const PendingJob& candidate) {
     if (candidate.kind == JobKind::gang) {
         return candidate.slot_request
--- a/src/core/scheduling/task_scheduler.h
+++ b/src/core/scheduling/task_scheduler.h
@@ -1,5 +1,5 @@
-// Gives idle slots to what waits, in the order of the pending queue: tasks of our own jobs, and the
-// slots that the leaders of other partitions ask for.
+// Assigns idle slots in the order of the pending queue: to tasks of the partition's own jobs, and
+// to the slot requests of the leaders of other partitions.
 #pragma once
 
 #include "core/scheduling/gang_scheduler.h"
@@ -9,11 +9,11 @@
 
 class TaskScheduler {
   public:
-    struct Delegate { // what it needs of the partition leader
+    struct Delegate { // implemented by the partition leader
         virtual ~Delegate() = default;
         virtual bool has_schedulable_tasks(Time now, const Job& job) const = 0;
     };
-    // The tables and classes that it works on.
+    // The tables and services that the scheduler uses.
     struct Dependencies {
         Leadership& leadership;
         const SchedulingPolicy& policy;
@@ -30,13 +30,13 @@
 
     // Fills the idle slots of all machines.
     void schedule(Time now);
-    // Fills the idle slots of one machine, as its heartbeat gives them.
+    // Fills the idle slots of one machine after its heartbeat.
     void schedule_on(Time now, Machine& machine);
-    // Jobs looked at so far.
+    // Number of jobs examined so far, as a measure of work for tests.
     std::uint64_t effort() const { return effort_; }
 
   private:
-    struct TaskResources { // what a task takes
+    struct TaskResources { // resource requirements of a task
         double cpus = 0;
         double gpus = 0;
         double ram_gb = 0;
--- a/src/core/stealing/slot_borrower.cpp
+++ b/src/core/stealing/slot_borrower.cpp
@@ -8,11 +8,11 @@
 namespace scheduler {
 
 namespace {
-constexpr double kMaxBatchSlots = 64;               // slots requested in a call
+constexpr double kMaxBatchSlots = 64;               // per sync
 constexpr std::size_t kMaxRequestsPerSync = 24;     // jobs for which slots are requested
 constexpr std::size_t kMaxCommandsPerSync = 256;    // commands about remote tasks
 constexpr std::size_t kMaxProvisionedPerSync = 256; // provisioned machines
-constexpr double kIdleSyncsPerHeartbeat = 3;        // calls in a heartbeat interval when idle
+constexpr double kIdleSyncsPerHeartbeat = 3;        // while there is nothing to borrow
 
 RemoteTaskCommand describe_command(const std::string& machine, const LaunchId& id,
                                    const JobSpec& spec) {
@@ -63,8 +63,8 @@
     }
 }
 
-// One slot is requested for a job to begin with, from one peer at a time, each in turn for a
-// heartbeat interval.
+// Returns whether the first slot of the job is requested from this peer now. It is requested from
+// one peer at a time, from each in turn for a heartbeat interval.
 bool SlotBorrower::requests_first_task_from(Time now, const Job& job,
                                             std::uint64_t peer_index) const {
     auto turn =
@@ -72,7 +72,7 @@
     return job.awaits_first_task && turn % peers_.size() == peer_index;
 }
 
-// The jobs with tasks to schedule, in the order in which slots are requested for them.
+// Returns the jobs with tasks to schedule, in the order in which slots are requested for them.
 std::vector<const Job*> SlotBorrower::jobs_awaiting_slots(Time now,
                                                           std::uint64_t peer_index) const {
     std::vector<const Job*> waiting;
@@ -92,7 +92,7 @@
     return waiting;
 }
 
-// A request of slots for the job, without their number.
+// Returns a slot request for the job, without the number of slots.
 SlotRequest SlotBorrower::make_slot_request(Time now, const Job& job, bool first_task_only) const {
     const JobSpec& spec = job.spec;
     SlotRequest request;
@@ -132,7 +132,7 @@
 void SlotBorrower::set_slot_count(const Job& job, const Peer& peer, bool first_task_only,
                                   QuotaLedger& quota_left, SlotRequest& request) {
     const JobSpec& spec = job.spec;
-    // After its first task a job is in line with the others again.
+    // After its first task, the job is ordered like the others again.
     std::size_t max_count = first_task_only ? 1 : job.waiting.size();
     while (request.count < peer.batch && request.count < max_count &&
            quota_left.fits(spec.team, spec.cpus, spec.gpus)) {
@@ -141,8 +141,8 @@
     }
 }
 
-// Requests for many jobs, so that the peer can choose by image; it grants no more than the batch in
-// all.
+// Returns requests for several jobs, so that the peer can choose by cached image. The peer grants
+// at most the batch in total.
 std::vector<SlotRequest> SlotBorrower::slot_requests_for(Time now, int partition,
                                                          const Peer& peer) {
     auto peer_index =
@@ -190,7 +190,8 @@
     }
 }
 
-// All slots requested, within the batch; but a gang is requested as a whole.
+// Returns the number of slots requested, limited to the batch or, if larger, to the largest gang,
+// which is requested as a whole.
 std::uint32_t SlotBorrower::max_slots_for(const Peer& peer,
                                           const std::vector<SlotRequest>& requests) {
     std::uint32_t total = 0;
@@ -256,13 +257,13 @@
     peer.transfers.erase(peer.transfers.begin(),
                          peer.transfers.begin() + static_cast<std::ptrdiff_t>(sent_sync.transfers));
     for (const auto& name : sent_sync.provisioned) {
-        demand_.remove_provisioned(name); // its owner counts it now, in this very response
+        demand_.remove_provisioned(name); // the owner's capacity in this response includes it
     }
     on_response(now, sent_sync.partition, sent_sync.max_slots, *response.peer_sync);
 }
 
-// The first batch is small; while everything requested is granted, the next is twice as large and
-// follows at once.
+// The first batch is small. While all requested slots are granted, the next batch is twice as large
+// and follows at once.
 void SlotBorrower::adapt_batch(Time now, Peer& peer, std::uint32_t max_slots,
                                std::size_t granted) const {
     if (max_slots > 0 && granted >= max_slots) {
@@ -283,15 +284,15 @@
             return entry.second.type == RemoteTaskCommand::Type::return_slot;
         });
     if (returns_slots) {
-        // The slots are returned at once; but requested again at once, they would come and go as
-        // fast as calls do.
+        // The slots are returned at once. Requesting them again at once would pass the same slots
+        // back and forth with each sync.
         peer.next_sync_at = now;
         peer.requests_paused_until = now + policy_.peer_sync_interval_s;
     }
     delegate_.on_peer_response(now);
 }
 
-// Tasks that exited there: their machine may forget them once that is durable here.
+// Queues the command that lets a machine forget an exited task, once its exit is durable here.
 void SlotBorrower::queue_clears(Peer& peer) {
     std::erase_if(peer.unacked_exits, [&](const auto& entry) {
         const RemoteTaskStatus& remote_task = entry.second;
@@ -304,7 +305,7 @@
     });
 }
 
-// Queues a command that does not wait for the next regular call.
+// Queues a command and makes the peer due at once.
 void SlotBorrower::queue_command(Peer& peer, RemoteTaskCommand command) {
     RemoteLaunch launch{command.launch, command.machine};
     peer.commands[launch] = std::move(command);
@@ -324,7 +325,8 @@
     for (const auto& grant : response.grants) {
         ShardId shard = shard_of_machine(settings_, grant.machine, grant.zone);
         if (term_of_fencing_token(grant.fencing_token) < shard_terms_[shard]) {
-            return_grant(partition, grant); // its shard has migrated: the launch would be refused
+            return_grant(partition,
+                         grant); // the shard has migrated, so the worker would reject the launch
         } else if ((grant.launch.attempt & kGangBit) != 0) {
             gangs[grant.launch.attempt].push_back(grant);
         } else {
@@ -345,14 +347,15 @@
     }
 }
 
-// A response counts by shard: only under the latest known term of the shard, and not for shards
-// that this partition owns. Sets `complete` to false if something has to be reported again.
+// Returns the shards whose inventory in the response is current: those under the latest known term
+// of the shard, and not owned by this partition. Sets `complete` to false if a shard has to be
+// reported again.
 SlotBorrower::ShardInventories
 SlotBorrower::current_inventories(int partition, const PeerSyncResponse& response, bool& complete) {
     std::vector<ShardInventory> reported;
     if (response.shards) {
         reported = *response.shards;
-    } else { // a controller of the previous version: it owns the shards whose home it is
+    } else { // a controller of the previous version owns exactly its home shards
         for (int number = 0; number < shards_per_home(settings_, partition); ++number) {
             reported.push_back(
                 {{partition, number}, response.term, response.reconciled, response.complete});
@@ -361,8 +364,8 @@
     ShardInventories current;
     for (const auto& inventory : reported) {
         if (const OwnedShards::Shard* own = owned_shards_.find(inventory.shard)) {
-            // A later term than the own one: the shard has migrated out, and the response to that
-            // transaction is still missing.
+            // A term later than this partition's: the shard has migrated out, but the response to
+            // that transaction has not arrived yet.
             complete = complete && inventory.term < own->term;
             continue;
         }
@@ -375,10 +378,10 @@
     return current;
 }
 
-// For each shard that it covers, the response reports every task of this partition there and every
-// slot whose launch has not shown. A remote task that is in neither is not on that machine, once
-// all of the shard's machines are reconciled and the shard has been reported in full, now or
-// before.
+// For each shard that it covers, the response reports every task of this partition and every lent
+// slot whose launch no heartbeat has reported yet. A remote task that is in neither list is not on
+// its machine, provided that all machines of the shard are reconciled and the shard was reported in
+// full, now or before.
 void SlotBorrower::reconcile(Time now, int partition, Peer& peer,
                              const PeerSyncResponse& response) {
     bool complete = response.no_stale_grants;
@@ -390,7 +393,7 @@
         }
     }
     apply_absent(now, response, inventories);
-    if (complete) { // from here on, changes are enough
+    if (complete) { // later responses only need to report changes
         peer.acked_term = response.term;
         peer.acked_version = response.version;
     }
@@ -405,7 +408,7 @@
     }
 }
 
-// A task exited on a machine of another partition.
+// Handles the exit of a remote task.
 void SlotBorrower::apply_exit(Time now, Peer& peer, const RemoteTaskStatus& remote_task,
                               bool is_recorded) {
     const TaskStatus& status = remote_task.status;
@@ -421,7 +424,8 @@
     peer.unacked_exits[{id, remote_task.machine}] = remote_task;
 }
 
-// Records a task that an earlier leader of this partition launched. Returns false if it is not one.
+// Records a remote task that an earlier leader of this partition launched. Returns false if it was
+// not adopted.
 bool SlotBorrower::adopt_remote(Time now, int partition, const RemoteTaskStatus& remote_task,
                                 std::uint64_t term) {
     const TaskStatus& status = remote_task.status;
@@ -440,14 +444,14 @@
     return true;
 }
 
-// Queues the stop of a task that is not to run there. Returns false if it is.
+// Queues the stop of a remote task that must not run there. Returns false if the task may run.
 bool SlotBorrower::stop_unwanted(Peer& peer, const RemoteTaskStatus& remote_task,
                                  bool is_recorded) {
     const TaskStatus& status = remote_task.status;
     Job* job = jobs_.find(status.task.job);
     bool is_known = job && status.task.index < job->spec.tasks;
     bool must_move = remote_task.draining && is_known && job->spec.kind == JobKind::service;
-    // The command that ends an attempt may have gone to an earlier owner of the shard.
+    // The command that ends an attempt may have been sent to an earlier owner of the shard.
     const GangTracker::Attempt* attempt =
         is_known && job->spec.kind == JobKind::gang ? gangs_.find(status.task.job) : nullptr;
     bool attempt_ends = attempt && attempt->ending;
@@ -492,7 +496,7 @@
     }
 }
 
-// Adds the tasks whose shard the response covers, but which it does not report.
+// Adds to `absent` the tasks whose shard the response covers but which it does not report.
 void SlotBorrower::collect_absent(const std::set<TaskId>& tasks,
                                   const ShardInventories& inventories,
                                   const ReportedLaunches& reported, bool needs_complete,
@@ -538,8 +542,8 @@
     }
 }
 
-// The task's shard is reported by another partition than before, or by the same under a later term:
-// pending commands about the task go there.
+// Updates the term and the partition of the task's shard. If the partition has changed, pending
+// commands about the task are moved to it.
 void SlotBorrower::update_location(RemoteTask& remote, const LaunchId& id, int partition,
                                    std::uint64_t term) {
     remote.term = std::max(remote.term, term);
@@ -640,8 +644,8 @@
            job.allows_zone(grant.zone) && quotas_.fits(spec.team, spec.cpus, spec.gpus);
 }
 
-// The job that the grant was requested for, or else, if its tasks have found slots meanwhile, the
-// first of the other jobs that may use the slot; null if there is none.
+// Returns the job that the grant was requested for or, if that job needs no slot any more, the
+// first other job that may use the slot; null if there is none.
 Job* SlotBorrower::job_for_grant(Time now, const SlotGrant& grant) const {
     auto can_use = [&](const Job& job) {
         return job.spec.kind != JobKind::gang && delegate_.has_schedulable_tasks(now, job) &&
@@ -688,9 +692,9 @@
         auto it = remote_tasks_.find(task);
         if ((response.status != 409 && !response.never_sent) || it == remote_tasks_.end() ||
             it->second.attempt != id.attempt || it->second.machine != machine) {
-            return; // executed, or in doubt until the lender reports it or has fenced it
+            return; // executed, or possibly running until the lender reports or fences it
         }
-        // Refused or never sent, so it will never be executed: the slots are returned.
+        // The command was rejected or never sent, so it will never be executed: return the slot.
         queue_command(peers_.at(partition), {RemoteTaskCommand::Type::return_slot, machine, id});
         on_task_gone(at, task, ExitReason::none);
     });
@@ -700,7 +704,7 @@
     auto used = remote_tasks_.find({grant.job, grant.launch.index});
     if ((grant.launch.attempt & kGangBit) != 0 && used != remote_tasks_.end() &&
         used->second.attempt == grant.launch.attempt && used->second.machine == grant.machine) {
-        return; // the very slot that the task was launched on
+        return; // the task was launched on this slot
     }
     queue_command(peers_.at(partition),
                   {RemoteTaskCommand::Type::return_slot, grant.machine, grant.launch});
@@ -732,13 +736,13 @@
              .commands.contains({launch_id(remote.attempt, task.index), remote.machine})) {
         return false;
     }
-    requests_.send(
-        WorkerCommands{remote.machine,
-                       remote.endpoint,
-                       remote.fencing_token,
-                       remote.agent_epoch,
-                       {{CommandType::stop, task, remote.attempt, grace_s}}},
-        [](Time, OutboundResponse&) {}); // only the lender can tell that the task is gone
+    requests_.send(WorkerCommands{remote.machine,
+                                  remote.endpoint,
+                                  remote.fencing_token,
+                                  remote.agent_epoch,
+                                  {{CommandType::stop, task, remote.attempt, grace_s}}},
+                   [](Time, OutboundResponse&) {
+                   }); // only the lender's inventory confirms that the task is gone
     return true;
 }
 
--- a/src/core/stealing/slot_borrower.h
+++ b/src/core/stealing/slot_borrower.h
@@ -15,29 +15,30 @@
 // regular one, which repeats everything that was not acknowledged.
 class SlotBorrower {
   public:
-    // What the borrower needs of its partition's leader.
+    // Implemented by the partition leader.
     struct Delegate {
         virtual ~Delegate() = default;
         virtual bool has_schedulable_tasks(Time now, const Job& job) const = 0;
-        // Are all tasks of older jobs known?
+        // Returns whether all tasks that earlier leaders launched are reconciled.
         virtual bool reconciled() const = 0;
-        // May the worker forget this exited task of this partition?
+        // Returns whether the exit of this partition's task is durable, so that the worker may
+        // forget the task.
         virtual bool is_exit_durable(const TaskStatus& task) = 0;
-        // A task that was on a machine of another partition is on no machine any more.
+        // A remote task is no longer on any machine.
         virtual void on_remote_exit(Time now, const TaskId& task, ExitReason reason,
                                     const std::string& zone) = 0;
-        // A task that an earlier leader had launched there was done.
+        // A remote task that an earlier leader launched has completed.
         virtual void on_completion_discovered(Time now, Job& job, std::uint32_t task) = 0;
-        // Completes the request for slots of a gang from one peer; false: nothing is wanted now.
-        // `remainder`: only those slots that are missing in a reservation.
+        // Completes a slot request for a gang to one peer. With `remainder` it requests only the
+        // slots that a reservation still lacks. Returns false if no slots are needed.
         virtual bool request_gang_slots(const Job& job, bool remainder, SlotRequest& request) = 0;
         virtual void on_gang_grants(Time now, int partition,
                                     const std::vector<SlotGrant>& grants) = 0;
-        // Ends the attempt of a gang. `may_save`: its tasks may save their state first.
+        // Ends the attempt of a gang. With `may_save` its tasks may save their state first.
         virtual void end_attempt(Time now, const std::string& job, bool may_save) = 0;
-        // Another partition has sent a complete inventory of some more shards.
+        // Further shards have a complete inventory, so the partition may now be reconciled.
         virtual void try_reconcile(Time now) = 0;
-        // A peer has responded: slots may have become free, or be needed from other peers.
+        // A peer has responded: slots may have become free, or may be needed from other peers.
         virtual void on_peer_response(Time now) = 0;
     };
     // A task of this partition on a machine of another one.
@@ -47,9 +48,10 @@
         std::string machine;
         std::string zone;
         ShardId shard;
-        std::uint64_t term = 0; // of the shard, when the slot was granted or the task last reported
-        // As the slot was granted to this leader. Without an endpoint it was granted to an earlier
-        // leader, or the task's shard has migrated out.
+        // The shard's term when the slot was granted or the task was last reported.
+        std::uint64_t term = 0;
+        // From the grant. The endpoint is empty if the slot was granted to an earlier leader, or if
+        // the task's shard has migrated out.
         std::string endpoint;
         std::uint64_t agent_epoch = 0;
         std::uint64_t fencing_token = 0;
@@ -60,49 +62,50 @@
                  GangTracker& gangs, PendingQueue& queue, DemandTracker& demand,
                  OutboundRequests& requests, Delegate& delegate);
 
-    // Calls the peers that are due.
+    // Sends a peer sync to each peer that is due.
     void sync_due_peers(Time now);
-    // All peers are to be called at once: one of them may have idle slots.
+    // Makes all peers due at once, as any of them may have idle slots.
     void sync_soon();
-    // Applies an inventory of another partition's leader that came through the store. It counts
-    // only until a call under the same term has been answered: it may be older than the slots that
-    // were granted with that answer.
+    // Applies an inventory that another partition's leader posted in the store. It is ignored once
+    // a peer sync under the same term was answered: it may be older than the slots granted in that
+    // response.
     void apply_posted_inventory(Time now, int partition, const PeerSyncResponse& response);
-    // Has the shard's owner sent a complete inventory of this partition's tasks on its machines?
+    // Returns whether the shard's owner has sent a complete inventory of this partition's tasks in
+    // the shard.
     bool has_complete_inventory(const ShardId& shard) const {
         return inventoried_shards_.contains(shard);
     }
-    // May a task of the job run on the granted slot?
+    // Returns whether a task of the job may run on the granted slot.
     bool fits_grant(const Job& job, const SlotGrant& grant) const;
-    // Launches a task on slots that another partition's leader has granted.
+    // Launches a task on a slot that another partition's leader granted.
     void launch(int partition, const SlotGrant& grant, Job& job, std::uint32_t index);
-    // A slot of the partition that was reserved for a while is used now. The lender may have
-    // reported its machine as gone meanwhile and will not do so again, so it is asked for one full
-    // inventory.
+    // Requests a full inventory from the partition. Needed when a held grant is used: the lender
+    // may have reported the machine as gone in the meantime and does not report that again.
     void request_full_resync(int partition) { ++peers_.at(partition).resyncs_requested; }
-    // Returns the slots, unless the task that they were granted for runs on them.
+    // Returns the slot to the lender, unless its task was launched on it.
     void return_grant(int partition, const SlotGrant& grant);
     // Asks the lenders to stop the job's tasks, or one task, on their machines.
     void stop_job(const std::string& job, double grace_s);
     void stop_task(const TaskId& task, double grace_s);
-    // If the lender has not acknowledged the command to stop the task, sends it to the worker
-    // directly as the launch was sent. A worker that has been fenced since refuses it. Returns
-    // false if there is no need, or no way.
+    // Sends the command to stop the task directly to the worker if the lender has not acknowledged
+    // it yet. A worker that was fenced since the grant rejects it. Returns false if the command was
+    // acknowledged or the worker's endpoint is unknown.
     bool stop_directly(const TaskId& task, double grace_s);
     // This partition's tasks on machines of other partitions.
     const std::map<TaskId, RemoteTask>& remote_tasks() const { return remote_tasks_; }
     // ---- Migrations of shards ----
-    // Tells the partition's leader that a shard was transferred to it, until it has responded.
+    // Informs the partition's leader that a shard was transferred to it, with each peer sync until
+    // it responds.
     void announce_transfer(int partition, const ShardTransfer& transfer);
-    // A placed task of this partition becomes remote, with its machine's shard.
+    // A placed task of this partition becomes remote because its machine's shard migrated out.
     void on_task_migrated_out(const TaskId& task, RemoteTask remote);
-    // The shard is owned from now on: no inventory of an earlier owner counts any more.
+    // This partition owns the shard from now on. Inventories of earlier owners are ignored.
     void on_shard_migrated_in(const ShardId& shard, std::uint64_t term);
-    // The task runs on a machine that is owned now, so it is no longer remote. Returns false if it
-    // was not remote, or if this is another launch of it.
+    // Removes a remote task that runs on a machine which this partition now owns. Returns false if
+    // it was not remote, or if it is a different launch of the task.
     bool adopt_local(const TaskId& task, std::uint64_t attempt, const std::string& machine);
-    // Tasks that are still remote on an owned machine that does not report them, or on a shard that
-    // is reconciled, are gone.
+    // Handles as gone all tasks that are still remote on an owned machine which does not report
+    // them, or in a reconciled shard.
     void on_inventory_complete(Time now, const std::string& machine);
     void on_inventory_complete(Time now, const ShardId& shard);
 
@@ -115,22 +118,22 @@
     };
     struct Peer {
         bool in_flight = false;
-        Time next_sync_at = 0;                // of the next call
-        std::uint64_t latest_leader_term = 0; // the latest term of its leader
-        std::uint64_t synced_term = 0;        // the latest term under which a call was answered
+        Time next_sync_at = 0;                // of the next peer sync
+        std::uint64_t latest_leader_term = 0; // latest known term of its leader
+        std::uint64_t synced_term = 0;        // latest term of a leader that answered a sync
         std::size_t tasks = 0;                // remote tasks on its machines
-        double batch = 0;                     // slots to request in a call
+        double batch = 0;                     // slots to request in a sync
         std::uint64_t last_sequence = 0;
-        Time requests_paused_until = 0; // slots were returned: nothing is requested until then
-        std::map<RemoteLaunch, RemoteTaskCommand> commands;     // until a call is answered
-        std::vector<ShardTransfer> transfers;                   // until a call is answered
-        std::map<RemoteLaunch, RemoteTaskStatus> unacked_exits; // there, but not durable here yet
-        std::uint64_t acked_term = 0;                           // of the inventory applied last
+        Time requests_paused_until = 0;                         // slots were returned
+        std::map<RemoteLaunch, RemoteTaskCommand> commands;     // until a sync is answered
+        std::vector<ShardTransfer> transfers;                   // until a sync is answered
+        std::map<RemoteLaunch, RemoteTaskStatus> unacked_exits; // exits not durable here yet
+        std::uint64_t acked_term = 0;                           // of the last applied inventory
         std::uint64_t acked_version = 0;
         std::uint64_t resyncs_requested = 0; // number of full inventories requested
         std::uint64_t resyncs_answered = 0;
     };
-    // What a peer sync told the peer, to be dropped when it is answered.
+    // What a peer sync sent, to be removed from the peer's pending data when it is answered.
     struct SentSync {
         int partition = 0;
         std::uint32_t max_slots = 0;
@@ -139,7 +142,7 @@
         std::size_t transfers = 0;
         std::uint64_t resyncs_requested = 0;
     };
-    // What a response reports of this partition's tasks.
+    // The launches of this partition that a response reports.
     struct ReportedLaunches {
         std::set<LaunchId> pending;
         std::set<RemoteLaunch> present;
@@ -162,7 +165,7 @@
     static void set_slot_count(const Job& job, const Peer& peer, bool first_task_only,
                                QuotaLedger& quota_left, SlotRequest& request);
     void apply_response(Time now, int partition, Peer& peer, const PeerSyncResponse& response);
-    // The shards of a response whose inventory counts now.
+    // The shards of a response whose inventory is current.
     using ShardInventories = std::map<ShardId, ShardInventory>;
     ShardInventories current_inventories(int partition, const PeerSyncResponse& response,
                                          bool& complete);
