--- a/src/core/scheduling/task_scheduler.h
+++ b/src/core/scheduling/task_scheduler.h
@@ -1,5 +1,5 @@
-// Gives idle slots to what waits, in the order of the pending queue: tasks of our own jobs, and the
-// slots that the leaders of other partitions ask for.
+// Assigns idle slots in the order of the pending queue: to tasks of the partition's own jobs, and
+// to the slot requests of the leaders of other partitions.
 #pragma once
 
 #include "core/scheduling/gang_scheduler.h"
@@ -9,11 +9,11 @@
 
 class TaskScheduler {
   public:
-    struct Delegate { // what it needs of the partition leader
+    struct Delegate { // implemented by the partition leader
         virtual ~Delegate() = default;
         virtual bool has_schedulable_tasks(Time now, const Job& job) const = 0;
     };
-    // The tables and classes that it works on.
+    // The tables and services that the scheduler uses.
     struct Dependencies {
         Leadership& leadership;
         const SchedulingPolicy& policy;
@@ -30,30 +30,32 @@
 
     // Fills the idle slots of all machines.
     void schedule(Time now);
-    // Fills the idle slots of one machine, as its heartbeat gives them.
+    // Fills the idle slots of one machine after its heartbeat.
     void schedule_on(Time now, Machine& machine);
-    // Jobs looked at so far.
+    // Number of jobs examined so far, as a measure of work for tests.
     std::uint64_t effort() const { return effort_; }
 
   private:
-    struct Shape { // what a task takes
+    struct TaskResources { // resource requirements of a task
         double cpus = 0;
         double gpus = 0;
         double ram_gb = 0;
-        auto operator<=>(const Shape&) const = default;
+        auto operator<=>(const TaskResources&) const = default;
     };
     using Candidates = std::set<const PendingJob*>;
 
     void fill_slots(Time now, bool spot, bool spot_jobs);
     void fill_request(Time now, bool spot, const PendingJob& candidate,
-                      const std::set<Shape>& full);
-    void fill_job(Time now, bool spot, const PendingJob& candidate, std::set<Shape>& full);
+                      const std::set<TaskResources>& exhausted);
+    void fill_job(Time now, bool spot, const PendingJob& candidate,
+                  std::set<TaskResources>& exhausted);
     bool schedule_task(Time now, bool spot, Job& job, std::uint32_t index);
     void lend_slots(Time now, bool spot, int borrower, SlotRequest& request);
     bool fits_request(const Machine& machine, const PendingJob& candidate) const;
     bool fits_machine(Time now, const Machine& machine, const PendingJob& candidate) const;
     const PendingJob* best_for(Time now, const Machine& machine, bool spot_jobs,
-                               const std::vector<PendingJob>& order, const Candidates& lacking);
+                               const std::vector<PendingJob>& pending,
+                               const Candidates& insufficient);
     bool place_on(Time now, Machine& machine, const PendingJob& candidate);
 
     Leadership& leadership_;
