--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -4,14 +4,14 @@
 
 #include "core/jobs/cancellation_broadcast.h"
 #include "core/model/partition_assignment.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
 
-// The notices against scripted siblings.
+// The cancellation broadcasts against scripted siblings.
 struct Notices {
-    static ClusterSettings facts() {
+    static ClusterSettings cluster_settings() {
         ClusterSettings settings;
         settings.node = "n0";
         settings.partitions = {{"n0", "a"}, {"n1", "a"}, {"n2", "b"}};
@@ -20,13 +20,13 @@
     }
     StoreRateLimiter budget{100, 20, 3};
     OutboundRequests calls{budget, 1};
-    CancellationBroadcast notices{facts(), calls};
+    CancellationBroadcast cancellation_broadcasts{cluster_settings(), calls};
     std::map<std::string, Time> confirmed;
     std::map<std::string, OutboundRequestId> out; // by node
     std::map<std::string, std::vector<std::string>> last;
 
     void tell(Time now, const std::string& job) {
-        notices.broadcast(now, job, [this, job](Time at) { confirmed[job] = at; });
+        cancellation_broadcasts.broadcast(now, job, [this, job](Time at) { confirmed[job] = at; });
         collect();
     }
     void answer(Time now, const std::string& node, int status = 200) {
@@ -38,7 +38,7 @@
         collect();
     }
     void flush(Time now) {
-        notices.flush(now);
+        cancellation_broadcasts.flush(now);
         collect();
     }
     void collect() {
@@ -127,20 +127,20 @@
 // the confirmation is counted.
 TEST_P(CancelStarts, NoneAfterTheConfirmationWhereTheOwnerCanBeReached) {
     auto trouble = static_cast<Owner>(GetParam());
-    World world({.seed = 3,
-                 .nodes = 5,
-                 .run_s = 2,
-                 .limits = 3,
-                 .capacity = 20,
-                 .state_rps = 600,
-                 .state_write_rps = 200,
-                 .notices = trouble != Owner::notices_lost});
-    world.run_for(30);
-    int leader = world.owner(partition_of_team(world.facts(0), "red"));
+    SimulatedCluster cluster({.seed = 3,
+                              .nodes = 5,
+                              .run_s = 2,
+                              .limits = 3,
+                              .capacity = 20,
+                              .state_rps = 600,
+                              .state_write_rps = 200,
+                              .cancellation_broadcasts = trouble != Owner::notices_lost});
+    cluster.run_for(30);
+    int leader = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red"));
     if (trouble == Owner::watch_is_slow) { // of `job/`: it hears of no change by itself
-        world.intercept = [&](int node, const OutboundBody& call) {
+        cluster.intercept = [&](int node, const OutboundBody& call) {
             const auto* watch = std::get_if<StoreWatch>(&call);
-            return node == leader && watch && watch->prefix == kJobPrefix && world.now() > 40;
+            return node == leader && watch && watch->prefix == kJobPrefix && cluster.now() > 40;
         };
     }
     int jobs = 0;
@@ -148,54 +148,54 @@
     double longest = 0;
     for (int round = 0; round < 30; ++round) {
         for (int k = 0; k < 6; ++k) {
-            JobSpec spec = world.job("req-" + std::to_string(++jobs), 6);
+            JobSpec spec = cluster.job("req-" + std::to_string(++jobs), 6);
             spec.kind = k == 0 ? JobKind::gang : k == 1 ? JobKind::service : JobKind::array;
-            world.submit((leader + 1) % 5, spec);
+            cluster.submit((leader + 1) % 5, spec);
         }
-        world.run_for(0.7);
+        cluster.run_for(0.7);
         if (trouble == Owner::refused) {
-            world.state_refuses(leader, true);
+            cluster.set_store_refusing(leader, true);
         }
         if (trouble == Owner::cut_off_from_peers) {
             for (int n = 0; n < 5; ++n) {
-                world.cut_peers(leader, n, true);
+                cluster.cut_peers(leader, n, true);
             }
         }
         if (trouble == Owner::has_just_ended && round % 10 == 0) {
-            leader = world.owner(partition_of_team(world.facts(0), "red"));
-            world.crash(leader, round % 20 ? 0.02 : 20);
-            world.run_for(1);
+            leader = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red"));
+            cluster.crash(leader, round % 20 ? 0.02 : 20);
+            cluster.run_for(1);
         }
         std::vector<RequestId> asked;
-        Time from = world.now();
+        Time from = cluster.now();
         for (int k = 0; k < 5; ++k) {
             asked.push_back(
-                world.cancel((leader + 1 + k % 4) % 5, "req-" + std::to_string(jobs - k)));
+                cluster.cancel((leader + 1 + k % 4) % 5, "req-" + std::to_string(jobs - k)));
         }
-        for (int k = 0; k < 100 && !world.answers.contains(asked.back()); ++k) {
-            world.run_for(0.01);
+        for (int k = 0; k < 100 && !cluster.answers.contains(asked.back()); ++k) {
+            cluster.run_for(0.01);
         }
-        longest = std::max(longest, world.now() - from);
-        world.run_for(1);
+        longest = std::max(longest, cluster.now() - from);
+        cluster.run_for(1);
         for (RequestId id : asked) {
-            told += world.answers.contains(id) && world.answers.at(id).status == 200;
+            told += cluster.answers.contains(id) && cluster.answers.at(id).status == 200;
         }
-        world.state_refuses(leader, false);
+        cluster.set_store_refusing(leader, false);
         for (int n = 0; n < 5; ++n) {
-            world.cut_peers(leader, n, false);
+            cluster.cut_peers(leader, n, false);
         }
     }
-    world.run_for(30);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(30);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     EXPECT_GT(told, 100);
-    const Judge::LateStarts& late = world.judge().late_starts();
+    const HistoryChecker::LateStarts& late = cluster.history_checker().late_starts();
     std::printf("starts after a confirmed cancellation: %d that left before, %d after, the last "
                 "%.3f s later; confirmed within %.2f s\n",
-                late.left_before, late.left_after, late.longest_s, longest);
+                late.sent_before_response, late.sent_after_response, late.longest_s, longest);
     if (trouble != Owner::cut_off_from_peers && trouble != Owner::notices_lost) {
-        EXPECT_EQ(late.left_after, 0);
+        EXPECT_EQ(late.sent_after_response, 0);
     } else { // its watch tells it
-        EXPECT_LT(late.longest_left, 1);
+        EXPECT_LT(late.longest_sent_s, 1);
     }
     EXPECT_LT(longest, 0.8); // a bounded part of what users wait
     EXPECT_LT(late.longest_s, 2);
--- a/tests/poll_test.cpp
+++ b/tests/poll_test.cpp
@@ -6,7 +6,7 @@
 namespace scheduler::test {
 namespace {
 
-ClusterSettings facts() {
+ClusterSettings cluster_settings() {
     ClusterSettings settings;
     settings.partitions.resize(5);
     settings.store_requests_per_s = 350;
@@ -23,7 +23,7 @@
     StoreRateLimiter budget{350, 150, 5};
     OutboundRequests calls{budget, 1};
     JobRecordCache index;
-    JobStatusReader desk{facts(), calls, index,
+    JobStatusReader desk{cluster_settings(), calls, index,
                          [](const std::string&, std::uint32_t&, std::uint32_t&) { return false; }};
     std::map<std::string, KeyedRecord> kv;
     std::vector<OutboundRequest> sent;
--- a/tests/promise_test.cpp
+++ b/tests/promise_test.cpp
@@ -3,7 +3,7 @@
 
 #include "core/leadership/lease_extender.h"
 #include "core/model/partition_assignment.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
@@ -14,7 +14,7 @@
 
 // One node's promises, with its calls in hand.
 struct Node {
-    ClusterSettings facts;
+    ClusterSettings cluster_settings;
     StoreRateLimiter budget{100, 20, 3};
     OutboundRequests calls{budget, 1};
     LeadershipLease authority{kLongest};
@@ -24,16 +24,17 @@
     std::vector<std::string> cancelled;
 
     explicit Node(int home) {
-        facts.home_partition = home;
+        cluster_settings.home_partition = home;
         for (int n = 0; n < 3; ++n) {
-            facts.partitions.push_back({"n" + std::to_string(n), "a"});
+            cluster_settings.partitions.push_back({"n" + std::to_string(n), "a"});
         }
-        facts.node = facts.partitions[home].node;
-        facts.heartbeat_interval_s = kReportS;
-        facts.worker_lease_s = kLeaseS;
-        config = std::make_unique<QuotaConfig>(facts, calls, [](Time, const TeamQuota&) {});
-        promises =
-            std::make_unique<LeaseExtender>(facts, kLongest, calls, authority, index, *config);
+        cluster_settings.node = cluster_settings.partitions[home].node;
+        cluster_settings.heartbeat_interval_s = kReportS;
+        cluster_settings.worker_lease_s = kLeaseS;
+        config =
+            std::make_unique<QuotaConfig>(cluster_settings, calls, [](Time, const TeamQuota&) {});
+        promises = std::make_unique<LeaseExtender>(cluster_settings, kLongest, calls, authority,
+                                                   index, *config);
     }
     std::vector<OutboundRequest> tick(Time now, Time contact) {
         promises->tick(now, contact, contact,
@@ -163,99 +164,101 @@
 
 // ---- Whole nodes ----
 
-int red(const World& world) { return partition_of_team(world.facts(0), "red"); }
+int red(const SimulatedCluster& cluster) {
+    return partition_of_team(cluster.cluster_settings(0), "red");
+}
 
-void start(World& world, const std::string& id, std::uint32_t tasks) {
-    world.run_for(20); // long enough up to be believed
-    world.submit(0, world.job(id, tasks));
-    world.run_for(30);
-    ASSERT_EQ(world.machines_of({id, 0}).size(), 1u);
+void start(SimulatedCluster& cluster, const std::string& id, std::uint32_t tasks) {
+    cluster.run_for(20); // long enough up to be believed
+    cluster.submit(0, cluster.job(id, tasks));
+    cluster.run_for(30);
+    ASSERT_EQ(cluster.machines_of({id, 0}).size(), 1u);
 }
 
 TEST(Outage, LongerThanAnyLeaseEndsNoTask) {
-    World world({.run_s = 200});
-    start(world, "req-1", 8);
-    world.state_down(true);
-    world.run_for(60);
+    SimulatedCluster cluster({.run_s = 200});
+    start(cluster, "req-1", 8);
+    cluster.set_store_down(true);
+    cluster.run_for(60);
     for (std::uint32_t i = 0; i < 8; ++i) {
-        EXPECT_EQ(world.machines_of({"req-1", i}).size(), 1u);
+        EXPECT_EQ(cluster.machines_of({"req-1", i}).size(), 1u);
     }
-    world.state_down(false);
-    world.run_for(300);
-    EXPECT_TRUE(world.all_done("req-1"));
+    cluster.set_store_down(false);
+    cluster.run_for(300);
+    EXPECT_TRUE(cluster.all_done("req-1"));
     for (std::uint32_t i = 0; i < 8; ++i) {
-        EXPECT_EQ(world.starts({"req-1", i}), 1);
+        EXPECT_EQ(cluster.starts({"req-1", i}), 1);
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(Outage, WithASiblingOutOfReachEndsAuthorityWithTheLease) {
-    World world({.run_s = 200});
-    start(world, "req-1", 4);
-    int leader = world.owner(red(world));
-    world.cut_peers(leader, (leader + 1) % 3, true);
-    world.state_down(true);
-    world.run_for(60);
-    EXPECT_TRUE(world.machines_of({"req-1", 0}).empty()); // its worker's lease is over
-    world.state_down(false);
-    world.cut_peers(leader, (leader + 1) % 3, false);
-    world.run_for(60);
-    EXPECT_EQ(world.machines_of({"req-1", 0}).size(), 1u);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    SimulatedCluster cluster({.run_s = 200});
+    start(cluster, "req-1", 4);
+    int leader = cluster.owner(red(cluster));
+    cluster.cut_peers(leader, (leader + 1) % 3, true);
+    cluster.set_store_down(true);
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.machines_of({"req-1", 0}).empty()); // its worker's lease is over
+    cluster.set_store_down(false);
+    cluster.cut_peers(leader, (leader + 1) % 3, false);
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // The owner is refused alone, a user cancels elsewhere, and then nobody has the state service: the
 // siblings' promises tell the owner, or its tasks would run on for as long as the outage lasts.
 TEST(Outage, ACancellationThatTheOwnerMissedReachesItWithThePromises) {
-    World world({.run_s = 300});
-    start(world, "req-1", 4);
-    int leader = world.owner(red(world));
-    world.state_refuses(leader, true);
-    world.run_for(1);
-    RequestId id = world.cancel((leader + 1) % 3, "req-1");
-    world.run_for(0.2);
-    ASSERT_EQ(world.answers.at(id).status, 200);
-    world.state_down(true);
-    world.run_for(20);
+    SimulatedCluster cluster({.run_s = 300});
+    start(cluster, "req-1", 4);
+    int leader = cluster.owner(red(cluster));
+    cluster.set_store_refusing(leader, true);
+    cluster.run_for(1);
+    RequestId id = cluster.cancel((leader + 1) % 3, "req-1");
+    cluster.run_for(0.2);
+    ASSERT_EQ(cluster.answers.at(id).status, 200);
+    cluster.set_store_down(true);
+    cluster.run_for(20);
     for (std::uint32_t i = 0; i < 4; ++i) {
-        EXPECT_TRUE(world.machines_of({"req-1", i}).empty());
+        EXPECT_TRUE(cluster.machines_of({"req-1", i}).empty());
     }
-    world.run_for(60);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(Outage, ThatEndsForTheOthersFirstMovesThePart) {
-    World world({.run_s = 300});
-    start(world, "req-1", 4);
-    int leader = world.owner(red(world));
-    world.state_down(true);
-    world.run_for(20);
-    world.state_refuses(leader, true);
-    world.state_down(false);
-    world.run_for(40);
-    EXPECT_NE(world.owner(red(world)), leader);
-    world.state_refuses(leader, false);
-    world.run_for(60);
-    EXPECT_EQ(world.machines_of({"req-1", 0}).size(), 1u);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    SimulatedCluster cluster({.run_s = 300});
+    start(cluster, "req-1", 4);
+    int leader = cluster.owner(red(cluster));
+    cluster.set_store_down(true);
+    cluster.run_for(20);
+    cluster.set_store_refusing(leader, true);
+    cluster.set_store_down(false);
+    cluster.run_for(40);
+    EXPECT_NE(cluster.owner(red(cluster)), leader);
+    cluster.set_store_refusing(leader, false);
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(Outage, ANodeStaysReadyInOneThatIsEveryonesAndNotWhenItAloneIsCutOff) {
-    World world({.run_s = 300});
-    start(world, "req-1", 4);
-    world.state_down(true);
-    world.run_for(30);
-    EXPECT_EQ(world.probe(0), 200);
-    RequestId id = world.submit(0, world.job("req-2", 1));
-    world.run_for(0.5);
-    EXPECT_EQ(world.answers.at(id).status, 503); // at once, with a time to come back
-    EXPECT_GT(world.answers.at(id).retry_after_s, 0);
-    world.state_down(false);
-    world.run_for(10);
-    world.state_refuses(0, true);
-    world.run_for(4);
-    EXPECT_EQ(world.probe(0), 503);
-    EXPECT_EQ(world.probe(1), 200);
+    SimulatedCluster cluster({.run_s = 300});
+    start(cluster, "req-1", 4);
+    cluster.set_store_down(true);
+    cluster.run_for(30);
+    EXPECT_EQ(cluster.probe_readiness(0), 200);
+    RequestId id = cluster.submit(0, cluster.job("req-2", 1));
+    cluster.run_for(0.5);
+    EXPECT_EQ(cluster.answers.at(id).status, 503); // at once, with a time to come back
+    EXPECT_GT(cluster.answers.at(id).retry_after_s, 0);
+    cluster.set_store_down(false);
+    cluster.run_for(10);
+    cluster.set_store_refusing(0, true);
+    cluster.run_for(4);
+    EXPECT_EQ(cluster.probe_readiness(0), 503);
+    EXPECT_EQ(cluster.probe_readiness(1), 200);
 }
 
 // Long outages for all and for single nodes, with crashes, cuts, lost and late messages and
@@ -265,58 +268,59 @@
 TEST_P(LongOutages, KeepTheRules) {
     auto seed = static_cast<std::uint64_t>(GetParam());
     int nodes = seed % 2 ? 3 : 5;
-    World world({.seed = seed,
-                 .nodes = nodes,
-                 .drop = 0.02,
-                 .late = 0.02,
-                 .run_s = 25,
-                 .notices = seed % 4 < 2});
+    SimulatedCluster cluster({.seed = seed,
+                              .nodes = nodes,
+                              .drop = 0.02,
+                              .late = 0.02,
+                              .run_s = 25,
+                              .cancellation_broadcasts = seed % 4 < 2});
     std::mt19937_64 random(seed * 977);
     auto any = [&](int n) { return static_cast<int>(random() % n); };
-    world.run_for(20);
+    cluster.run_for(20);
     int jobs = 0;
     for (int round = 0; round < 4; ++round) {
         for (int k = 0; k < 4; ++k) {
-            JobSpec spec = world.job("req-" + std::to_string(++jobs), 2 + any(6), 1 + any(3));
+            JobSpec spec = cluster.job("req-" + std::to_string(++jobs), 2 + any(6), 1 + any(3));
             spec.team = any(2) ? "red" : "blue";
-            world.submit(any(nodes), spec);
-            world.run_for(3);
+            cluster.submit(any(nodes), spec);
+            cluster.run_for(3);
         }
         int alone = any(nodes);
         bool first_alone = any(2) != 0;
-        world.state_refuses(alone, first_alone);
-        world.cancel(any(nodes), "req-" + std::to_string(1 + any(jobs)));
-        world.run_for(0.5 + any(4));
-        world.state_down(true);
+        cluster.set_store_refusing(alone, first_alone);
+        cluster.cancel(any(nodes), "req-" + std::to_string(1 + any(jobs)));
+        cluster.run_for(0.5 + any(4));
+        cluster.set_store_down(true);
         for (int k = 0; k < 2 + any(5); ++k) {
-            world.run_for(4 + any(8));
+            cluster.run_for(4 + any(8));
             switch (any(6)) {
-            case 0: world.crash(any(nodes), 1 + any(8)); break;
-            case 1: world.cut_peers(any(nodes), any(nodes), true); break;
-            case 2: world.cut_workers(any(nodes), true); break;
-            case 3: world.cancel(any(nodes), "req-" + std::to_string(1 + any(jobs))); break;
+            case 0: cluster.crash(any(nodes), 1 + any(8)); break;
+            case 1: cluster.cut_peers(any(nodes), any(nodes), true); break;
+            case 2: cluster.cut_workers(any(nodes), true); break;
+            case 3: cluster.cancel(any(nodes), "req-" + std::to_string(1 + any(jobs))); break;
             default: break;
             }
-            ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
+            ASSERT_TRUE(cluster.broken.empty())
+                << cluster.broken.front() << " at " << cluster.now();
         }
-        world.state_refuses(alone, any(2) != 0);
-        world.state_down(false);
-        world.run_for(any(30));
-        world.cancel(any(nodes), "req-" + std::to_string(1 + any(jobs)));
-        world.state_refuses(alone, false);
+        cluster.set_store_refusing(alone, any(2) != 0);
+        cluster.set_store_down(false);
+        cluster.run_for(any(30));
+        cluster.cancel(any(nodes), "req-" + std::to_string(1 + any(jobs)));
+        cluster.set_store_refusing(alone, false);
         for (int n = 0; n < nodes; ++n) {
-            world.cut_workers(n, false);
+            cluster.cut_workers(n, false);
             for (int to = 0; to < nodes; ++to) {
-                world.cut_peers(n, to, false);
+                cluster.cut_peers(n, to, false);
             }
         }
-        world.run_for(30);
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
+        cluster.run_for(30);
+        ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
     }
-    world.run_for(400);
-    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
-    for (const auto& [id, outcome] : world.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
+    cluster.run_for(400);
+    ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    for (const auto& [id, outcome] : cluster.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, LongOutages, testing::Range(1, 13));
--- a/tests/roster_test.cpp
+++ b/tests/roster_test.cpp
@@ -12,12 +12,12 @@
     std::vector<std::string> stand;
     MachineRegistry roster{
         {"part/0", 7},
-        facts(),
+        cluster_settings(),
         calls,
         [this](Time, const OutboundResponse&, const std::vector<std::string>& names) {
             stand.insert(stand.end(), names.begin(), names.end());
         }};
-    static ClusterSettings facts() {
+    static ClusterSettings cluster_settings() {
         ClusterSettings settings;
         settings.store_transaction_limit = 12;
         settings.heartbeat_interval_s = 3;
--- a/tests/share_test.cpp
+++ b/tests/share_test.cpp
@@ -9,12 +9,12 @@
 #include "core/sharding/shard_migration.h"
 #include "policy/default_policy.h"
 #include "seeds.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
 
-ClusterSettings five_nodes() { return World({.nodes = 5}).facts(0); }
+ClusterSettings five_nodes() { return SimulatedCluster({.nodes = 5}).cluster_settings(0); }
 
 TEST(Shares, AreAtMostATwentiethOfAllMachinesAndHomeIsTheFixedHash) {
     for (const auto& zones :
@@ -137,11 +137,11 @@
 // ---- The table and the holdings ----
 
 struct Table {
-    ClusterSettings facts = five_nodes();
+    ClusterSettings cluster_settings = five_nodes();
     StoreRateLimiter budget{1000, 1000, 1};
     OutboundRequests calls{budget, 1};
     LeadershipLease authority{11};
-    PartitionMap table{facts};
+    PartitionMap table{cluster_settings};
     std::uint64_t revision = 10;
 
     OutboundResponse read(std::vector<KeyedRecord> more = {}) {
@@ -159,7 +159,8 @@
         return {PartitionMap::shards_key(home), ShardHoldersRecord{std::move(holders)}, version};
     }
     std::vector<int> at_home(int home) {
-        return std::vector<int>(static_cast<std::size_t>(shards_per_home(facts, home)), home);
+        return std::vector<int>(static_cast<std::size_t>(shards_per_home(cluster_settings, home)),
+                                home);
     }
     std::size_t errors() {
         Outputs out;
@@ -176,7 +177,7 @@
     EXPECT_EQ(t.table.revision(), 0u);
     EXPECT_FALSE(t.table.can_reassign(12));
     ASSERT_TRUE(t.table.load(t.read(), t.calls));
-    for (const auto& shard : all_shards(t.facts)) {
+    for (const auto& shard : all_shards(t.cluster_settings)) {
         EXPECT_EQ(t.table.holder(shard), shard.home_partition);
     }
     EXPECT_TRUE(t.table.can_reassign(12));
@@ -307,7 +308,8 @@
 
     Moving() : Holding(4) { // the version of part/2 in `read`
         read_map(25, at_home(2), 7);
-        mover = std::make_unique<ShardMigration>(*claim, facts, table, *holdings, calls, *this);
+        mover = std::make_unique<ShardMigration>(*claim, cluster_settings, table, *holdings, calls,
+                                                 *this);
     }
     bool is_quiescent(const ShardId&) const override { return quiet; }
     void update_slot_lists(const ShardId&) override {}
@@ -360,9 +362,9 @@
     Moving m;
     m.quiet = false;
     ASSERT_TRUE(m.mover->start(100, {2, 0}, 3));
-    m.mover->tick(100 + 2 * m.facts.heartbeat_interval_s);
+    m.mover->tick(100 + 2 * m.cluster_settings.heartbeat_interval_s);
     EXPECT_TRUE(m.sent().empty());
-    m.mover->tick(100.1 + 2 * m.facts.heartbeat_interval_s);
+    m.mover->tick(100.1 + 2 * m.cluster_settings.heartbeat_interval_s);
     EXPECT_EQ(m.sent().size(), 1u);
 }
 
@@ -429,28 +431,28 @@
 
 // ---- Several machines and failures ----
 
-WorldOptions five(std::uint64_t seed = 1) {
+SimulationOptions five(std::uint64_t seed = 1) {
     return {.seed = seed, .nodes = 5, .run_s = 30, .limits = 10, .capacity = 70};
 }
 
-// A world of five controllers and at least `machines` that run the tasks of a large job.
-void fill(World& world, std::size_t machines, const std::string& team = "red") {
-    world.run_for(3);
-    JobSpec spec = world.job("req-1", static_cast<std::uint32_t>(machines * 4), 2);
+// A cluster of five controllers and at least `machines` that run the tasks of a large job.
+void fill(SimulatedCluster& cluster, std::size_t machines, const std::string& team = "red") {
+    cluster.run_for(3);
+    JobSpec spec = cluster.job("req-1", static_cast<std::uint32_t>(machines * 4), 2);
     spec.team = team;
-    world.submit(0, spec);
-    world.run_for(30);
-    ASSERT_GE(world.machines_up().size(), machines);
+    cluster.submit(0, spec);
+    cluster.run_for(30);
+    ASSERT_GE(cluster.machines_up().size(), machines);
 }
 
 // A share that the part holds and that has machines.
-ShardId busy_share(const World& world, int partition) {
+ShardId busy_share(const SimulatedCluster& cluster, int partition) {
     std::map<ShardId, int> count;
-    for (const auto& machine : world.machines_up()) {
-        ++count[shard_of_machine(world.facts(0), machine, world.zone_of(machine))];
+    for (const auto& machine : cluster.machines_up()) {
+        ++count[shard_of_machine(cluster.cluster_settings(0), machine, cluster.zone_of(machine))];
     }
     ShardId best{-1, -1};
-    for (const auto& shard : world.shares(partition)) {
+    for (const auto& shard : cluster.held_shards(partition)) {
         if (count[shard] > 0 && (best.home_partition < 0 || count[shard] > count[best])) {
             best = shard;
         }
@@ -458,18 +460,18 @@
     return best;
 }
 
-void cut_all_peers(World& world, bool cut) {
+void cut_all_peers(SimulatedCluster& cluster, bool cut) {
     for (int a = 0; a < 5; ++a) {
         for (int b = 0; b <= a; ++b) {
-            world.cut_peers(a, b, cut);
+            cluster.cut_peers(a, b, cut);
         }
     }
 }
 
 // The part that holds the share; -1: none that is owned now.
-int holder(const World& world, const ShardId& shard) {
+int holder(const SimulatedCluster& cluster, const ShardId& shard) {
     for (int partition = 0; partition < 5; ++partition) {
-        for (const auto& held : world.shares(partition)) {
+        for (const auto& held : cluster.held_shards(partition)) {
             if (held == shard) {
                 return partition;
             }
@@ -479,64 +481,65 @@
 }
 
 TEST(ShareMoves, AHundredOfOneShareToAndFroStopNoTask) {
-    WorldOptions options = five();
+    SimulationOptions options = five();
     options.run_s = 420;
-    World world(options);
-    fill(world, 24);
-    world.run_for(20); // the parts have settled
+    SimulatedCluster cluster(options);
+    fill(cluster, 24);
+    cluster.run_for(20); // the parts have settled
     int from = 0;
-    ShardId shard = busy_share(world, from);
+    ShardId shard = busy_share(cluster, from);
     ASSERT_GE(shard.home_partition, 0);
     std::map<TaskId, std::uint64_t> before;
     for (std::uint32_t i = 0; i < 96; ++i) {
-        before[{"req-1", i}] = world.attempt_of({"req-1", i});
+        before[{"req-1", i}] = cluster.attempt_of({"req-1", i});
     }
     int moves = 0;
     for (; moves < 100; ++moves) {
         int to = (from + 1 + moves % 4) % 5;
-        ASSERT_TRUE(world.give(from, shard, to)) << moves;
-        for (int k = 0; k < 100 && holder(world, shard) != to; ++k) {
-            world.run_for(0.1);
+        ASSERT_TRUE(cluster.migrate_shard(from, shard, to)) << moves;
+        for (int k = 0; k < 100 && holder(cluster, shard) != to; ++k) {
+            cluster.run_for(0.1);
         }
-        ASSERT_EQ(holder(world, shard), to) << moves;
+        ASSERT_EQ(holder(cluster, shard), to) << moves;
         from = to;
-        world.run_for(0.5);
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front();
+        cluster.run_for(0.5);
+        ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
     for (const auto& [task, attempt] : before) {
-        EXPECT_EQ(world.attempt_of(task), attempt) << task.index;
-        EXPECT_EQ(world.starts(task), 1);
+        EXPECT_EQ(cluster.attempt_of(task), attempt) << task.index;
+        EXPECT_EQ(cluster.starts(task), 1);
     }
-    world.run_for(600);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(600);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(ShareMoves, TheTakerGivesSlotsOfTheShareAndTheGiverNoMore) {
-    World world(five());
-    fill(world, 24);
-    world.run_for(20);
-    ShardId shard = busy_share(world, 0);
-    ASSERT_TRUE(world.give(0, shard, 3));
-    world.run_for(8);
-    ASSERT_EQ(holder(world, shard), 3);
+    SimulatedCluster cluster(five());
+    fill(cluster, 24);
+    cluster.run_for(20);
+    ShardId shard = busy_share(cluster, 0);
+    ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+    cluster.run_for(8);
+    ASSERT_EQ(holder(cluster, shard), 3);
     std::size_t on = 0;
-    JobSpec spec = world.job("req-2", 60, 2);
+    JobSpec spec = cluster.job("req-2", 60, 2);
     spec.team = "blue";
-    world.submit(0, spec);
-    world.run_for(60);
-    for (const auto& machine : world.machines_up()) {
-        if (shard_of_machine(world.facts(0), machine, world.zone_of(machine)) == shard) {
+    cluster.submit(0, spec);
+    cluster.run_for(60);
+    for (const auto& machine : cluster.machines_up()) {
+        if (shard_of_machine(cluster.cluster_settings(0), machine, cluster.zone_of(machine)) ==
+            shard) {
             for (std::uint32_t i = 0; i < 60; ++i) {
-                on += world.machines_of({"req-2", i}).contains(machine);
+                on += cluster.machines_of({"req-2", i}).contains(machine);
             }
         }
     }
-    world.run_for(200);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.all_done("req-2"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_EQ(world.logged("event=shard_migrated"), 1u);
+    cluster.run_for(200);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.all_done("req-2"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_EQ(cluster.log_count("event=shard_migrated"), 1u);
 }
 
 // The giver, the taker or both end right after the giver's n-th call since the move began, each n
@@ -550,34 +553,34 @@
 TEST_P(ShareCrash, AfterEachSingleOutputLosesNothing) {
     int outputs = 1;
     for (int n = 0; n < outputs; ++n) {
-        World world(five(7));
-        fill(world, 20);
-        world.run_for(20);
+        SimulatedCluster cluster(five(7));
+        fill(cluster, 20);
+        cluster.run_for(20);
         const int from = 0;
         const int to = 3;
-        ShardId shard = busy_share(world, from);
+        ShardId shard = busy_share(cluster, from);
         ASSERT_GE(shard.home_partition, 0);
         int calls = 0;
         bool moving = true;
-        world.intercept = [&](int node, const OutboundBody&) {
-            moving = moving && holder(world, shard) != to;
+        cluster.intercept = [&](int node, const OutboundBody&) {
+            moving = moving && holder(cluster, shard) != to;
             if (node == from && (moving || calls <= n) && calls++ == n) {
-                world.at(world.now(), [&world, from, to] {
+                cluster.at(cluster.now(), [&cluster, from, to] {
                     if (GetParam().giver) {
-                        world.crash(from, 15);
+                        cluster.crash(from, 15);
                     }
                     if (GetParam().taker) {
-                        world.crash(to, 15);
+                        cluster.crash(to, 15);
                     }
                 });
             }
             return false;
         };
-        ASSERT_TRUE(world.give(from, shard, to));
-        world.run_for(8);
-        world.intercept = nullptr;
+        ASSERT_TRUE(cluster.migrate_shard(from, shard, to));
+        cluster.run_for(8);
+        cluster.intercept = nullptr;
         if (n == 0) {
-            World calm(five(7)); // how many outputs a move has
+            SimulatedCluster calm(five(7)); // how many outputs a move has
             fill(calm, 20);
             calm.run_for(20);
             outputs = 0;
@@ -585,13 +588,13 @@
                 outputs += node == from && holder(calm, shard) != to;
                 return false;
             };
-            ASSERT_TRUE(calm.give(from, shard, to));
+            ASSERT_TRUE(calm.migrate_shard(from, shard, to));
             calm.run_for(8);
             ASSERT_GT(outputs, 3);
         }
-        world.run_for(240);
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " after output " << n;
-        ASSERT_TRUE(world.all_done("req-1")) << "after output " << n;
+        cluster.run_for(240);
+        ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " after output " << n;
+        ASSERT_TRUE(cluster.all_done("req-1")) << "after output " << n;
     }
 }
 INSTANTIATE_TEST_SUITE_P(OfGiverTakerBoth, ShareCrash,
@@ -600,254 +603,254 @@
 
 TEST(ShareMoves, AFrozenGiverOrTakerIsOutlived) {
     for (int frozen : {0, 3}) {
-        World world(five(3));
-        fill(world, 20);
-        world.run_for(20);
-        ShardId shard = busy_share(world, 0);
-        ASSERT_TRUE(world.give(0, shard, 3));
-        world.run_for(0.3);
-        world.freeze(frozen, 40);
-        world.run_for(240);
-        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-        EXPECT_TRUE(world.all_done("req-1"));
+        SimulatedCluster cluster(five(3));
+        fill(cluster, 20);
+        cluster.run_for(20);
+        ShardId shard = busy_share(cluster, 0);
+        ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+        cluster.run_for(0.3);
+        cluster.freeze(frozen, 40);
+        cluster.run_for(240);
+        EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+        EXPECT_TRUE(cluster.all_done("req-1"));
     }
 }
 
 TEST(ShareMoves, AStateOutageInItsMidstStopsNoTask) {
-    WorldOptions options = five(4);
+    SimulationOptions options = five(4);
     options.run_s = 120;
     for (double after : {0.0, 0.02, 0.1, 0.3}) {
-        World world(options);
-        fill(world, 20);
-        world.run_for(20);
-        ShardId shard = busy_share(world, 0);
-        ASSERT_TRUE(world.give(0, shard, 3));
-        world.run_for(after);
-        world.state_down(true);
-        world.run_for(40); // longer than any lease: siblings' promises
-        world.state_down(false);
-        world.run_for(300);
-        EXPECT_TRUE(world.all_done("req-1"));
+        SimulatedCluster cluster(options);
+        fill(cluster, 20);
+        cluster.run_for(20);
+        ShardId shard = busy_share(cluster, 0);
+        ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+        cluster.run_for(after);
+        cluster.set_store_down(true);
+        cluster.run_for(40); // longer than any lease: siblings' promises
+        cluster.set_store_down(false);
+        cluster.run_for(300);
+        EXPECT_TRUE(cluster.all_done("req-1"));
         for (std::uint32_t i = 0; i < 80; ++i) {
-            EXPECT_EQ(world.starts({"req-1", i}), 1) << i << " after " << after;
+            EXPECT_EQ(cluster.starts({"req-1", i}), 1) << i << " after " << after;
         }
-        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+        EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
 }
 
 TEST(ShareMoves, GiverAndTakerCutFromEachOther) {
-    World world(five(5));
-    fill(world, 20);
-    world.run_for(20);
-    world.cut_peers(0, 3, true);
-    ShardId shard = busy_share(world, 0);
-    ASSERT_TRUE(world.give(0, shard, 3));
-    world.run_for(30);
-    EXPECT_EQ(holder(world, shard), 3);
-    world.cut_peers(0, 3, false);
-    world.run_for(240);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    SimulatedCluster cluster(five(5));
+    fill(cluster, 20);
+    cluster.run_for(20);
+    cluster.cut_peers(0, 3, true);
+    ShardId shard = busy_share(cluster, 0);
+    ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+    cluster.run_for(30);
+    EXPECT_EQ(holder(cluster, shard), 3);
+    cluster.cut_peers(0, 3, false);
+    cluster.run_for(240);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(ShareMoves, ACancelledJobsTasksAreStoppedOverAMove) {
     for (double after : {0.0, 0.05, 0.5, 1.0}) {
-        WorldOptions options = five(6);
+        SimulationOptions options = five(6);
         options.run_s = 300;
-        World world(options);
-        fill(world, 20);
-        world.run_for(20);
-        ShardId shard = busy_share(world, 0);
-        ASSERT_TRUE(world.give(0, shard, 3));
-        world.run_for(after);
-        RequestId request_id = world.cancel(2, "req-1");
-        world.run_for(20);
-        EXPECT_EQ(world.answers.at(request_id).status, 200);
-        EXPECT_EQ(world.used("red"), 0);
-        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+        SimulatedCluster cluster(options);
+        fill(cluster, 20);
+        cluster.run_for(20);
+        ShardId shard = busy_share(cluster, 0);
+        ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+        cluster.run_for(after);
+        RequestId request_id = cluster.cancel(2, "req-1");
+        cluster.run_for(20);
+        EXPECT_EQ(cluster.answers.at(request_id).status, 200);
+        EXPECT_EQ(cluster.used("red"), 0);
+        EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
 }
 
 // A share moves while a gang is gathered, runs, or is stopped in good order.
 TEST(ShareMoves, InTheMidstOfAGang) {
     for (double at : {10.2, 12.0, 14.0, 20.0, 26.0}) {
-        World world(five(8));
-        fill(world, 12);
-        JobSpec g = world.job("req-2", 10, 4);
+        SimulatedCluster cluster(five(8));
+        fill(cluster, 12);
+        JobSpec g = cluster.job("req-2", 10, 4);
         g.kind = JobKind::gang;
         g.team = "blue";
         g.checkpoint_interval_s = 5;
         g.save_duration_s = 1;
         g.spot = false;
-        world.at(world.now() + 5, [&] { world.submit(1, g); });
-        world.at(world.now() + 24, [&] {
+        cluster.at(cluster.now() + 5, [&] { cluster.submit(1, g); });
+        cluster.at(cluster.now() + 24, [&] {
             for (std::uint32_t i = 0; i < 10; ++i) {
-                for (const auto& machine : world.machines_of({"req-2", i})) {
-                    world.take_machine(machine, 8);
+                for (const auto& machine : cluster.machines_of({"req-2", i})) {
+                    cluster.preempt_machine(machine, 8);
                     return;
                 }
             }
         });
         for (int k = 0; k < 4; ++k) {
-            world.at(world.now() + at + 0.3 * k, [&world, k] {
+            cluster.at(cluster.now() + at + 0.3 * k, [&cluster, k] {
                 for (int from = 0; from < 5; ++from) {
-                    ShardId shard = busy_share(world, from);
+                    ShardId shard = busy_share(cluster, from);
                     if (shard.home_partition >= 0) {
-                        world.give(from, shard, (from + 1 + k) % 5);
+                        cluster.migrate_shard(from, shard, (from + 1 + k) % 5);
                     }
                 }
             });
         }
-        world.run_for(300);
-        EXPECT_GT(world.logged("event=shard_migrated"), 3u);
-        EXPECT_TRUE(world.all_done("req-2")) << world.describe("req-2");
-        EXPECT_GE(world.gang_runs("req-2"), 1);
-        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+        cluster.run_for(300);
+        EXPECT_GT(cluster.log_count("event=shard_migrated"), 3u);
+        EXPECT_TRUE(cluster.all_done("req-2")) << cluster.describe("req-2");
+        EXPECT_GE(cluster.gang_runs("req-2"), 1);
+        EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
 }
 
 TEST(ShareMap, ADamagedOneLosesNothingWhileItsHoldersLive) {
-    World world(five(9));
-    fill(world, 20);
-    world.run_for(20);
-    ShardId shard = busy_share(world, 0);
-    ASSERT_TRUE(world.give(0, shard, 3));
-    world.run_for(8);
-    ASSERT_TRUE(world.stands(PartitionMap::shards_key(shard.home_partition)));
-    world.put(PartitionMap::shards_key(shard.home_partition), UnreadableRecord{});
-    world.run_for(10);
-    EXPECT_EQ(holder(world, shard), 3); // it goes on
-    EXPECT_FALSE(world.give(3, shard, 0));
-    EXPECT_GE(world.logged("event=record_unreadable"), 5u); // each node has named it
-    world.run_for(150);
-    EXPECT_TRUE(world.all_done("req-1"));
+    SimulatedCluster cluster(five(9));
+    fill(cluster, 20);
+    cluster.run_for(20);
+    ShardId shard = busy_share(cluster, 0);
+    ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+    cluster.run_for(8);
+    ASSERT_TRUE(cluster.key_exists(PartitionMap::shards_key(shard.home_partition)));
+    cluster.put(PartitionMap::shards_key(shard.home_partition), UnreadableRecord{});
+    cluster.run_for(10);
+    EXPECT_EQ(holder(cluster, shard), 3); // it goes on
+    EXPECT_FALSE(cluster.migrate_shard(3, shard, 0));
+    EXPECT_GE(cluster.log_count("event=record_unreadable"), 5u); // each node has named it
+    cluster.run_for(150);
+    EXPECT_TRUE(cluster.all_done("req-1"));
     // A new claim of its part holds none of them, and says so to their machines.
-    world.submit(1, world.job("req-2", 10, 2));
-    world.crash(3, 60);
-    world.run_for(30);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.submit(1, cluster.job("req-2", 10, 2));
+    cluster.crash(3, 60);
+    cluster.run_for(30);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(ShareMoves, BesideANodeOfTheVersionBeforeThereAreNone) {
-    World world(five(10));
-    fill(world, 20);
-    world.run_for(20);
-    world.crash(2, 100);
-    world.put(partition_key(2),
-              PartitionRecord{"n2", false}); // as if an older program had claimed it
-    world.run_for(3);
-    EXPECT_FALSE(world.give(0, busy_share(world, 0), 3));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    SimulatedCluster cluster(five(10));
+    fill(cluster, 20);
+    cluster.run_for(20);
+    cluster.crash(2, 100);
+    cluster.put(partition_key(2),
+                PartitionRecord{"n2", false}); // as if an older program had claimed it
+    cluster.run_for(3);
+    EXPECT_FALSE(cluster.migrate_shard(0, busy_share(cluster, 0), 3));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(ShareTakeover, TheSharesOfALostControllerGoToAllWhoAreThere) {
-    WorldOptions options = five(11);
+    SimulationOptions options = five(11);
     options.run_s = 60;
-    World world(options);
-    fill(world, 40, "blue");
-    world.run_for(20);
-    std::size_t all = all_shards(world.facts(0)).size();
-    world.crash(1, 120);
-    world.run_for(40);
+    SimulatedCluster cluster(options);
+    fill(cluster, 40, "blue");
+    cluster.run_for(20);
+    std::size_t all = all_shards(cluster.cluster_settings(0)).size();
+    cluster.crash(1, 120);
+    cluster.run_for(40);
     std::size_t held = 0;
     std::size_t most = 0;
     for (int partition : {0, 2, 3, 4}) {
-        held += world.shares(partition).size();
-        most = std::max(most, world.shares(partition).size());
+        held += cluster.held_shards(partition).size();
+        most = std::max(most, cluster.held_shards(partition).size());
     }
-    EXPECT_NE(world.owner(1), 1); // its teams have an owner ...
-    EXPECT_GE(world.owner(1), 0);
-    EXPECT_TRUE(world.shares(1).empty()); // ... who holds no machines for it
+    EXPECT_NE(cluster.owner(1), 1); // its teams have an owner ...
+    EXPECT_GE(cluster.owner(1), 0);
+    EXPECT_TRUE(cluster.held_shards(1).empty()); // ... who holds no machines for it
     EXPECT_EQ(held, all);
     EXPECT_LE(static_cast<double>(most), 1.25 * static_cast<double>(all) / 4);
-    world.run_for(400);
-    EXPECT_EQ(world.owner(1), 1); // it has its teams back
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(400);
+    EXPECT_EQ(cluster.owner(1), 1); // it has its teams back
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(ShareTakeover, AControllerThatComesBackGetsSharesByDegrees) {
-    WorldOptions options = five(12);
+    SimulationOptions options = five(12);
     options.run_s = 900;
     options.limits = 20;
-    World world(options);
-    fill(world, 60);
-    world.run_for(20);
-    world.crash(1, 40);
-    world.run_for(39);
-    ASSERT_EQ(world.shares(1).size(), 0u);
+    SimulatedCluster cluster(options);
+    fill(cluster, 60);
+    cluster.run_for(20);
+    cluster.crash(1, 40);
+    cluster.run_for(39);
+    ASSERT_EQ(cluster.held_shards(1).size(), 0u);
     std::size_t before = 0;
     for (int k = 0; k < 100; ++k) {
-        world.run_for(1);
-        std::size_t now = world.shares(1).size();
+        cluster.run_for(1);
+        std::size_t now = cluster.held_shards(1).size();
         EXPECT_LE(now, before + 4); // at most one from each of the others
         before = now;
     }
     std::set<ShardId> held;
-    for (const auto& shard : world.shares(1)) {
+    for (const auto& shard : cluster.held_shards(1)) {
         held.insert(shard);
     }
     std::size_t machines = 0;
-    for (const auto& machine : world.machines_up()) {
-        machines +=
-            held.contains(shard_of_machine(world.facts(0), machine, world.zone_of(machine)));
+    for (const auto& machine : cluster.machines_up()) {
+        machines += held.contains(
+            shard_of_machine(cluster.cluster_settings(0), machine, cluster.zone_of(machine)));
     }
     EXPECT_GE(machines, 8u); // two thirds of an even part
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // A lost controller's machines find their new holders before their leases end.
 TEST(ShareTakeover, NoTaskIsLostToTheLeasesOfALostControllersMachines) {
-    WorldOptions options = five(14);
+    SimulationOptions options = five(14);
     options.run_s = 120;
-    World world(options);
-    fill(world, 40, "blue");
-    world.run_for(20);
-    world.crash(1, 300);
-    world.run_for(200);
-    EXPECT_EQ(world.logged("event=machine_lease_expired"), 0u);
+    SimulatedCluster cluster(options);
+    fill(cluster, 40, "blue");
+    cluster.run_for(20);
+    cluster.crash(1, 300);
+    cluster.run_for(200);
+    EXPECT_EQ(cluster.log_count("event=machine_lease_expired"), 0u);
     for (std::uint32_t i = 0; i < 160; ++i) {
-        EXPECT_LE(world.starts({"req-1", i}), 1) << i;
+        EXPECT_LE(cluster.starts({"req-1", i}), 1) << i;
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // Controllers refuse each other's calls while one of them is lost: its older tasks do not wait
 // until the calls go through again, since the listings come by way of the state service.
 TEST(ShareTakeover, OlderTasksRunWhilePeersRefuseCalls) {
-    WorldOptions options = five(13);
+    SimulationOptions options = five(13);
     options.run_s = 25;
     options.limits = 4; // so that tasks wait when their owner is lost
-    World world(options);
-    world.run_for(3);
-    JobSpec spec = world.job("req-1", 150, 2);
-    world.submit(0, spec);
-    world.run_for(40);
-    ASSERT_FALSE(world.all_done("req-1"));
-    cut_all_peers(world, true);
-    int partition = partition_of_team(world.facts(0), "red");
+    SimulatedCluster cluster(options);
+    cluster.run_for(3);
+    JobSpec spec = cluster.job("req-1", 150, 2);
+    cluster.submit(0, spec);
+    cluster.run_for(40);
+    ASSERT_FALSE(cluster.all_done("req-1"));
+    cut_all_peers(cluster, true);
+    int partition = partition_of_team(cluster.cluster_settings(0), "red");
     auto started = [&] {
         int n = 0;
         for (std::uint32_t i = 0; i < spec.tasks; ++i) {
-            n += world.starts({"req-1", i});
+            n += cluster.starts({"req-1", i});
         }
         return n;
     };
-    world.crash(world.owner(partition), 200);
-    world.run_for(16); // its lease is over, and another has read what there is to read
+    cluster.crash(cluster.owner(partition), 200);
+    cluster.run_for(16); // its lease is over, and another has read what there is to read
     int before = started();
-    world.run_for(20);
-    EXPECT_GT(world.logged("event=inventory_posted"), 2u);
+    cluster.run_for(20);
+    EXPECT_GT(cluster.log_count("event=inventory_posted"), 2u);
     EXPECT_GT(started(), before);
-    world.run_for(60);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    cut_all_peers(world, false);
-    world.run_for(300);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    cut_all_peers(cluster, false);
+    cluster.run_for(300);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     for (int page = 0; page < 3; ++page) { // read, and of no use any more
-        EXPECT_FALSE(
-            world.stands("account/" + std::to_string(partition) + "/0/" + std::to_string(page)));
+        EXPECT_FALSE(cluster.key_exists("account/" + std::to_string(partition) + "/0/" +
+                                        std::to_string(page)));
     }
 }
 
@@ -856,41 +859,41 @@
 void play(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     constexpr int kNodes = 5;
-    World world({.seed = seed,
-                 .nodes = kNodes,
-                 .drop = seed % 3 == 0 ? 0.03 : 0,
-                 .late = seed % 3 == 0 ? 0.03 : 0,
-                 .run_s = 12,
-                 .error = 0.01,
-                 .limits = 10,
-                 .capacity = 64});
+    SimulatedCluster cluster({.seed = seed,
+                              .nodes = kNodes,
+                              .drop = seed % 3 == 0 ? 0.03 : 0,
+                              .late = seed % 3 == 0 ? 0.03 : 0,
+                              .run_s = 12,
+                              .error = 0.01,
+                              .limits = 10,
+                              .capacity = 64});
     std::mt19937_64 random(seed);
     auto any = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
     int only = seed % 8 == 7 ? -1 : static_cast<int>(seed % 8); // -1: all faults together
     std::function<void()> move = [&] {
         int from = any(kNodes);
-        auto shards = world.shares(from);
+        auto shards = cluster.held_shards(from);
         if (!shards.empty()) {
             ShardId shard =
-                any(2) ? busy_share(world, from) : shards[any(static_cast<int>(shards.size()))];
+                any(2) ? busy_share(cluster, from) : shards[any(static_cast<int>(shards.size()))];
             if (shard.home_partition >= 0) {
-                world.give(from, shard, any(kNodes));
+                cluster.migrate_shard(from, shard, any(kNodes));
             }
         }
     };
     std::set<std::string> services;
     int jobs = 0;
-    JobSpec base = world.job("req-0", 160, 2); // so that there are sixty machines
+    JobSpec base = cluster.job("req-0", 160, 2); // so that there are sixty machines
     base.team = "blue";
-    world.run_for(3);
-    world.submit(0, base);
+    cluster.run_for(3);
+    cluster.submit(0, base);
     for (int k = 0; k < 100; ++k) {
-        world.run_for(1.5);
+        cluster.run_for(1.5);
         for (int m = 0; m < 3; ++m) {
             move();
         }
         if (k < 60 && k % 2 == 0) {
-            JobSpec spec = world.job("req-" + std::to_string(++jobs), 4 + any(40), 1 + any(3));
+            JobSpec spec = cluster.job("req-" + std::to_string(++jobs), 4 + any(40), 1 + any(3));
             spec.team = any(2) ? "red" : "blue";
             spec.spot = any(2) != 0;
             int kind = any(5);
@@ -906,64 +909,66 @@
                 spec.spread = any(2) != 0;
                 services.insert(spec.id);
             }
-            world.submit(any(kNodes), spec);
+            cluster.submit(any(kNodes), spec);
         }
         std::string job = "req-" + std::to_string(1 + any(std::max(1, jobs)));
         int fault = only >= 0 ? only : any(8);
         bool strikes = any(4) == 0;
-        auto up = world.machines_up();
+        auto up = cluster.machines_up();
         if (strikes && fault == 0) {
-            world.crash(any(kNodes), 1 + any(20));
+            cluster.crash(any(kNodes), 1 + any(20));
         } else if (strikes && fault == 1) {
-            world.freeze(any(kNodes), 1 + any(30));
+            cluster.freeze(any(kNodes), 1 + any(30));
         } else if (strikes && fault == 2) {
-            world.state_down(true);
+            cluster.set_store_down(true);
         } else if (strikes && fault == 3) {
-            world.cut_peers(any(kNodes), any(kNodes), true);
+            cluster.cut_peers(any(kNodes), any(kNodes), true);
         } else if (strikes && fault == 4) {
-            any(2) ? world.cut_workers(any(kNodes), true) : world.state_refuses(any(kNodes), true);
+            any(2) ? cluster.cut_workers(any(kNodes), true)
+                   : cluster.set_store_refusing(any(kNodes), true);
         } else if (strikes && fault == 5 && !up.empty()) {
             const std::string& machine = up[any(static_cast<int>(up.size()))];
-            any(2) ? world.take_machine(machine, 6) : world.cut_machine(machine, any(2) != 0);
+            any(2) ? cluster.preempt_machine(machine, 6)
+                   : cluster.cut_machine(machine, any(2) != 0);
         } else if (strikes && fault == 6) {
-            world.cancel(any(kNodes), job);
+            cluster.cancel(any(kNodes), job);
         } else if (strikes && fault == 7 && !up.empty()) {
-            world.kill_machine(up[any(static_cast<int>(up.size()))]);
+            cluster.kill_machine(up[any(static_cast<int>(up.size()))]);
         } else if (any(3) == 0) {
-            world.state_down(false);
+            cluster.set_store_down(false);
             for (int n = 0; n < kNodes; ++n) {
-                world.state_refuses(n, false);
-                world.cut_workers(n, false);
+                cluster.set_store_refusing(n, false);
+                cluster.cut_workers(n, false);
             }
-            cut_all_peers(world, false);
-            world.poll(any(kNodes), job);
+            cut_all_peers(cluster, false);
+            cluster.poll(any(kNodes), job);
         }
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
+        ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
     }
-    world.state_down(false);
+    cluster.set_store_down(false);
     for (int n = 0; n < kNodes; ++n) {
-        world.state_refuses(n, false);
-        world.cut_workers(n, false);
+        cluster.set_store_refusing(n, false);
+        cluster.cut_workers(n, false);
     }
-    cut_all_peers(world, false);
-    for (const auto& machine : world.machines_up()) {
-        world.cut_machine(machine, false);
+    cut_all_peers(cluster, false);
+    for (const auto& machine : cluster.machines_up()) {
+        cluster.cut_machine(machine, false);
     }
-    world.run_for(30);
+    cluster.run_for(30);
     for (const auto& id : services) {
         for (int n = 0; n < kNodes; ++n) {
-            world.cancel(n, id);
-            world.run_for(0.2);
+            cluster.cancel(n, id);
+            cluster.run_for(0.2);
         }
     }
     for (int k = 0; k < 70; ++k) { // to the end, with moves
-        world.run_for(10);
+        cluster.run_for(10);
         move();
     }
-    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_GT(world.logged("event=shard_migrated"), 20u);
-    for (const auto& [id, outcome] : world.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
+    ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_GT(cluster.log_count("event=shard_migrated"), 20u);
+    for (const auto& [id, outcome] : cluster.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
 }
 
@@ -971,7 +976,7 @@
 TEST_P(ShareRandom, RulesHoldWhileSharesMove) { play(static_cast<std::uint64_t>(GetParam())); }
 INSTANTIATE_TEST_SUITE_P(Seeds, ShareRandom, testing::Range(1, 17));
 
-TEST(ShareSeeds, AsManyAsAreAskedFor) { play_seeds_asked(17, play); }
+TEST(ShareSeeds, AsManyAsAreAskedFor) { run_extra_seeds(17, play); }
 
 } // namespace
 } // namespace scheduler::test
