--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -1,4 +1,3 @@
-// Implementation of the pending queue; see the header.
 #include "core/scheduling/pending_queue.h"
 
 #include <algorithm>
@@ -10,13 +9,15 @@
 namespace scheduler {
 
 namespace {
-// Work for more than this many times the time left cannot be done in time, although estimates err
-// and a team may get more CPUs than it has now.
+// A team's work is infeasible if it takes more than this many times the time left until it is due.
+// The factor is above 1 because run time estimates are inexact and the team may get more CPUs than
+// it has now.
 constexpr double kInfeasibleLoadFactor = 1.5;
-// A job is left behind when it has waited for this many times what its latest objective allows.
+// A pending job is overdue once its age exceeds this many times the time that its latest objective
+// allows.
 constexpr double kOverdueFactor = 2;
 
-// A job that can meet its due time, ordered by the work left.
+// A job that is expected to meet its due time. Ordered by remaining work.
 struct AcceptedJob {
     double work_s = 0;
     std::string id;
@@ -55,13 +56,14 @@
     ++team_counts_[spec.team].done;
 }
 
-// Tasks that run are half done on average; replicas of services run for ever.
+// Assumes that running tasks are half done on average.
 double PendingQueue::remaining_s(const Job& job) {
     double tasks = static_cast<double>(job.waiting.size()) + 0.5 * job.placed;
     return job.spec.kind == JobKind::service ? 0 : tasks * job.spec.estimated_run_s;
 }
 
-// What is left of the job takes at least this long, even with all that its team may use.
+// Returns the minimum time to finish the job, reached if the job gets all resources within its
+// team's limit.
 double PendingQueue::min_run_time_s(const Job& job) const {
     const JobSpec& spec = job.spec;
     const TeamQuota* quota = quotas_.quota(spec.team);
@@ -72,7 +74,7 @@
 }
 
 Time PendingQueue::due(Time now, const Job& job) const {
-    // A job that has missed all its objectives comes after those that can still meet one.
+    // A job that can no longer meet any objective is ordered after those that can.
     Time next = due_without_objective(job);
     double shortest_s = min_run_time_s(job);
     for (const auto& objective : settings_.objectives) {
@@ -94,15 +96,16 @@
     return next;
 }
 
-// Gives each open job its due time, before hopeless ones are postponed. Returns the jobs that can
-// meet an objective, by team.
+// Sets the due time of each open job, regardless of whether its team has the capacity to meet all
+// due times. Also updates since when jobs have waited and whether they await their first task.
+// Returns the jobs that could still meet an objective, by team.
 PendingQueue::JobsByTeam PendingQueue::assign_due_times(Time now) {
     JobsByTeam by_team;
     for (const auto& [id, job] : jobs_.all()) {
         bool idle = !job->open() || job->waiting.empty();
         job->waiting_since = idle ? 0 : job->waiting_since > 0 ? job->waiting_since : now;
-        // The largest job is postponed again with each small one that arrives, so it would wait for
-        // as long as they arrive. One task costs the others next to nothing.
+        // The largest job of a team is postponed again with each small job that arrives, so it
+        // could wait indefinitely. Placing one of its tasks hardly delays the others.
         job->awaits_first_task = job->spec.kind == JobKind::array && job->placed + job->done == 0 &&
                                  job->waiting_since > 0 &&
                                  now - job->waiting_since > policy_.first_task_deadline_s;
@@ -116,9 +119,10 @@
     return by_team;
 }
 
-// Where a team cannot meet all due times with the CPUs it has, the job with most work left of those
-// due by then is postponed: objectives count jobs, and one large job that would be late all the
-// same makes many small ones late (the rule of Moore and Hodgson).
+// Postpones jobs of a team that cannot meet all due times with the CPUs that it has. Of the jobs
+// due by the time that would be missed, the one with the most work left is postponed first:
+// objectives count jobs, and one large job that is late anyway would make many small ones late
+// (the Moore-Hodgson algorithm).
 void PendingQueue::postpone_infeasible(Time now, const std::string& team, std::vector<Job*>& jobs) {
     std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
         return std::tie(a->spec.priority, a->due, a->spec.id) <
@@ -126,7 +130,7 @@
     });
     const TeamQuota& quota = *quotas_.quota(team);
     double slots = std::max(1.0, quotas_.entitled_amount(team));
-    std::set<AcceptedJob> accepted; // the one with most work is the last
+    std::set<AcceptedJob> accepted;
     double total_work_s = 0;
     for (Job* job : jobs) {
         double work_s = remaining_s(*job) * quota.amount(job->spec.cpus, job->spec.gpus) / slots;
@@ -135,7 +139,7 @@
         while (total_work_s > kInfeasibleLoadFactor * (job->due - now) && !accepted.empty()) {
             auto largest = std::prev(accepted.end());
             if (largest->job->spec.priority < job->spec.priority) {
-                break; // it runs first whatever its due time
+                break; // its higher priority puts it first regardless of due times
             }
             total_work_s -= largest->work_s;
             largest->job->due = due_without_objective(*largest->job);
@@ -166,7 +170,7 @@
 void PendingQueue::append_peer_requests(Time now) {
     for (const auto& peer : peer_requests_()) {
         if (now - peer.received_at > settings_.heartbeat_interval_s / 2) {
-            continue; // outdated: a live peer would have called again
+            continue; // outdated: a reachable peer would have synced again
         }
         for (auto& request : *peer.requests) {
             if (request.count > 0) {
@@ -202,10 +206,11 @@
     find_starving(now, slots);
 }
 
-// A team whose work takes longer at the team's limit than all work takes on all machines decides
-// when everything is done: each moment that it runs below its limit delays the end.
+// Finds the teams whose work takes longer at the team's limit than all work of the cluster takes on
+// all machines. Such a team determines when all work is done: whenever it runs below its limit, the
+// end is delayed.
 void PendingQueue::find_bottleneck_teams(double slots, double remaining_slot_s) {
-    std::map<std::string, double> work_by_team; // in the team's own measure
+    std::map<std::string, double> work_by_team; // in seconds times TeamQuota::amount
     for (const auto& [id, job] : jobs_.all()) {
         const TeamQuota* quota = quotas_.quota(job->spec.team);
         if (job->open() && quota) {
@@ -223,6 +228,8 @@
     }
 }
 
+// Returns whether the job is far past its latest objective: see kOverdueFactor. A job whose
+// objectives allow less than the worker lease is treated as if they allowed that much.
 bool PendingQueue::is_overdue(Time now, const Job& job) const {
     double latest_s = settings_.worker_lease_s;
     for (const auto& objective : settings_.objectives) {
@@ -235,12 +242,14 @@
     return now > job.first_seen + kOverdueFactor * latest_s;
 }
 
-// Under lasting overload some class or team would stay behind the others for ever. So a class with
-// jobs that are left behind keeps an even part of the slots, and such a team the part that its
-// guarantee is of all guarantees, until half of its jobs are done. What it runs beyond that has its
-// usual place in the order. Given sooner, these slots cost more objectives than they save: with
-// jobs that had only just missed theirs, rechecks and theses alike fell below what they had
-// reached.
+// Finds the classes and teams that need a minimum share of the slots. Without it, some of them
+// would be delayed indefinitely under sustained overload. A class with overdue jobs gets an equal
+// share of the slots, and a team with overdue jobs a share in proportion to its guarantee, until
+// half of its jobs are done. What it runs beyond its share is ordered as usual.
+//
+// Jobs do not count as overdue as soon as they miss an objective, because granting the share that
+// early makes more jobs miss their objectives than it saves: when it was, recheck and thesis jobs
+// alike met fewer objectives than they had before.
 void PendingQueue::find_starving(Time now, double slots) {
     UsageByName classes;
     UsageByName teams;
--- a/src/core/scheduling/pending_queue.h
+++ b/src/core/scheduling/pending_queue.h
@@ -1,7 +1,6 @@
-// The pending work of a partition, in the order in which it gets idle slots: the partition's own
-// jobs and the slot requests of other partitions' leaders. The order is: what keeps a job class or
-// a team from starving, priority, work within the team's guarantee, the bottleneck team, due time,
-// arrival.
+// Orders the pending work of a partition for idle slots: the partition's own jobs and the slot
+// requests of other partitions' leaders. The sort keys are, in this order: starving (class, team or
+// first task), priority, within the team's guarantee, bottleneck team, due time, arrival time.
 #pragma once
 
 #include <functional>
@@ -13,22 +12,23 @@
 
 namespace scheduler {
 
-// A pending job of this partition, or a slot request of another one.
+// A pending job of this partition or a slot request of another partition. Exactly one of `job` and
+// `slot_request` is set.
 struct PendingJob {
-    bool starving = false; // its class or team starves: see PendingQueue::is_starving
+    bool starving = false; // see PendingQueue::is_starving; also set with first_task_only
     Priority priority = Priority::normal;
     bool over_guarantee = false;
     bool bottleneck_team = false; // see PendingQueue::is_bottleneck
     Time due = 0;
     Time arrived_at = 0;
-    Job* job = nullptr;                  // of this partition, or null
-    SlotRequest* slot_request = nullptr; // of another partition, or null
-    int borrower = 0;                    // that partition
+    Job* job = nullptr;
+    SlotRequest* slot_request = nullptr;
+    int borrower = 0; // the partition that sent the slot request
     JobKind kind = JobKind::array;
     bool spot = false;            // may use spot machines
-    bool first_task_only = false; // one of its tasks has this place, no more
+    bool first_task_only = false; // only the job's first task has this rank
 
-    // Has that one task been placed since?
+    // Returns whether the entry is for a first task that has been placed since it was queued.
     bool first_task_placed() const { return first_task_only && !job->awaits_first_task; }
     const std::string& image() const {
         return slot_request ? slot_request->image : job->spec.image;
@@ -50,61 +50,67 @@
 // Called only from the controller's event loop.
 class PendingQueue {
   public:
-    // Does the job have tasks to be placed now?
+    // Returns whether the job has tasks that may be placed now.
     using IsSchedulable = std::function<bool(Time, const Job&)>;
     using PeerRequests = std::function<std::vector<PeerSlotRequests>()>;
     PendingQueue(const ClusterSettings& settings, const SchedulingPolicy& policy, JobStore& jobs,
                  const QuotaLedger& quotas, IsSchedulable is_schedulable,
                  PeerRequests peer_requests);
 
-    // The pending work in order. The result is cached for a moment, since it hardly changes from
-    // one heartbeat to the next. Updates the due times of jobs when it is computed.
+    // Returns the pending work in order. The order is cached for one peer sync interval, because it
+    // hardly changes between heartbeats. Computing it updates the due times of the jobs.
     const std::vector<PendingJob>& ordered(Time now);
-    // The order is to be computed again at the next call.
+    // Makes the next call of `ordered` compute the order again.
     void invalidate() { stale_ = true; }
-    // Drops all pointers: jobs or requests are about to be removed.
+    // Removes all entries, which point to jobs and slot requests. Called before any of those are
+    // removed.
     void clear();
 
-    // Updates the bottleneck teams, and the classes and teams that starve. `slots`: of all machines
-    // of the cluster; `remaining_slot_s`: the run time left of all its work, in slot seconds.
+    // Updates the bottleneck teams and the starving classes and teams. `slots`: the slots of all
+    // machines of the cluster. `remaining_slot_s`: the estimated run time left of all work of the
+    // cluster, in slot seconds.
     void update_load(Time now, double slots, double remaining_slot_s);
-    // Does the team's own work take longer than all work of the cluster together?
+    // Returns whether the team's work takes longer at the team's limit than all work of the cluster
+    // takes on all machines.
     bool is_bottleneck(const std::string& team) const { return bottleneck_teams_.contains(team); }
-    // Is the job's class or team to get a minimum of the slots, as its jobs are left behind?
+    // Returns whether the job's class or team has overdue jobs, less than half of its jobs done and
+    // less than its fair share of the slots. Its jobs are ordered first until that changes.
     bool is_starving(const JobSpec& spec) const {
         return starving_classes_.contains(spec.job_class) || starving_teams_.contains(spec.team);
     }
-    // The priority of a pending job. `begins`: only its first task is wanted, which comes before
-    // the tasks of others.
+    // Returns the priority under which a pending job is ordered. With `first_task_only` it is the
+    // highest priority, because a single task delays other jobs very little.
     static Priority effective_priority(const Job& job, bool first_task_only) {
         return first_task_only ? Priority::production : job.spec.priority;
     }
-    // Counts the jobs of the class and the team that arrived, and those that are done.
+    // Update the numbers of arrived and completed jobs of the job's class and team.
     void on_job_arrived(const JobSpec& spec);
     void on_job_done(const JobSpec& spec);
 
-    // The estimated run time left of all tasks of the job, in seconds.
+    // Returns the estimated run time left of all tasks of the job, in seconds. Services run
+    // indefinitely and count as 0.
     static double remaining_s(const Job& job);
 
   private:
     static constexpr double kNoObjectiveDueS = 1e6;
 
-    // Jobs of a class or team since this leadership began.
+    // The jobs of a class or team that were counted since this leadership term began.
     struct JobCounts {
         std::uint64_t seen = 0;
         std::uint64_t done = 0;
         bool is_half_done() const { return 2 * done >= seen; }
     };
-    // How much a class or team runs, in its teams' own measures.
+    // What the placed tasks of a class or team use.
     struct Usage {
-        double running = 0;
-        bool has_overdue_job = false; // it has a pending job that is left behind
+        double running = 0;           // in the resources of TeamQuota::amount
+        bool has_overdue_job = false; // at least one pending job is overdue: see is_overdue
     };
     using UsageByName = std::map<std::string, Usage>;
     using JobsByTeam = std::map<std::string, std::vector<Job*>>;
     Time due(Time now, const Job& job) const;
     double min_run_time_s(const Job& job) const;
-    // The due time of a job that cannot meet any objective.
+    // Returns the due time of a job that cannot meet any objective: late enough for it to be
+    // ordered after the jobs that can.
     static Time due_without_objective(const Job& job) { return job.first_seen + kNoObjectiveDueS; }
     void update_due_times(Time now);
     JobsByTeam assign_due_times(Time now);
@@ -126,7 +132,7 @@
     std::vector<PendingJob> queue_;
     bool stale_ = true;
     Time valid_until_ = 0;
-    std::set<std::string> bottleneck_teams_; // see is_bottleneck
+    std::set<std::string> bottleneck_teams_;
     std::set<std::string> starving_classes_;
     std::set<std::string> starving_teams_;
     std::map<std::string, JobCounts> class_counts_;
