--- a/src/core/stealing/slot_lender.cpp
+++ b/src/core/stealing/slot_lender.cpp
@@ -1,4 +1,3 @@
-// Implementation of the lending of slots; see the header.
 #include "core/stealing/slot_lender.h"
 
 #include <algorithm>
@@ -7,18 +6,18 @@
 namespace scheduler {
 
 namespace {
-// The launch in a lent slot shows in a heartbeat within about one interval; a slot that is older
-// than this many intervals is fenced.
+// A launch on a lent slot is usually reported within one heartbeat interval. After this many
+// intervals the slot is fenced.
 constexpr double kLaunchTimeoutHeartbeats = 1.5;
-// Changes of the inventory that are kept: twice the number of machines, and this many more.
+// The change log holds at most twice as many entries as there are machines, plus this many.
 constexpr std::size_t kExtraLoggedChanges = 64;
-// States of a remote task that are part of its hash.
+// Bits for the states of a remote task that are part of its hash.
 constexpr std::uint64_t kDrainingState = 1;
 constexpr std::uint64_t kResourcesUnknownState = 2;
 constexpr std::uint64_t kFinishedState = 4;
 constexpr std::uint64_t kPreemptionNoticeState = 8;
 
-// The finalizer of SplitMix64 over a launch and its state.
+// Hashes a launch and the state of its task with the finalizer of SplitMix64.
 std::uint64_t hash_launch(const LaunchId& id, std::uint64_t state) {
     std::uint64_t hash = (id.attempt * 16 + state) * 31 + id.index + 0x9e3779b97f4a7c15ULL;
     hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -101,14 +100,16 @@
     requests_.respond(request_id, 200, std::move(response));
 }
 
+// Rejects the request if it is outdated. Returns whether it was rejected.
 bool SlotLender::reject_outdated(RequestId request_id, const PeerSyncRequest& request,
                                  const Borrower& borrower) {
     if (request.term < borrower.term) {
         requests_.respond(request_id, 409, TextBody{"a later owner has called"});
         return true;
     }
-    // A late call would return slots that were lent since: the tasks of a gang's attempt share its
-    // number, so a slot may come to have the launch id of one that was returned.
+    // The commands of an outdated request could return a slot that was lent later: the tasks of a
+    // gang's attempt share its number, so a lent slot may have the launch id of a slot that was
+    // returned before.
     if (request.term == borrower.synced_term && request.sequence != 0 &&
         request.sequence <= borrower.sequence) {
         requests_.respond(request_id, 409, TextBody{"a later call has come"});
@@ -126,15 +127,15 @@
             apply_command(*machine, command, request.from_partition);
         }
     }
-    // Before the provisioned machines, which may be of these shards.
+    // Transfers are accepted before the provisioned machines, which may belong to their shards.
     for (const auto& transfer : request.transfers) {
         delegate_.accept_transfer(now, transfer);
     }
-    // These count here from now on, long before they are up.
+    // Provisioned machines count as this partition's capacity from now on, long before they run.
     for (const auto& machine : request.provisioned) {
         delegate_.expect_machine(now, machine);
     }
-    queue_.clear(); // it points into the requests that are replaced now
+    queue_.clear(); // its entries point to the slot requests that are replaced below
     borrower.acked_version = request.acked_term == leadership_.term() ? request.acked_version : 0;
     borrower.requests = request.slot_requests;
     borrower.requested_at = now;
@@ -142,7 +143,7 @@
     demand_.on_peer_demand(now, request.from_partition, request.demand, request.capacity);
 }
 
-// Moves the slots that were lent to the borrower, and still are, into the response.
+// Moves the borrower's new grants into the response, except for slots that are no longer lent.
 void SlotLender::append_grants(Borrower& borrower, PeerSyncResponse& response) {
     for (auto& grant : std::exchange(borrower.grants, {})) {
         Machine* machine = machines_.find(grant.machine);
@@ -152,7 +153,8 @@
     }
 }
 
-// Slots that an earlier leader of the partition borrowed are fenced.
+// Records a term of the borrowing partition. If it is new, fences the slots that were lent to
+// earlier leaders.
 void SlotLender::observe_term(Time now, Borrower& borrower, std::uint64_t term) {
     if (term > borrower.term) {
         borrower.term = term;
@@ -175,6 +177,7 @@
                                                            : std::nullopt;
 }
 
+// Returns the response to the request, without slot grants.
 PeerSyncResponse SlotLender::build_response(Time now, const PeerSyncRequest& request) {
     PeerSyncResponse response;
     response.term = leadership_.term();
@@ -190,8 +193,9 @@
     return response;
 }
 
-// Appends the shards that this partition may answer for. Returns those whose inventory is new to
-// the caller: it is sent in full.
+// Appends the shards that this partition reports on: those that it owns, unless their transfer is
+// pending. Returns the shards whose inventory the caller does not have yet and which is sent in
+// full.
 SlotLender::ShardSet SlotLender::append_shards(const PeerSyncRequest& request,
                                                PeerSyncResponse& response) const {
     ShardSet full_shards;
@@ -214,7 +218,7 @@
     return full_shards;
 }
 
-// Appends the tasks on all machines of these shards.
+// Appends the caller's tasks on all machines of the given shards.
 void SlotLender::append_machines(const PeerSyncRequest& request, const ShardSet& full_shards,
                                  PeerSyncResponse& response) {
     if (full_shards.empty()) {
@@ -233,7 +237,8 @@
     }
 }
 
-// Appends the tasks on machines of other shards that changed since the caller's version.
+// Appends the caller's tasks on machines of other shards that have changed since the version that
+// the caller acknowledged.
 void SlotLender::append_changes(const PeerSyncRequest& request, const ShardSet& full_shards,
                                 PeerSyncResponse& response) {
     if (response.complete) {
@@ -252,7 +257,7 @@
     }
 }
 
-// Appends the borrower's tasks on one machine, and the slots on which it may yet launch some.
+// Appends the borrower's tasks on one machine, and the lent slots whose launches are unconfirmed.
 void SlotLender::append_tasks(const Machine& machine, int borrower, PeerSyncResponse& response) {
     ++effort_;
     for (const auto& [task, placement] : machine.tasks) {
@@ -275,8 +280,9 @@
     }
 }
 
-// A hash of what the inventory says of the machine's remote tasks, in any order. A launch that
-// shows in its lent slot does not change it, so that most changes are exits.
+// Returns a hash of the machine's remote tasks as they are reported in the inventory, independent
+// of their order. It stays the same when a lent slot becomes a reported task, so most changes are
+// exits.
 std::uint64_t SlotLender::hash_remote_tasks(const Machine& machine) const {
     std::uint64_t machine_state = (machine.draining || machine.cordoned ? kDrainingState : 0) +
                                   (machine.preemption_notice_s ? kPreemptionNoticeState : 0);
@@ -319,7 +325,7 @@
 
 void SlotLender::log_change(const std::string& machine) {
     change_log_[++version_] = machine;
-    // Otherwise machines that are gone would stay in the log for ever.
+    // Limits the log: entries of removed machines are not replaced by later ones.
     while (change_log_.size() > 2 * machines_.all().size() + kExtraLoggedChanges) {
         dropped_version_ = change_log_.begin()->first;
         change_log_.erase(change_log_.begin());
@@ -350,8 +356,8 @@
     }
 }
 
-// The launch may still be on its way, so the command is kept. A later command with a shorter grace
-// time takes effect too.
+// Stops the task. The command is kept, because the launch may still be in transit. A later command
+// replaces it only if its grace period is shorter.
 void SlotLender::apply_stop(Machine& machine, const RemoteTaskCommand& command) {
     auto [it, added] = machine.remote_stops.try_emplace(command.launch, command.grace_s);
     if (!added && command.grace_s >= it->second) {
@@ -366,6 +372,7 @@
     }
 }
 
+// Sets the resources of a task that this leader does not know after a failover.
 void SlotLender::apply_resources(Machine& machine, const RemoteTaskCommand& command) {
     for (auto& [task, placement] : machine.tasks) {
         if (launch_id(placement.attempt, task.index) == command.launch &&
@@ -404,9 +411,9 @@
                       std::uint32_t member) {
     Borrower& borrower_state = borrowers_.at(borrower);
     if (request.attempt != 0 && machine.lent_slots.contains(launch_id(request.attempt, member))) {
-        // Lent already: the borrower holds the slot, or does not know of it and will when it is
-        // fenced. A second slot of the same launch id could be returned, and the task on the first
-        // taken for gone.
+        // Already lent: the borrower holds the slot, or the grant was lost and the slot will be
+        // fenced. A second slot under the same launch id could be returned, and the task launched
+        // on the first would then be treated as gone.
         --request.count;
         return;
     }
@@ -424,9 +431,10 @@
     --borrower_state.slots_left;
 }
 
-// Does the machine have a slot that its present fencing token admits, and whose launch does not
-// show in time, or that an earlier leader of the borrowing partition got? A higher token makes sure
-// that the launch never takes effect, and the next heartbeat under it frees the slot.
+// Returns whether the machine has a slot that was lent under its current fencing token and either
+// has no reported launch in time or was lent to an earlier leader of the borrowing partition.
+// Raising the token ensures that the launch never takes effect; the next heartbeat under the new
+// token frees the slot.
 bool SlotLender::must_fence(Time now, const Machine& machine) const {
     double max_age_s = kLaunchTimeoutHeartbeats * settings_.heartbeat_interval_s;
     return std::any_of(machine.lent_slots.begin(), machine.lent_slots.end(),
@@ -451,8 +459,8 @@
         }
         return false;
     });
-    // The new leader of a partition places no older task until these slots are resolved, and a
-    // heartbeat under the new token may be two intervals away.
+    // A new leader of the borrowing partition places no tasks of older jobs until these slots are
+    // resolved. Without the request, the heartbeat under the new token may take two intervals.
     for (Machine* machine : to_fence) {
         machines_.fence(*machine);
         delegate_.update_slot_lists(*machine);
--- a/src/core/stealing/slot_lender.h
+++ b/src/core/stealing/slot_lender.h
@@ -1,8 +1,8 @@
-// The lender's side of work stealing between partitions. A leader that owns machines lends idle
-// slots to the leaders of other partitions, the borrowers; it takes their slot requests, and
-// reports in an inventory what became of their tasks here. "Stolen slots" and "What owners list for
-// each other" in docs/design.md say why no task runs twice. This is the paper's steal of an idle
-// core from another scheduler core's list, as a call.
+// The lender's side of work stealing between partitions. A leader that owns machines receives the
+// slot requests of the leaders of other partitions, the borrowers, and lends them idle slots. It
+// reports the state of their tasks on its machines in an inventory. "Stolen slots" and "What owners
+// list for each other" in docs/design.md say why no task runs twice. In the paper a scheduler core
+// steals an idle core directly from another scheduler core's list; here it does so by a request.
 #pragma once
 
 #include "core/autoscaling/demand_tracker.h"
@@ -11,24 +11,25 @@
 
 namespace scheduler {
 
-// The slots that a request asks for, as a job with those requirements.
+// Returns a job with the resource and placement requirements of the slot request.
 JobSpec requested_resources(const SlotRequest& request);
 
 // Called only from the controller's event loop.
 class SlotLender {
   public:
-    // What the lender needs of its partition's leader.
+    // Implemented by the partition leader.
     struct Delegate {
         virtual ~Delegate() = default;
-        // The machine's idle slots have changed.
+        // Updates the slot lists after the machine's idle slots have changed.
         virtual void update_slot_lists(Machine& machine) = 0;
-        // The machine's inventory is awaited: it is to be probed at once.
+        // Requests the inventory of the machine from its worker at once.
         virtual void request_inventory(const std::string& machine) = 0;
-        // Slot requests have changed: idle slots go to whoever is first in the pending queue.
+        // Assigns idle slots after the slot requests have changed, in the order of the pending
+        // queue.
         virtual void on_slot_requests(Time now) = 0;
-        // The caller has provisioned a machine of this partition.
+        // A borrower has provisioned a machine of this partition.
         virtual void expect_machine(Time now, const ProvisionedMachine& machine) = 0;
-        // The caller has transferred a shard to this partition.
+        // A borrower has transferred a shard to this partition.
         virtual void accept_transfer(Time now, const ShardTransfer& transfer) = 0;
     };
     SlotLender(Leadership& leadership, const ClusterSettings& settings,
@@ -36,50 +37,56 @@
                DemandTracker& demand, OutboundRequests& requests, Delegate& delegate);
 
     // Handles a peer sync of another partition's leader. Responds at once: 503 if the partition is
-    // unknown, 409 if a later leader or a later call has come, else 200.
+    // unknown, 409 if the request is outdated (a later leader of the partition is known, or a later
+    // request was already handled), otherwise 200 with the inventory and the granted slots.
     void handle_sync(Time now, RequestId request_id, const PeerSyncRequest& request);
-    // The slot requests of all borrowers, for the pending queue.
+    // Returns the latest slot requests of all borrowers, for the pending queue.
     std::vector<PeerSlotRequests> slot_requests();
-    // The number of slots that the borrower still accepts before it calls again.
+    // Returns how many more slots may be lent to the borrower before its next peer sync.
     std::uint32_t slots_left(int borrower) const { return borrowers_.at(borrower).slots_left; }
-    // Lends slots for one task of the request on the machine, which must have them.
+    // Lends slots for one task of the request on the machine, which must have enough idle slots.
+    // `member`: the task's index, if the request is for a gang.
     void lend(Time now, Machine& machine, int borrower, SlotRequest& request,
               std::uint32_t member = 0);
-    // The inventory of the machine's remote tasks may have changed.
+    // Called when the inventory of the machine's remote tasks may have changed.
     void on_machine_changed(Machine& machine);
-    // All machines of the shard are reconciled: from now on its inventory is complete.
+    // Called when all machines of the shard are reconciled. From now on its inventory is complete.
     void publish_shard(const ShardId& shard) { published_shards_[shard] = ++version_; }
-    // The shard is another partition's, or about to be.
+    // Called when the shard has been transferred to another partition, or is about to be.
     void unpublish_shard(const ShardId& shard) { published_shards_.erase(shard); }
-    // The machine migrates with its shard, whose new owner reports it.
+    // Called when the machine migrates with its shard. The shard's new owner reports its tasks.
     void on_machine_migrated_out(const Machine& machine) {
         change_log_.erase(machine.remote_tasks_version);
     }
-    // The machine is about to be removed from the table. A borrower may not know yet that its tasks
-    // there are gone, so the change stays in the log.
+    // Called before the machine is removed from the machine table. Logs the removal as a change,
+    // since a borrower may not know yet that its tasks there are gone.
     void on_machine_removed(const Machine& machine);
-    // Raises the fencing token of machines with lent slots whose launch does not show.
+    // Raises the fencing token of machines with lent slots whose launch was not reported in time,
+    // or which were lent to an earlier leader of the borrowing partition.
     void fence_lent_slots(Time now);
-    // Did a task complete on the machine without its job's leader knowing of it yet?
+    // Returns whether a remote task completed on the machine and the leader of its job has not
+    // acknowledged that yet.
     bool has_unacked_exits(const Machine& machine) const;
-    // Have the leaders of all other partitions called?
+    // Returns whether leaders of all other partitions have synced with this one.
     bool all_borrowers_synced() const;
-    // The term under which the partition's leader last called; 0: it has not.
+    // Returns the term of the latest peer sync from the partition, 0 if there was none.
     std::uint64_t last_synced_term(int partition) const {
         return borrowers_.at(partition).synced_term;
     }
-    // The full inventory for the partition's leader under that term, as if it had called; none
-    // while the inventory would not be complete. From then on calls of earlier leaders are refused.
+    // Returns the full inventory for the partition's leader of the given term, without a peer sync
+    // from it. Returns nothing if the term is outdated, or as long as the inventory is incomplete.
+    // Peer syncs under earlier terms are rejected from then on.
     std::optional<PeerSyncResponse> inventory_for(Time now, int partition, std::uint64_t term);
-    // Machines visited so far, as a measure of work for tests.
+    // Number of machines examined so far, as a measure of work for tests.
     std::uint64_t effort() const { return effort_; }
 
   private:
+    // What is known of another partition's leader, mostly from its latest peer sync.
     struct Borrower {
-        std::uint64_t term = 0;          // the latest that is known
-        std::uint64_t synced_term = 0;   // ... and that it has called under
-        std::uint64_t sequence = 0;      // of that call
-        std::uint64_t acked_version = 0; // the version of the inventory that it has applied
+        std::uint64_t term = 0;          // latest known term of the partition
+        std::uint64_t synced_term = 0;   // term of the latest peer sync; 0: none yet
+        std::uint64_t sequence = 0;      // sequence of the latest peer sync
+        std::uint64_t acked_version = 0; // version of this lender's inventory that it has applied
         std::vector<SlotRequest> requests;
         Time requested_at = 0;
         std::uint32_t slots_left = 0;
@@ -117,13 +124,13 @@
     OutboundRequests& requests_;
     Delegate& delegate_;
     std::map<int, Borrower> borrowers_;
-    // Machines by the version at which their inventory of remote tasks last changed, so that a
-    // borrower is told of changes only.
+    // The machine whose inventory of remote tasks last changed at each version. With it, a response
+    // reports only what has changed since the version that the borrower acknowledged.
     std::map<std::uint64_t, std::string> change_log_;
     std::uint64_t version_ = 1;
-    std::set<std::string> machines_with_lent_slots_;    // machines that may have some
-    std::map<ShardId, std::uint64_t> published_shards_; // with the version of their publication
-    std::uint64_t dropped_version_ = 0; // changes up to it may have been dropped from the log
+    std::set<std::string> machines_with_lent_slots_;    // may include machines without any
+    std::map<ShardId, std::uint64_t> published_shards_; // with the version of publication
+    std::uint64_t dropped_version_ = 0; // changes up to this version may be missing from the log
     std::uint64_t effort_ = 0;
 };
 
