--- a/src/core/scheduling/pending_queue.cpp
+++ b/src/core/scheduling/pending_queue.cpp
@@ -47,8 +47,8 @@
 }
 
 void PendingQueue::on_job_arrived(const JobSpec& spec) {
-    ++class_counts_[spec.job_class].seen;
-    ++team_counts_[spec.team].seen;
+    ++class_counts_[spec.job_class].arrived;
+    ++team_counts_[spec.team].arrived;
 }
 
 void PendingQueue::on_job_done(const JobSpec& spec) {
@@ -75,8 +75,8 @@
 
 Time PendingQueue::due(Time now, const Job& job) const {
     // A job that can no longer meet any objective is ordered after those that can.
-    Time next = due_without_objective(job);
-    double shortest_s = min_run_time_s(job);
+    Time earliest = due_without_objective(job);
+    double min_run_s = min_run_time_s(job);
     for (const auto& objective : settings_.objectives) {
         if (objective.job_class != job.spec.job_class) {
             continue;
@@ -89,11 +89,11 @@
             job.first_seen +
             (is_deadline ? *job.spec.deadline_s * objective.deadline_factor : objective.within_s);
         bool is_wait = objective.kind == ServiceLevelObjective::Kind::wait;
-        if (due_at > now + (is_wait ? 0 : shortest_s)) {
-            next = std::min(next, due_at);
+        if (due_at > now + (is_wait ? 0 : min_run_s)) {
+            earliest = std::min(earliest, due_at);
         }
     }
-    return next;
+    return earliest;
 }
 
 // Sets the due time of each open job, regardless of whether its team has the capacity to meet all
@@ -102,8 +102,10 @@
 PendingQueue::JobsByTeam PendingQueue::assign_due_times(Time now) {
     JobsByTeam by_team;
     for (const auto& [id, job] : jobs_.all()) {
-        bool idle = !job->open() || job->waiting.empty();
-        job->waiting_since = idle ? 0 : job->waiting_since > 0 ? job->waiting_since : now;
+        bool nothing_waiting = !job->open() || job->waiting.empty();
+        job->waiting_since = nothing_waiting          ? 0
+                             : job->waiting_since > 0 ? job->waiting_since
+                                                      : now;
         // The largest job of a team is postponed again with each small job that arrives, so it
         // could wait indefinitely. Placing one of its tasks hardly delays the others.
         job->awaits_first_task = job->spec.kind == JobKind::array && job->placed + job->done == 0 &&
@@ -129,11 +131,12 @@
                std::tie(b->spec.priority, b->due, b->spec.id);
     });
     const TeamQuota& quota = *quotas_.quota(team);
-    double slots = std::max(1.0, quotas_.entitled_amount(team));
+    double entitled_amount = std::max(1.0, quotas_.entitled_amount(team));
     std::set<AcceptedJob> accepted;
     double total_work_s = 0;
     for (Job* job : jobs) {
-        double work_s = remaining_s(*job) * quota.amount(job->spec.cpus, job->spec.gpus) / slots;
+        double work_s =
+            remaining_s(*job) * quota.amount(job->spec.cpus, job->spec.gpus) / entitled_amount;
         total_work_s += work_s;
         accepted.insert({work_s, job->spec.id, job});
         while (total_work_s > kInfeasibleLoadFactor * (job->due - now) && !accepted.empty()) {
@@ -210,19 +213,19 @@
 // all machines. Such a team determines when all work is done: whenever it runs below its limit, the
 // end is delayed.
 void PendingQueue::find_bottleneck_teams(double slots, double remaining_slot_s) {
-    std::map<std::string, double> work_by_team; // in seconds times TeamQuota::amount
+    std::map<std::string, double> remaining_work_by_team; // in seconds times TeamQuota::amount
     for (const auto& [id, job] : jobs_.all()) {
         const TeamQuota* quota = quotas_.quota(job->spec.team);
         if (job->open() && quota) {
             double amount = quota->amount(job->spec.cpus, job->spec.gpus);
-            work_by_team[quota->name] += remaining_s(*job) * amount;
+            remaining_work_by_team[quota->name] += remaining_s(*job) * amount;
         }
     }
-    double cluster_s = remaining_slot_s / std::max(1.0, slots);
-    double min_s = std::max(cluster_s, settings_.heartbeat_interval_s);
+    double cluster_duration_s = remaining_slot_s / std::max(1.0, slots);
+    double threshold_s = std::max(cluster_duration_s, settings_.heartbeat_interval_s);
     bottleneck_teams_.clear();
-    for (const auto& [team, work] : work_by_team) {
-        if (work > min_s * quotas_.quota(team)->limit()) {
+    for (const auto& [team, work] : remaining_work_by_team) {
+        if (work > threshold_s * quotas_.quota(team)->limit()) {
             bottleneck_teams_.insert(team);
         }
     }
@@ -231,15 +234,16 @@
 // Returns whether the job is far past its latest objective: see kOverdueFactor. A job whose
 // objectives allow less than the worker lease is treated as if they allowed that much.
 bool PendingQueue::is_overdue(Time now, const Job& job) const {
-    double latest_s = settings_.worker_lease_s;
+    double latest_objective_s = settings_.worker_lease_s;
     for (const auto& objective : settings_.objectives) {
         if (objective.job_class == job.spec.job_class) {
             bool is_deadline = objective.kind == ServiceLevelObjective::Kind::deadline;
             double deadline_s = job.spec.deadline_s.value_or(0) * objective.deadline_factor;
-            latest_s = std::max(latest_s, is_deadline ? deadline_s : objective.within_s);
+            latest_objective_s =
+                std::max(latest_objective_s, is_deadline ? deadline_s : objective.within_s);
         }
     }
-    return now > job.first_seen + kOverdueFactor * latest_s;
+    return now > job.first_seen + kOverdueFactor * latest_objective_s;
 }
 
 // Finds the classes and teams that need a minimum share of the slots. Without it, some of them
@@ -261,7 +265,7 @@
         }
         bool has_overdue_job = !job->waiting.empty() && is_overdue(now, *job);
         for (Usage* usage : {&classes[spec.job_class], &teams[spec.team]}) {
-            usage->running += job->placed * quota->amount(spec.cpus, spec.gpus);
+            usage->used_amount += job->placed * quota->amount(spec.cpus, spec.gpus);
             usage->has_overdue_job = usage->has_overdue_job || has_overdue_job;
         }
     }
@@ -276,21 +280,21 @@
     starving_classes_.clear();
     for (const auto& [name, usage] : usages) {
         if (usage.has_overdue_job && !class_counts_[name].is_half_done() &&
-            usage.running < fair_share) {
+            usage.used_amount < fair_share) {
             starving_classes_.insert(name);
         }
     }
 }
 
 void PendingQueue::find_starving_teams(const UsageByName& usages, double slots) {
-    double guarantees = std::max(1.0, quotas_.total_guarantee());
+    double total_guarantee = std::max(1.0, quotas_.total_guarantee());
     starving_teams_.clear();
     for (const auto& [name, usage] : usages) {
         const TeamQuota& quota = *quotas_.quota(name);
         double guaranteed = quota.amount(quota.guaranteed_cpus, quota.guaranteed_gpus);
-        double team_share = guaranteed / guarantees * slots;
+        double fair_share = guaranteed / total_guarantee * slots;
         if (usage.has_overdue_job && !team_counts_[name].is_half_done() &&
-            usage.running < team_share) {
+            usage.used_amount < fair_share) {
             starving_teams_.insert(name);
         }
     }
--- a/src/core/scheduling/pending_queue.h
+++ b/src/core/scheduling/pending_queue.h
@@ -92,17 +92,17 @@
     static double remaining_s(const Job& job);
 
   private:
-    static constexpr double kNoObjectiveDueS = 1e6;
+    static constexpr double kNoObjectiveDelayS = 1e6;
 
     // The jobs of a class or team that were counted since this leadership term began.
     struct JobCounts {
-        std::uint64_t seen = 0;
+        std::uint64_t arrived = 0;
         std::uint64_t done = 0;
-        bool is_half_done() const { return 2 * done >= seen; }
+        bool is_half_done() const { return 2 * done >= arrived; }
     };
     // What the placed tasks of a class or team use.
     struct Usage {
-        double running = 0;           // in the resources of TeamQuota::amount
+        double used_amount = 0;       // in the resources of TeamQuota::amount
         bool has_overdue_job = false; // at least one pending job is overdue: see is_overdue
     };
     using UsageByName = std::map<std::string, Usage>;
@@ -111,7 +111,9 @@
     double min_run_time_s(const Job& job) const;
     // Returns the due time of a job that cannot meet any objective: late enough for it to be
     // ordered after the jobs that can.
-    static Time due_without_objective(const Job& job) { return job.first_seen + kNoObjectiveDueS; }
+    static Time due_without_objective(const Job& job) {
+        return job.first_seen + kNoObjectiveDelayS;
+    }
     void update_due_times(Time now);
     JobsByTeam assign_due_times(Time now);
     void postpone_infeasible(Time now, const std::string& team, std::vector<Job*>& jobs);
--- a/src/core/stealing/slot_lender.cpp
+++ b/src/core/stealing/slot_lender.cpp
@@ -60,11 +60,11 @@
 }
 
 std::vector<PeerSlotRequests> SlotLender::slot_requests() {
-    std::vector<PeerSlotRequests> all;
+    std::vector<PeerSlotRequests> requests;
     for (auto& [partition, borrower] : borrowers_) {
-        all.push_back({partition, borrower.requested_at, &borrower.requests});
+        requests.push_back({partition, borrower.requested_at, &borrower.requests});
     }
-    return all;
+    return requests;
 }
 
 bool SlotLender::all_borrowers_synced() const {
@@ -207,11 +207,11 @@
         }
         auto published = published_shards_.find(id);
         bool reconciled = published != published_shards_.end();
-        bool is_new =
+        bool send_full =
             response.complete || (reconciled && request.acked_version < published->second);
         response.reconciled = response.reconciled && reconciled;
-        response.shards->push_back({id, shard.term, reconciled, is_new});
-        if (is_new) {
+        response.shards->push_back({id, shard.term, reconciled, send_full});
+        if (send_full) {
             full_shards.insert(id);
         }
     }
