--- a/src/core/stealing/slot_borrower.cpp
+++ b/src/core/stealing/slot_borrower.cpp
@@ -1,4 +1,3 @@
-// Implementation of the borrowing of slots; see the header.
 #include "core/stealing/slot_borrower.h"
 
 #include <algorithm>
@@ -8,12 +7,15 @@
 namespace scheduler {
 
 namespace {
-constexpr double kMaxBatchSlots = 64;               // per sync
-constexpr std::size_t kMaxRequestsPerSync = 24;     // jobs for which slots are requested
-constexpr std::size_t kMaxCommandsPerSync = 256;    // commands about remote tasks
+constexpr double kMaxBatchSlots = 64;               // slots requested in one sync
+constexpr std::size_t kMaxRequestsPerSync = 24;     // slot requests, each for a different job
+constexpr std::size_t kMaxCommandsPerSync = 256;    // commands for remote tasks
 constexpr std::size_t kMaxProvisionedPerSync = 256; // provisioned machines
-constexpr double kIdleSyncsPerHeartbeat = 3;        // while there is nothing to borrow
+// Syncs per heartbeat interval while no slots are requested, no remote task is on the peer's
+// machines and this partition is reconciled.
+constexpr double kIdleSyncsPerHeartbeat = 3;
 
+// Returns the command that tells the lender the resources of a task.
 RemoteTaskCommand describe_command(const std::string& machine, const LaunchId& id,
                                    const JobSpec& spec) {
     return {RemoteTaskCommand::Type::describe,
@@ -116,6 +118,9 @@
     return request;
 }
 
+// Completes the request for all waiting tasks of a gang. Every other sync requests only the slots
+// that a reservation lacks. Returns false if the team's quota does not suffice or no slots are
+// needed.
 bool SlotBorrower::request_gang(const Job& job, const Peer& peer, QuotaLedger& quota_left,
                                 SlotRequest& request) {
     const JobSpec& spec = job.spec;
@@ -129,10 +134,11 @@
     return true;
 }
 
+// Sets how many slots to request for the job, within the batch and its team's quota.
 void SlotBorrower::set_slot_count(const Job& job, const Peer& peer, bool first_task_only,
                                   QuotaLedger& quota_left, SlotRequest& request) {
     const JobSpec& spec = job.spec;
-    // After its first task, the job is ordered like the others again.
+    // Only the first task precedes other jobs; afterwards the job is ordered as usual.
     std::size_t max_count = first_task_only ? 1 : job.waiting.size();
     while (request.count < peer.batch && request.count < max_count &&
            quota_left.fits(spec.team, spec.cpus, spec.gpus)) {
@@ -148,7 +154,7 @@
     auto peer_index =
         static_cast<std::uint64_t>(std::distance(peers_.begin(), peers_.find(partition)));
     std::vector<SlotRequest> requests;
-    QuotaLedger quota_left = quotas_; // so that slots are not requested beyond a team's limit
+    QuotaLedger quota_left = quotas_; // prevents requests for slots beyond a team's limit
     for (const Job* job : jobs_awaiting_slots(now, peer_index)) {
         bool first_task_only = requests_first_task_from(now, *job, peer_index);
         SlotRequest request = make_slot_request(now, *job, first_task_only);
@@ -257,13 +263,14 @@
     peer.transfers.erase(peer.transfers.begin(),
                          peer.transfers.begin() + static_cast<std::ptrdiff_t>(sent_sync.transfers));
     for (const auto& name : sent_sync.provisioned) {
-        demand_.remove_provisioned(name); // the owner's capacity in this response includes it
+        demand_.remove_provisioned(name); // the peer's capacity in this response includes it
     }
     on_response(now, sent_sync.partition, sent_sync.max_slots, *response.peer_sync);
 }
 
-// The first batch is small. While all requested slots are granted, the next batch is twice as large
-// and follows at once.
+// Adapts the number of slots to request from the peer next. While it grants all requested slots,
+// the batch doubles and the next sync follows at once; otherwise the batch is halved, down to the
+// initial one.
 void SlotBorrower::adapt_batch(Time now, Peer& peer, std::uint32_t max_slots,
                                std::size_t granted) const {
     if (max_slots > 0 && granted >= max_slots) {
@@ -284,8 +291,8 @@
             return entry.second.type == RemoteTaskCommand::Type::return_slot;
         });
     if (returns_slots) {
-        // The slots are returned at once. Requesting them again at once would pass the same slots
-        // back and forth with each sync.
+        // Return the slots at once, but wait before requesting others: the peer would grant the
+        // same slots again, and they would be passed back and forth with each sync.
         peer.next_sync_at = now;
         peer.requests_paused_until = now + policy_.peer_sync_interval_s;
     }
@@ -364,8 +371,8 @@
     ShardInventories current;
     for (const auto& inventory : reported) {
         if (const OwnedShards::Shard* own = owned_shards_.find(inventory.shard)) {
-            // A term later than this partition's: the shard has migrated out, but the response to
-            // that transaction has not arrived yet.
+            // If the reported term is later than this partition's, the shard has migrated out, but
+            // the store's response to that transaction has not arrived yet.
             complete = complete && inventory.term < own->term;
             continue;
         }
@@ -408,7 +415,8 @@
     }
 }
 
-// Handles the exit of a remote task.
+// Handles the exit of a remote task. `is_recorded`: the task is in `remote_tasks_` with this
+// attempt and machine.
 void SlotBorrower::apply_exit(Time now, Peer& peer, const RemoteTaskStatus& remote_task,
                               bool is_recorded) {
     const TaskStatus& status = remote_task.status;
@@ -444,7 +452,8 @@
     return true;
 }
 
-// Queues the stop of a remote task that must not run there. Returns false if the task may run.
+// Queues a command to stop the remote task if it must not run, or not on that machine. Returns
+// false if it may continue to run.
 bool SlotBorrower::stop_unwanted(Peer& peer, const RemoteTaskStatus& remote_task,
                                  bool is_recorded) {
     const TaskStatus& status = remote_task.status;
@@ -467,6 +476,7 @@
     return true;
 }
 
+// Applies the status of one remote task from a current inventory under the shard's `term`.
 void SlotBorrower::apply_task_status(Time now, int partition, Peer& peer,
                                      const RemoteTaskStatus& remote_task, std::uint64_t term) {
     const TaskStatus& status = remote_task.status;
@@ -497,7 +507,8 @@
     }
 }
 
-// Adds to `absent` the tasks whose shard the response covers but which it does not report.
+// Adds to `absent` the tasks whose shard the response covers but which it does not report. With
+// `needs_complete` only shards that were reported in full count.
 void SlotBorrower::collect_absent(const std::set<TaskId>& tasks,
                                   const ShardInventories& inventories,
                                   const ReportedLaunches& reported, bool needs_complete,
@@ -517,6 +528,7 @@
     }
 }
 
+// Handles as gone the remote tasks that the response covers but does not report.
 void SlotBorrower::apply_absent(Time now, const PeerSyncResponse& response,
                                 const ShardInventories& inventories) {
     ReportedLaunches reported;
@@ -693,7 +705,7 @@
         auto it = remote_tasks_.find(task);
         if ((response.status != 409 && !response.never_sent) || it == remote_tasks_.end() ||
             it->second.attempt != id.attempt || it->second.machine != machine) {
-            return; // executed, or possibly running until the lender reports or fences it
+            return; // executed or possibly running: the lender will report or fence the launch
         }
         // The command was rejected or never sent, so it will never be executed: return the slot.
         queue_command(peers_.at(partition), {RemoteTaskCommand::Type::return_slot, machine, id});
@@ -743,7 +755,7 @@
                                   remote.agent_epoch,
                                   {{CommandType::stop, task, remote.attempt, grace_s}}},
                    [](Time, OutboundResponse&) {
-                   }); // only the lender's inventory confirms that the task is gone
+                   }); // ignored: only the lender's inventory confirms that the task is gone
     return true;
 }
 
--- a/src/core/stealing/slot_borrower.h
+++ b/src/core/stealing/slot_borrower.h
@@ -1,7 +1,7 @@
 // The borrower's side of work stealing between partitions. A leader whose jobs need slots requests
 // them from the leaders of other partitions, the lenders; it launches tasks on the slots that were
-// granted, and learns from the lenders' inventories what became of the tasks there. See "Stolen
-// slots" in docs/design.md; the slot lender answers with the inventories.
+// granted, and receives the state of these tasks with the lenders' inventories (see slot_lender.h).
+// See "Stolen slots" in docs/design.md.
 #pragma once
 
 #include "core/autoscaling/demand_tracker.h"
@@ -66,9 +66,9 @@
     void sync_due_peers(Time now);
     // Makes all peers due at once, as any of them may have idle slots.
     void sync_soon();
-    // Applies an inventory that another partition's leader posted in the store. It is ignored once
-    // a peer sync under the same term was answered: it may be older than the slots granted in that
-    // response.
+    // Applies an inventory that another partition's leader posted in the store. The inventory is
+    // ignored once that leader has answered a peer sync under the same term, because it may be
+    // older than the slots granted in that response.
     void apply_posted_inventory(Time now, int partition, const PeerSyncResponse& response);
     // Returns whether the shard's owner has sent a complete inventory of this partition's tasks in
     // the shard.
@@ -82,9 +82,9 @@
     // Requests a full inventory from the partition. Needed when a held grant is used: the lender
     // may have reported the machine as gone in the meantime and does not report that again.
     void request_full_resync(int partition) { ++peers_.at(partition).resyncs_requested; }
-    // Returns the slot to the lender, unless its task was launched on it.
+    // Returns the slot to the lender, unless a task was launched on it.
     void return_grant(int partition, const SlotGrant& grant);
-    // Asks the lenders to stop the job's tasks, or one task, on their machines.
+    // Sends the lenders a command to stop the job's remote tasks, or one remote task.
     void stop_job(const std::string& job, double grace_s);
     void stop_task(const TaskId& task, double grace_s);
     // Sends the command to stop the task directly to the worker if the lender has not acknowledged
@@ -118,13 +118,13 @@
     };
     struct Peer {
         bool in_flight = false;
-        Time next_sync_at = 0;                // of the next peer sync
+        Time next_sync_at = 0;
         std::uint64_t latest_leader_term = 0; // latest known term of its leader
         std::uint64_t synced_term = 0;        // latest term of a leader that answered a sync
         std::size_t tasks = 0;                // remote tasks on its machines
         double batch = 0;                     // slots to request in a sync
-        std::uint64_t last_sequence = 0;
-        Time requests_paused_until = 0;                         // slots were returned
+        std::uint64_t last_sequence = 0;      // of the peer syncs sent
+        Time requests_paused_until = 0;       // set when slots are returned
         std::map<RemoteLaunch, RemoteTaskCommand> commands;     // until a sync is answered
         std::vector<ShardTransfer> transfers;                   // until a sync is answered
         std::map<RemoteLaunch, RemoteTaskStatus> unacked_exits; // exits not durable here yet
@@ -133,7 +133,8 @@
         std::uint64_t resyncs_requested = 0; // number of full inventories requested
         std::uint64_t resyncs_answered = 0;
     };
-    // What a peer sync sent, to be removed from the peer's pending data when it is answered.
+    // The pending data that was sent with a peer sync. It is removed from the peer when the sync is
+    // answered.
     struct SentSync {
         int partition = 0;
         std::uint32_t max_slots = 0;
--- a/src/core/stealing/slot_lender.cpp
+++ b/src/core/stealing/slot_lender.cpp
@@ -372,7 +372,7 @@
     }
 }
 
-// Sets the resources of a task that this leader does not know after a failover.
+// Sets the resources of a task if this leader lacks them since a failover.
 void SlotLender::apply_resources(Machine& machine, const RemoteTaskCommand& command) {
     for (auto& [task, placement] : machine.tasks) {
         if (launch_id(placement.attempt, task.index) == command.launch &&
--- a/src/core/stealing/slot_lender.h
+++ b/src/core/stealing/slot_lender.h
@@ -1,8 +1,8 @@
 // The lender's side of work stealing between partitions. A leader that owns machines receives the
 // slot requests of the leaders of other partitions, the borrowers, and lends them idle slots. It
 // reports the state of their tasks on its machines in an inventory. "Stolen slots" and "What owners
-// list for each other" in docs/design.md say why no task runs twice. In the paper a scheduler core
-// steals an idle core directly from another scheduler core's list; here it does so by a request.
+// list for each other" in docs/design.md say why no task runs twice. This corresponds to the
+// paper's steal of an idle core from another scheduler core's list, done as a request.
 #pragma once
 
 #include "core/autoscaling/demand_tracker.h"
@@ -22,10 +22,10 @@
         virtual ~Delegate() = default;
         // Updates the slot lists after the machine's idle slots have changed.
         virtual void update_slot_lists(Machine& machine) = 0;
-        // Requests the inventory of the machine from its worker at once.
+        // Probes the machine at once for its inventory.
         virtual void request_inventory(const std::string& machine) = 0;
-        // Assigns idle slots after the slot requests have changed, in the order of the pending
-        // queue.
+        // Slot requests have changed: assigns idle slots in the order of the pending queue and
+        // preempts tasks where that is allowed.
         virtual void on_slot_requests(Time now) = 0;
         // A borrower has provisioned a machine of this partition.
         virtual void expect_machine(Time now, const ProvisionedMachine& machine) = 0;
@@ -38,7 +38,8 @@
 
     // Handles a peer sync of another partition's leader. Responds at once: 503 if the partition is
     // unknown, 409 if the request is outdated (a later leader of the partition is known, or a later
-    // request was already handled), otherwise 200 with the inventory and the granted slots.
+    // request was already handled), otherwise 200 with the changes of the inventory and the granted
+    // slots.
     void handle_sync(Time now, RequestId request_id, const PeerSyncRequest& request);
     // Returns the latest slot requests of all borrowers, for the pending queue.
     std::vector<PeerSlotRequests> slot_requests();
