--- a/src/core/scheduling/gang_scheduler.cpp
+++ b/src/core/scheduling/gang_scheduler.cpp
@@ -177,8 +177,9 @@
     return max_slots;
 }
 
-// With our own slots for the rest the grants become an attempt; else they are held for a moment or
-// go back, and nothing starts.
+// If the partition's own slots suffice for the remaining members, launches all members as one
+// attempt. Otherwise nothing is launched: the grants are held if they belong to the reservation,
+// and returned if not.
 void GangScheduler::on_grants(Time now, int partition, const std::vector<SlotGrant>& grants) {
     Job* job = jobs_.find(grants.front().job);
     std::uint64_t number = grants.front().launch.attempt;
@@ -204,7 +205,7 @@
     } else if (has_reservation) {
         reservation_->grants = std::move(held);
         if (reservation_->until == 0) {
-            // Earlier than the lender fences the slots.
+            // Must be earlier than the lender fences the slots.
             reservation_->until = now + settings_.heartbeat_interval_s;
         }
     } else {
@@ -212,6 +213,7 @@
     }
 }
 
+// Returns whether the gang may be launched now, on slots granted for this attempt.
 bool GangScheduler::can_use_grants(Time now, const Job* job, std::uint64_t attempt) const {
     if (!job || !leadership_.is_active(now) || !delegate_.has_schedulable_tasks(now, *job) ||
         !gang_fits_quota(quotas_, *job)) {
@@ -238,8 +240,8 @@
         }
         auto same = held.find(member);
         if (same == held.end() || same->second.grant.machine != grant.machine) {
-            borrower_.return_grant(partition,
-                                   grant); // unless the grant is for the slot that is already held
+            // Not returned if it repeats the grant of the slot that is already held.
+            borrower_.return_grant(partition, grant);
         }
     }
 }
@@ -316,8 +318,8 @@
 
 // ---- The end of an attempt ----
 
-// The stops are sent to all tasks at once, and directly: a task that is not stopped in time cannot
-// save its state.
+// Stops all tasks at the same time and without waiting for heartbeats: a task that is not stopped
+// in time cannot save its state.
 void GangScheduler::end_attempt(Time now, const std::string& id, bool may_save) {
     Job* job = jobs_.find(id);
     if (!job || !gangs_.end(id, may_save)) {
@@ -348,8 +350,8 @@
     }
 }
 
-// The tasks of a gang complete together, so one completed task shows that all are, even if the
-// machine of another was lost before it reported the completion.
+// The tasks of a gang complete together, so one completed task implies that all have completed,
+// even if the machine of another task was lost before it reported the completion.
 void GangScheduler::on_task_gone(Time now, Job& job, ExitReason reason) {
     const std::string id = job.spec.id;
     const GangTracker::Attempt* attempt = gangs_.find(id);
--- a/src/core/scheduling/gang_scheduler.h
+++ b/src/core/scheduling/gang_scheduler.h
@@ -34,7 +34,7 @@
         virtual bool has_schedulable_tasks(Time now, const Job& job) const = 0;
         // Returns whether all tasks that earlier leaders launched are reconciled.
         virtual bool reconciled() const = 0;
-        // A start command that was queued for the machine was cancelled before it was sent.
+        // A start command that was queued for the machine has been cancelled before it was sent.
         virtual void on_task_removed(Time now, const std::string& machine,
                                      const HeartbeatResult::RemovedTask& removed) = 0;
         virtual void on_gang_complete(Time now, Job& job) = 0;
@@ -73,7 +73,7 @@
     // Stops all tasks of the gang's attempt. With `may_save` they get a grace period to save their
     // state.
     void end_attempt(Time now, const std::string& id, bool may_save);
-    // Another task of the gang is known to be gone.
+    // Called when a task of the gang is known to be gone.
     void on_task_gone(Time now, Job& job, ExitReason reason);
     // Updates the gangs with tasks on the machine from its latest inventory: records that they run,
     // and ends the attempts on a machine with a preemption notice.
--- a/src/core/scheduling/gang_tracker.cpp
+++ b/src/core/scheduling/gang_tracker.cpp
@@ -1,4 +1,3 @@
-// Implementation of the gang tracker; see the header.
 #include "core/scheduling/gang_tracker.h"
 
 namespace scheduler {
--- a/src/core/scheduling/preemptor.cpp
+++ b/src/core/scheduling/preemptor.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-struct Victim { // a task that may be stopped, ordered by run time
+struct Victim { // a task that may be stopped, ordered by its run time so far
     double run_s = 0;
     TaskId task;
     auto operator<=>(const Victim&) const = default;
@@ -35,7 +35,7 @@
     }
 };
 
-// Returns the tasks on the machine that may be stopped for the job, shortest run time first.
+// Returns the tasks on the machine that may be stopped for the job, shortest run time so far first.
 std::vector<Victim> find_victims(Time now, const Machine& machine, const JobSpec& spec,
                                  bool within_guarantee) {
     std::vector<Victim> victims;
@@ -54,8 +54,8 @@
     return victims;
 }
 
-// Returns up to `max_options` options on the machine. Each lists the victims that it needs in
-// addition to those of the options before it.
+// Returns up to `max_options` options on the machine, each for one task. An option lists only the
+// victims that it needs in addition to those of the options before it.
 std::vector<PreemptionOption> options_on(Machine& machine, const JobSpec& spec,
                                          const std::vector<Victim>& victims,
                                          std::size_t max_options) {
@@ -106,6 +106,8 @@
     }
 }
 
+// Returns whether tasks may be stopped for the pending job. Jobs beyond their team's guarantee
+// qualify only with production priority.
 bool Preemptor::may_preempt_for(const PendingJob& candidate) {
     if (candidate.kind == JobKind::array ||
         (candidate.over_guarantee && candidate.priority != Priority::production)) {
@@ -133,8 +135,8 @@
 }
 
 // Stops the tasks of the cheapest plan and reserves the machines for the job for one heartbeat
-// interval. Returns false if there is no plan. If the job requires one zone, all machines are in
-// the same zone.
+// interval. Returns false if there is no plan. If the job requires one zone, all machines of a plan
+// are in the same zone.
 bool Preemptor::preempt_for(Time now, const Demand& demand) {
     std::optional<Plan> plan = cheapest_plan(demand, options_by_zone(now, demand));
     if (!plan) {
@@ -156,7 +158,8 @@
            (!demand.job || demand.job->allows_zone(machine.zone));
 }
 
-// Returns all options by zone, or all under an empty name if the job's tasks need not share a zone.
+// Returns the options by zone, or all of them under an empty zone name if the job's tasks need not
+// share a zone.
 Preemptor::OptionsByZone Preemptor::options_by_zone(Time now, const Demand& demand) {
     OptionsByZone by_zone;
     for (auto& [name, machine] : machines_.all()) {
--- a/src/core/scheduling/preemptor.h
+++ b/src/core/scheduling/preemptor.h
@@ -1,6 +1,6 @@
-// Preemption: frees slots for gangs and service replicas by stopping array tasks that have a lower
-// priority or exceed their team's guarantee. Tasks with the shortest run time are stopped first:
-// most are still fetching their image, so little work is lost.
+// Frees slots for gangs and service replicas by stopping array tasks that have a lower priority or
+// exceed their team's guarantee. Tasks with the shortest run time so far are stopped first: most
+// are still fetching their image, so little work is lost.
 #pragma once
 
 #include "core/machines/machine_table.h"
@@ -11,7 +11,7 @@
 
 namespace scheduler {
 
-// A way to make place for one more task on a machine, and its cost.
+// A way to free slots for one more task on a machine, and its cost.
 struct PreemptionOption {
     double cost_s = 0; // run time lost, plus the time to fetch the image
     Machine* machine = nullptr;
@@ -36,7 +36,7 @@
     std::uint64_t effort() const { return effort_; }
 
   private:
-    // The tasks to free slots for. `job` is null for a peer's job.
+    // The tasks for which slots are to be freed. `job` is null for a peer's job.
     struct Demand {
         const JobSpec& spec;
         std::size_t tasks = 0;
--- a/src/core/scheduling/quota_evictor.cpp
+++ b/src/core/scheduling/quota_evictor.cpp
@@ -51,7 +51,7 @@
 // If this partition cannot reach a lender, remote tasks there would keep running for as long as the
 // lender renews the machines' leases.
 void QuotaEvictor::stop_unreachable_directly(Time now) {
-    // Limits the stops of one call, so that sockets remain for launches.
+    // Limits the stop commands sent in one call, so that sockets remain for launches.
     int stops_left = settings_.max_concurrent_commands / 2;
     for (auto& [task, eviction] : pending_evictions_) {
         if (stops_left > 0 && now >= eviction.direct_stop_at &&
--- a/src/core/scheduling/quota_evictor.h
+++ b/src/core/scheduling/quota_evictor.h
@@ -68,7 +68,7 @@
         bool operator<(const EvictionCandidate& other) const;
     };
 
-    // An eviction in progress: the task was commanded to stop.
+    // An eviction in progress: the command to stop the task was queued.
     struct PendingEviction {
         Time retry_at = 0; // if the task is still placed then, it may be stopped again
         // A remote task is stopped directly if the lender has not acknowledged the command by then.
--- a/src/core/scheduling/slot_finder.cpp
+++ b/src/core/scheduling/slot_finder.cpp
@@ -19,7 +19,7 @@
 }
 
 const std::string* SlotFinder::find(const SlotQuery& query) const {
-    // Machines that have the image are preferred to those that must fetch it.
+    // Machines that have the image come first.
     for (bool image_cached : {true, false}) {
         for (const InstanceType* type : instance_types_.by_fetch_speed()) {
             if (!query.spec.allows_type(type->name)) {
--- a/src/core/scheduling/slot_finder.h
+++ b/src/core/scheduling/slot_finder.h
@@ -29,7 +29,7 @@
         : policy_(policy), owned_shards_(owned_shards), instance_types_(instance_types),
           machines_(machines), slots_(slots) {}
 
-    // Returns whether tasks may start on the machine, provided it has idle slots.
+    // Returns whether tasks may be started on the machine if it has idle slots.
     bool is_schedulable(const Machine& machine) const;
     // Returns the first listed machine with enough idle slots for one more task, preferring
     // machines that have its image, or null if there is none.
--- a/src/core/scheduling/task_scheduler.cpp
+++ b/src/core/scheduling/task_scheduler.cpp
@@ -16,9 +16,9 @@
         return;
     }
     queue_.invalidate();
-    // Spot jobs are placed on spot machines first and other jobs on on-demand machines. Spot jobs
-    // get on-demand slots only after that: ordered by rank alone, they would displace jobs that can
-    // use nothing else.
+    // Jobs that may use spot machines are placed on spot machines first, and the other jobs on
+    // on-demand machines. Only then do spot-eligible jobs get on-demand slots: ordered by rank
+    // alone, they would displace jobs that cannot use anything else.
     fill_slots(now, true, true);
     fill_slots(now, false, false);
     fill_slots(now, false, true);
@@ -40,7 +40,8 @@
     }
 }
 
-// Lends slots to another partition. `exhausted` holds the requirements for which no slots are left.
+// Lends slots for a request of another partition. `exhausted` holds the requirements for which no
+// slots are left.
 void TaskScheduler::fill_request(Time now, bool spot, const PendingJob& candidate,
                                  const std::set<TaskResources>& exhausted) {
     SlotRequest& request = *candidate.slot_request;
@@ -133,7 +134,7 @@
     for (const PendingJob& candidate : pending) {
         ++effort_;
         if (best && (!candidate.same_rank(*best) || candidate.due >= best_due)) {
-            break; // no later candidate can be better, even with a cached image
+            break; // no later candidate is better, even with a cached image
         }
         if (candidate.spot != spot_jobs || insufficient.contains(&candidate) ||
             !fits_machine(now, machine, candidate)) {
@@ -154,7 +155,7 @@
         return;
     }
     const std::vector<PendingJob>& pending = queue_.ordered(now);
-    Candidates insufficient; // gangs that could not be placed in full
+    Candidates insufficient; // gangs for which there are not enough slots
     // On-demand slots go first to jobs that may not use spot machines.
     for (bool spot_jobs : {false, true}) {
         if (machine.spot && !spot_jobs) {
