--- a/tests/seeds.h
+++ b/tests/seeds.h
@@ -16,12 +16,12 @@
 }
 
 // Skips the test where none are asked for.
-template <class Play> void run_extra_seeds(int usual_first, Play play) {
+template <class Play> void run_extra_seeds(int default_first_seed, Play play) {
     if (extra_seed_count() == 0) {
         GTEST_SKIP() << "SCHEDULER_SEEDS is not set";
     }
     const char* from = std::getenv("SCHEDULER_FIRST_SEED");
-    int first = from ? std::atoi(from) : usual_first;
+    int first = from ? std::atoi(from) : default_first_seed;
     for (int seed = first; seed < first + extra_seed_count(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         play(static_cast<std::uint64_t>(seed));
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// The wiring of a simulation: see simulated_cluster.h.
+// The wiring of a simulation: see simulated_cluster.h.
 #include "simulated_cluster.h"
 
 #include "core/model/partition_assignment.h"
@@ -7,7 +6,7 @@
 namespace scheduler::test {
 
 namespace {
-constexpr double kObserveWaitingS = 1;
+constexpr double kCapacityCheckIntervalS = 1;
 } // namespace
 
 SimulatedCluster::SimulatedCluster(SimulationOptions options)
@@ -19,9 +18,9 @@
       gangs_(options_, clock_, history_checker_), start_checker_(history_checker_),
       workers_(options_, clock_, random_, history_checker_, gangs_, start_checker_,
                worker_callbacks()),
-      reports_(options_, random_faults, clock_, random_, network_, requests_, controllers_,
-               workers_),
-      cloud_(options_, random_faults, clock_, random_, workers_, reports_),
+      heartbeats_(options_, random_faults, clock_, random_, network_, requests_, controllers_,
+                  workers_),
+      cloud_(options_, random_faults, clock_, random_, workers_, heartbeats_),
       replies_(options_, clock_, network_, controllers_),
       router_(options_, clock_, network_, requests_, replies_,
               {controllers_, workers_, cloud_, store_}),
@@ -36,7 +35,8 @@
     return {
         .logged = [this](int node, const std::string& line) { line_logged(node, line); },
         .answered = [this](const Response& answer) { users_.answered(answer); },
-        .called = [this](int node, const OutboundRequest& call) { transport_.send(node, call); },
+        .requested = [this](int node,
+                            const OutboundRequest& request) { transport_.send(node, request); },
     };
 }
 
@@ -44,15 +44,15 @@
     return {
         .deliver =
             [this](const WatchRequest& request, const OutboundResponse& response) {
-                controllers_.deliver(request.controller, request.life, response);
+                controllers_.deliver(request.controller, request.incarnation, response);
             },
-        .part_claimed = [this] { reports_.give_kept_reports(); },
+        .leadership_written = [this] { heartbeats_.deliver_kept_heartbeats(); },
     };
 }
 
 WorkerModel::Callbacks SimulatedCluster::worker_callbacks() {
     return {
-        .report_due = [this](const std::string& machine) { reports_.send(machine); },
+        .heartbeat_due = [this](const std::string& machine) { heartbeats_.send(machine); },
         .completed = [this](const TaskId& task) { users_.task_completed(task); },
     };
 }
@@ -62,7 +62,7 @@
     store_.fire_watches();
     workers_.step();
     for (const auto& machine : gangs_.step(workers_)) {
-        reports_.send(machine);
+        heartbeats_.send(machine);
     }
     for (const auto& [name, worker] : workers_.all()) {
         for (const auto& [task, state] : worker.tasks) {
@@ -77,7 +77,7 @@
 void SimulatedCluster::line_logged(int node, const std::string& line) {
     ++log_counts_[line.substr(0, line.find(' '))];
     if (line.starts_with("event=quota_updated ")) {
-        quotas_.note_in_force(line);
+        quotas_.record_applied(line);
     }
     if (on_log) {
         on_log(now(), node, line);
@@ -103,16 +103,16 @@
 
 void SimulatedCluster::start_polling_open_jobs() {
     history_checker_.faults_ended(now());
-    if (users_.start_asking()) {
-        clock_.every(kObserveWaitingS, [this] {
+    if (users_.start_polling()) {
+        clock_.every(kCapacityCheckIntervalS, [this] {
             observe_waiting(now(), store_, workers_.all(), type_, history_checker_);
         });
     }
 }
 
 SimulatedCluster::Counts SimulatedCluster::counts() const {
-    return {reports_.count(), static_cast<double>(start_checker_.starts()), router_.listed(),
-            controllers_.effort()};
+    return {heartbeats_.count(), static_cast<double>(start_checker_.starts()),
+            router_.inventory_entries(), controllers_.effort()};
 }
 
 } // namespace scheduler::test
--- a/tests/simulation/cloud_model.cpp
+++ b/tests/simulation/cloud_model.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// The model of the cloud: see cloud_model.h.
+// The model of the cloud: see cloud_model.h.
 #include "simulation/cloud_model.h"
 
 #include <cstdio>
@@ -20,24 +19,24 @@
 
 CloudModel::CloudModel(const SimulationOptions& options, const RandomFaults& random_faults,
                        EventQueue& clock, RandomSource& random, WorkerModel& workers,
-                       ReportSender& reports)
-    : options_(options), troubles_(random_faults), clock_(clock), random_(random),
-      workers_(workers), reports_(reports), capacity_(options.capacity) {}
+                       HeartbeatSender& heartbeats)
+    : options_(options), random_faults_(random_faults), clock_(clock), random_(random),
+      workers_(workers), heartbeats_(heartbeats), capacity_(options.capacity) {}
 
-OutboundResponse CloudModel::serve(const OutboundBody& call) {
+OutboundResponse CloudModel::serve(const OutboundBody& request) {
     OutboundResponse response;
     if (down_) {
         response.status = 503;
         return response;
     }
     response.status = 200;
-    if (std::holds_alternative<ListInstanceTypes>(call)) {
+    if (std::holds_alternative<ListInstanceTypes>(request)) {
         response.instance_types = {machine_type(options_)};
-    } else if (const auto* order = std::get_if<ScaleOut>(&call)) {
-        response.accepted_machines = rent(*order);
-    } else if (std::holds_alternative<ListInstances>(call)) {
-        response.instances = hosts();
-    } else if (const auto* release = std::get_if<ScaleIn>(&call)) {
+    } else if (const auto* scale_out = std::get_if<ScaleOut>(&request)) {
+        response.accepted_machines = provision(*scale_out);
+    } else if (std::holds_alternative<ListInstances>(request)) {
+        response.instances = instances();
+    } else if (const auto* release = std::get_if<ScaleIn>(&request)) {
         for (const auto& machine : release->machines) {
             workers_.remove(machine);
         }
@@ -45,33 +44,33 @@
     return response;
 }
 
-const std::vector<std::string>& CloudModel::rent(const ScaleOut& order) {
-    auto [entry, is_new] = orders_.try_emplace(order.idempotency_key);
+const std::vector<std::string>& CloudModel::provision(const ScaleOut& scale_out) {
+    auto [entry, is_new] = machines_by_request_.try_emplace(scale_out.idempotency_key);
     if (is_new) {
-        for (int k = 0; k < order.count && workers_.all().size() < capacity_; ++k) {
-            entry->second.push_back(add_machine(order));
+        for (int k = 0; k < scale_out.count && workers_.all().size() < capacity_; ++k) {
+            entry->second.push_back(add_machine(scale_out));
         }
     }
     return entry->second;
 }
 
-std::string CloudModel::add_machine(const ScaleOut& order) {
+std::string CloudModel::add_machine(const ScaleOut& scale_out) {
     Worker worker;
     worker.name = machine_name(next_machine_++);
-    worker.zone = order.zone;
-    worker.spot = order.spot;
-    worker.rate = 1 + options_.drift * (next_machine_ % 2 ? 1 : -1);
+    worker.zone = scale_out.zone;
+    worker.spot = scale_out.spot;
+    worker.clock_rate = 1 + options_.drift * (next_machine_ % 2 ? 1 : -1);
     const std::string name = worker.name;
     workers_.add(std::move(worker));
-    reports_.connect(name, next_machine_ % options_.nodes);
-    bool quick = random_.fault(troubles_.quick_boots);
-    bool cut_outbound = random_.fault(troubles_.outbound_cut_boots);
+    heartbeats_.connect(name, next_machine_ % options_.nodes);
+    bool quick = random_.fault(random_faults_.quick_boots);
+    bool cut_outbound = random_.fault(random_faults_.outbound_cut_boots);
     double boot_s = quick ? random_.uniform(0, kQuickBootS) : options_.boot_s;
     clock_.after(boot_s, [this, name, cut_outbound] { workers_.boot(name, cut_outbound); });
     return name;
 }
 
-std::vector<Instance> CloudModel::hosts() const {
+std::vector<Instance> CloudModel::instances() const {
     std::vector<Instance> all;
     for (const auto& [name, worker] : workers_.all()) {
         InstanceState stage = worker.up ? InstanceState::running : InstanceState::booting;
--- a/tests/simulation/cluster_setup.cpp
+++ b/tests/simulation/cluster_setup.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// The simulated cluster's settings: see cluster_setup.h.
+// The simulated cluster's settings: see cluster_setup.h.
 #include "simulation/cluster_setup.h"
 
 #include <cstdlib>
@@ -55,7 +54,7 @@
     settings.worker_lease_s = options.lease_s;
     settings.cancel_s = options.cancel_s;
     settings.gang_start_timeout_s = kGangWaitS;
-    settings.gang_stop_timeout_s = kGangPeerS;
+    settings.gang_stop_timeout_s = kGangMemberLostS;
     settings.store_requests_per_s = options.state_rps;
     settings.store_writes_per_s = options.state_write_rps;
     settings.store_value_limit_kb = 4;
--- a/tests/simulation/controller_model.cpp
+++ b/tests/simulation/controller_model.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// The processes of the controllers: see controller_model.h.
+// The processes of the controllers: see controller_model.h.
 #include "simulation/controller_model.h"
 
 #include <utility>
@@ -11,10 +10,10 @@
 
 namespace {
 constexpr double kTickS = 0.25;
-/// Controllers start one after the other.
-constexpr double kStartDistanceS = 0.01;
-/// Their steady clocks have nothing in common.
-constexpr double kClockDistanceS = 1000;
+// Controllers start one after the other.
+constexpr double kStartIntervalS = 0.01;
+// Their steady clocks have nothing in common.
+constexpr double kClockOffsetS = 1000;
 } // namespace
 
 ControllerModel::ControllerModel(const SimulationOptions& options, EventQueue& clock,
@@ -25,7 +24,7 @@
     for (int controller = 0; controller < options_.nodes; ++controller) {
         auto process = std::make_unique<Process>();
         process->cluster_settings = controller_settings(options_, controller);
-        process->rate = 1 + options_.drift * (controller % 2 ? 1 : 0);
+        process->clock_rate = 1 + options_.drift * (controller % 2 ? 1 : 0);
         processes_.push_back(std::move(process));
         start(controller);
     }
@@ -35,19 +34,20 @@
 
 void ControllerModel::start(int controller) {
     Process& process = *processes_[controller];
-    ++process.life;
+    ++process.incarnation;
     process.core = std::make_unique<Controller>(process.cluster_settings,
                                                 policy::defaults(process.cluster_settings));
-    clock_.after(kStartDistanceS * (controller + 1),
-                 [this, controller, life = process.life] { tick(controller, life); });
+    clock_.after(
+        kStartIntervalS * (controller + 1),
+        [this, controller, incarnation = process.incarnation] { tick(controller, incarnation); });
 }
 
-void ControllerModel::tick(int controller, int life) {
-    if (processes_[controller]->life != life || !running(controller)) {
+void ControllerModel::tick(int controller, int incarnation) {
+    if (processes_[controller]->incarnation != incarnation || !running(controller)) {
         return;
     }
     input(controller, TimerTick{});
-    clock_.after(kTickS, [this, controller, life] { tick(controller, life); });
+    clock_.after(kTickS, [this, controller, incarnation] { tick(controller, incarnation); });
 }
 
 void ControllerModel::crash(int controller, double restart_s) {
@@ -55,9 +55,9 @@
     process.core.reset();
     process.held.clear();
     process.frozen_until = 0;
-    ++process.life;
-    clock_.after(restart_s, [this, controller, life = process.life] {
-        if (processes_[controller]->life == life) {
+    ++process.incarnation;
+    clock_.after(restart_s, [this, controller, incarnation = process.incarnation] {
+        if (processes_[controller]->incarnation == incarnation) {
             start(controller);
         }
     });
@@ -66,10 +66,10 @@
 void ControllerModel::freeze(int controller, double seconds) {
     Process& process = *processes_[controller];
     process.frozen_until = clock_.now() + seconds;
-    clock_.after(seconds, [this, controller, life = process.life] {
+    clock_.after(seconds, [this, controller, incarnation = process.incarnation] {
         std::vector<Input> held = std::exchange(processes_[controller]->held, {});
         for (auto& held_input : held) {
-            if (processes_[controller]->life == life) {
+            if (processes_[controller]->incarnation == incarnation) {
                 input(controller, std::move(held_input));
             }
         }
@@ -81,7 +81,7 @@
 }
 
 Time ControllerModel::steady_time(int controller) const {
-    return kClockDistanceS * controller + clock_.now() * processes_[controller]->rate;
+    return kClockOffsetS * controller + clock_.now() * processes_[controller]->clock_rate;
 }
 
 void ControllerModel::input(int controller, Input input) {
@@ -93,8 +93,8 @@
     }
 }
 
-void ControllerModel::deliver(int controller, int life, OutboundResponse response) {
-    if (processes_[controller]->life == life) {
+void ControllerModel::deliver(int controller, int incarnation, OutboundResponse response) {
+    if (processes_[controller]->incarnation == incarnation) {
         input(controller, std::move(response));
     }
 }
@@ -121,41 +121,42 @@
     for (const auto& line : outputs.log) {
         callbacks_.logged(controller, line.text);
     }
-    const int life = processes_[controller]->life;
-    for (const auto& answer : outputs.responses) {
-        pass_on(answer);
-        if (ended_after(controller, life, nullptr, &answer)) {
+    const int incarnation = processes_[controller]->incarnation;
+    for (const auto& response : outputs.responses) {
+        pass_on(response);
+        if (ended_after(controller, incarnation, nullptr, &response)) {
             return;
         }
     }
-    for (const auto& call : outputs.requests) {
-        callbacks_.called(controller, call);
-        if (ended_after(controller, life, &call, nullptr)) {
+    for (const auto& request : outputs.requests) {
+        callbacks_.requested(controller, request);
+        if (ended_after(controller, incarnation, &request, nullptr)) {
             return;
         }
     }
 }
 
-void ControllerModel::pass_on(const Response& answer) {
-    auto handler = requests_.take(answer.request_id);
+void ControllerModel::pass_on(const Response& response) {
+    auto handler = requests_.take(response.request_id);
     if (!handler) {
-        callbacks_.answered(answer);
+        callbacks_.answered(response);
         return;
     }
     if (random_.chance(options_.drop)) {
         return;
     }
-    clock_.after(network_.delay(),
-                 [handler = *handler, answer, left = clock_.now()] { handler(answer, left); });
+    clock_.after(network_.delay(), [handler = *handler, response, sent_at = clock_.now()] {
+        handler(response, sent_at);
+    });
 }
 
-bool ControllerModel::ended_after(int controller, int life, const OutboundRequest* call,
-                                  const Response* answer) {
-    auto back_s = after_output ? after_output(controller, call, answer) : std::nullopt;
-    if (back_s && processes_[controller]->life == life) {
+bool ControllerModel::ended_after(int controller, int incarnation, const OutboundRequest* request,
+                                  const Response* response) {
+    auto back_s = after_output ? after_output(controller, request, response) : std::nullopt;
+    if (back_s && processes_[controller]->incarnation == incarnation) {
         crash(controller, *back_s);
     }
-    return processes_[controller]->life != life;
+    return processes_[controller]->incarnation != incarnation;
 }
 
 } // namespace scheduler::test
--- a/tests/simulation/controller_model.h
+++ b/tests/simulation/controller_model.h
@@ -1,5 +1,4 @@
-/// @file
-/// The processes of the controllers under test: their clocks, crashes and standstills.
+// The processes of the controllers under test: their clocks, crashes and standstills.
 #pragma once
 
 #include <cstddef>
@@ -19,50 +18,50 @@
 
 namespace scheduler::test {
 
-/// Runs the controllers: hands each its inputs and passes its outputs on.
+// Runs the controllers: hands each its inputs and passes its outputs on.
 class ControllerModel {
   public:
-    /// Where outputs go.
+    // Where outputs go.
     struct Callbacks {
         std::function<void(int controller, const std::string& line)> logged;
-        /// An answer to a user's request.
+        // An response to a user's request.
         std::function<void(const Response&)> answered;
-        std::function<void(int controller, const OutboundRequest&)> called;
+        std::function<void(int controller, const OutboundRequest&)> requested;
     };
 
-    /// Starts all controllers.
+    // Starts all controllers.
     ControllerModel(const SimulationOptions& options, EventQueue& clock, RandomSource& random,
                     NetworkModel& network, PendingRequests& requests, Callbacks callbacks);
     ~ControllerModel();
 
-    /// Hands over an input now. A controller that is down loses it; one that stands still takes it
-    /// when it goes on.
+    // Hands over an input now. A controller that is down loses it; one that stands still takes it
+    // when it goes on.
     void input(int controller, Input input);
-    /// Hands over the answer to a call, unless that process life has ended.
-    void deliver(int controller, int life, OutboundResponse response);
+    // Hands over the response to a call, unless that process incarnation has ended.
+    void deliver(int controller, int incarnation, OutboundResponse response);
 
-    /// Ends the process; a new one starts after `restart_s`.
+    // Ends the process; a new one starts after `restart_s`.
     void crash(int controller, double restart_s);
-    /// It stands still while its clock runs on.
+    // It stands still while its clock runs on.
     void freeze(int controller, double seconds);
-    /// Asks a part's owner to give a share to another part. False: it does not, now.
+    // Asks a part's owner to give a share to another part. False: it does not, now.
     bool migrate_shard(int leader, int partition, const ShardId& shard, int to);
     std::vector<ShardId> held_shards(int leader, int partition) const;
 
     int count() const { return static_cast<int>(processes_.size()); }
-    /// Counts the starts and ends of the controller's process.
-    int life(int controller) const { return processes_[controller]->life; }
+    // Counts the starts and ends of the controller's process.
+    int incarnation(int controller) const { return processes_[controller]->incarnation; }
     bool running(int controller) const { return processes_[controller]->core != nullptr; }
-    /// Running and not standing still.
+    // Running and not standing still.
     bool awake(int controller) const;
     const ClusterSettings& cluster_settings(int controller) const {
         return processes_[controller]->cluster_settings;
     }
-    /// What the running controllers looked at since their start.
+    // What the running controllers looked at since their start.
     double effort() const;
 
-    /// Sees each output that leaves a controller, the call or the answer, and may end the
-    /// controller right after it, before the next one: seconds until it is back.
+    // Sees each output that leaves a controller, the call or the response, and may end the
+    // controller right after it, before the next one: seconds until it is back.
     std::function<std::optional<double>(int controller, const OutboundRequest*, const Response*)>
         after_output;
 
@@ -70,20 +69,21 @@
     struct Process {
         ClusterSettings cluster_settings;
         std::unique_ptr<Controller> core;
-        int life = 0;
-        /// Of its steady clock.
-        double rate = 1;
+        int incarnation = 0;
+        // Of its steady clock.
+        double clock_rate = 1;
         Time frozen_until = 0;
-        /// What came while it stands still.
+        // What came while it stands still.
         std::vector<Input> held;
     };
 
     void start(int controller);
-    void tick(int controller, int life);
+    void tick(int controller, int incarnation);
     Time steady_time(int controller) const;
     void pass_on(int controller, const Outputs& outputs);
-    void pass_on(const Response& answer);
-    bool ended_after(int controller, int life, const OutboundRequest* call, const Response* answer);
+    void pass_on(const Response& response);
+    bool ended_after(int controller, int incarnation, const OutboundRequest* request,
+                     const Response* response);
 
     const SimulationOptions& options_;
     EventQueue& clock_;
--- a/tests/simulation/event_queue.cpp
+++ b/tests/simulation/event_queue.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// The fake clock: see event_queue.h.
+// The fake clock: see event_queue.h.
 #include "simulation/event_queue.h"
 
 #include <algorithm>
--- a/tests/simulation/gang_model.cpp
+++ b/tests/simulation/gang_model.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// Gangs: see gang_model.h.
+// Gangs: see gang_model.h.
 #include "simulation/gang_model.h"
 
 #include <algorithm>
@@ -25,9 +24,9 @@
 
 int GangModel::saves(const std::string& job) const { return count_of(save_counts_, job); }
 
-void GangModel::stop_seen(const std::string& job, std::uint64_t attempt) {
-    Run& run = runs_[{job, attempt}];
-    run.first_stop = run.first_stop > 0 ? run.first_stop : clock_.now();
+void GangModel::stop_received(const std::string& job, std::uint64_t attempt) {
+    Time& first_stop_at = attempts_[{job, attempt}].first_stop_at;
+    first_stop_at = first_stop_at > 0 ? first_stop_at : clock_.now();
 }
 
 std::set<std::string> GangModel::step(WorkerModel& workers) {
@@ -55,59 +54,61 @@
 }
 
 void GangModel::advance(const AttemptKey& key, const Members& members) {
-    Run& run = runs_[key];
-    bool whole = members.size() == history_checker_.spec(key.job).tasks;
-    if (!run.ran) {
-        assemble(key, run, members, whole);
-    } else if (whole && all_saved(members)) {
+    Attempt& attempt = attempts_[key];
+    bool complete = members.size() == history_checker_.spec(key.job).tasks;
+    if (!attempt.ran) {
+        assemble(key, attempt, members, complete);
+    } else if (complete && all_saved(members)) {
         ++save_counts_[key.job];
         for (const auto& member : members) {
-            leave(member, ExitReason::stopped);
+            exit_member(member, ExitReason::stopped);
         }
-    } else if (whole && run.first_stop == 0 && clock_.now() >= run.end) {
+    } else if (complete && attempt.first_stop_at == 0 && clock_.now() >= attempt.end) {
         for (const auto& member : members) {
             workers_->complete(member.task);
-            leave(member, ExitReason::done);
+            exit_member(member, ExitReason::done);
         }
-    } else if (!whole || run.first_stop > 0) {
-        notice_loss(run, members);
+    } else if (!complete || attempt.first_stop_at > 0) {
+        detect_lost_member(attempt, members);
     }
 }
 
-void GangModel::assemble(const AttemptKey& key, Run& run, const Members& members, bool whole) {
+void GangModel::assemble(const AttemptKey& key, Attempt& attempt, const Members& members,
+                         bool complete) {
     for (const auto& member : members) {
-        if (whole) {
+        if (complete) {
             workers_->run(member.worker->name, member.task);
             changed_.insert(member.worker->name);
-        } else if (clock_.now() - member.state().since > kGangWaitS) {
-            leave(member, ExitReason::gang_incomplete);
+        } else if (clock_.now() - member.state().stage_since > kGangWaitS) {
+            exit_member(member, ExitReason::gang_incomplete);
         }
     }
-    if (whole) {
-        run.ran = true;
-        run.end = clock_.now() + options_.run_s;
+    if (complete) {
+        attempt.ran = true;
+        attempt.end = clock_.now() + options_.run_s;
         ++run_counts_[key.job];
     }
 }
 
-void GangModel::notice_loss(Run& run, const Members& members) {
-    run.mate_lost = run.mate_lost > 0 ? run.mate_lost : clock_.now();
-    Time since = run.first_stop > 0 ? run.first_stop : run.mate_lost;
-    if (clock_.now() - since > kGangPeerS) {
+void GangModel::detect_lost_member(Attempt& attempt, const Members& members) {
+    attempt.member_lost_at = attempt.member_lost_at > 0 ? attempt.member_lost_at : clock_.now();
+    Time since = attempt.first_stop_at > 0 ? attempt.first_stop_at : attempt.member_lost_at;
+    if (clock_.now() - since > kGangMemberLostS) {
         for (const auto& member : members) {
-            leave(member, ExitReason::gang_member_lost);
+            exit_member(member, ExitReason::gang_member_lost);
         }
     }
 }
 
 bool GangModel::all_saved(const Members& members) const {
     return std::all_of(members.begin(), members.end(), [this](const Member& member) {
-        return member.state().stage == TaskStage::saving && clock_.now() >= member.state().next;
+        return member.state().stage == TaskStage::saving &&
+               clock_.now() >= member.state().next_change;
     });
 }
 
-void GangModel::leave(const Member& member, ExitReason why) {
-    workers_->exit(member.worker->name, member.task, why);
+void GangModel::exit_member(const Member& member, ExitReason exit_reason) {
+    workers_->exit(member.worker->name, member.task, exit_reason);
     changed_.insert(member.worker->name);
 }
 
--- a/tests/simulation/history_checker.cpp
+++ b/tests/simulation/history_checker.cpp
@@ -8,24 +8,25 @@
 
 HistoryChecker::HistoryChecker(double cancel_s, std::vector<TeamQuota> teams,
                                std::vector<InstanceType> types)
-    : cancel_s_(cancel_s), quotas_(std::move(teams)), widest_(quotas_), types_(std::move(types)) {}
+    : cancel_s_(cancel_s), quotas_(std::move(teams)), highest_quotas_(quotas_),
+      types_(std::move(types)) {}
 
 void HistoryChecker::configured(const TeamQuota& quota) {
     for (std::size_t i = 0; i < quotas_.size(); ++i) {
         if (quotas_[i].name == quota.name) {
             quotas_[i] = quota;
             auto higher = [](double a, double b) { return a == 0 || b == 0 ? 0 : std::max(a, b); };
-            widest_[i].max_cpus = higher(widest_[i].max_cpus, quota.max_cpus);
-            widest_[i].max_gpus = higher(widest_[i].max_gpus, quota.max_gpus);
+            highest_quotas_[i].max_cpus = higher(highest_quotas_[i].max_cpus, quota.max_cpus);
+            highest_quotas_[i].max_gpus = higher(highest_quotas_[i].max_gpus, quota.max_gpus);
         }
     }
 }
 
 bool HistoryChecker::can_run(const JobSpec& spec) const {
-    auto team = std::find_if(widest_.begin(), widest_.end(),
-                             [&](const auto& t) { return t.name == spec.team; });
+    auto team = std::find_if(highest_quotas_.begin(), highest_quotas_.end(),
+                             [&](const auto& quota) { return quota.name == spec.team; });
     double times = spec.kind == JobKind::array ? 1 : spec.tasks;
-    return team != widest_.end() && team->allows(spec.cpus * times, spec.gpus * times) &&
+    return team != highest_quotas_.end() && team->allows(spec.cpus * times, spec.gpus * times) &&
            std::any_of(types_.begin(), types_.end(), [&](const InstanceType& type) {
                bool here = !spec.zone || std::find(type.zones.begin(), type.zones.end(),
                                                    *spec.zone) != type.zones.end();
@@ -36,11 +37,11 @@
 
 // ---- Users ----
 
-void HistoryChecker::asked(Time now, RequestId request_id, RequestKind what,
+void HistoryChecker::asked(Time now, RequestId request_id, RequestKind kind,
                            const std::string& job) {
-    asked_[request_id] = {what, job, now};
-    if (what == RequestKind::cancel) {
-        cancel_asked_.insert(job);
+    requests_[request_id] = {kind, job, now};
+    if (kind == RequestKind::cancel) {
+        cancel_requested_.insert(job);
     }
 }
 
@@ -49,52 +50,53 @@
     submitted_.emplace(spec.id, now);
 }
 
-void HistoryChecker::answered(Time now, const Response& a) {
-    auto request = asked_.find(a.request_id);
-    if (request == asked_.end()) { // a health check's
+void HistoryChecker::answered(Time now, const Response& response) {
+    auto request = requests_.find(response.request_id);
+    if (request == requests_.end()) { // a health check's
         return;
     }
-    const auto& [what, id, when] = request->second;
-    auto before = accepted_.find(id);
-    bool known = before != accepted_.end() && before->second < when;
-    if (known && (a.status == 404 || a.status == 400 || a.status == 422)) {
-        broken.push_back("forgotten " + id + " " + std::to_string(a.status));
+    const auto& [kind, id, when] = request->second;
+    auto accepted = accepted_.find(id);
+    bool known = accepted != accepted_.end() && accepted->second < when;
+    if (known && (response.status == 404 || response.status == 400 || response.status == 422)) {
+        broken.push_back("forgotten " + id + " " + std::to_string(response.status));
     }
-    if (known && a.status == 201) {
+    if (known && response.status == 201) {
         broken.push_back("forgotten " + id + " accepted again");
     }
-    if (a.status == 200 && !specs_.contains(id)) {
+    if (response.status == 200 && !specs_.contains(id)) {
         broken.push_back("invented " + id);
     }
     if (auto since = unanswered_since_.find(id);
-        since != unanswered_since_.end() && (a.status == 200 || a.status == 404)) {
+        since != unanswered_since_.end() && (response.status == 200 || response.status == 404)) {
         longest_unanswered_ = std::max(longest_unanswered_, now - since->second);
         since->second = now;
     }
-    const auto* job = std::get_if<JobStatusBody>(&a.body);
-    if (!job || a.status > 201 || !specs_.contains(id)) {
+    const auto* job = std::get_if<JobStatusBody>(&response.body);
+    if (!job || response.status > 201 || !specs_.contains(id)) {
         return;
     }
-    if (before == accepted_.end() && !can_run(specs_.at(id))) {
+    if (accepted == accepted_.end() && !can_run(specs_.at(id))) {
         broken.push_back("accepted though it cannot run " + id);
     }
-    if (accepted_.emplace(id, now).second && over_) {
+    if (accepted_.emplace(id, now).second && faults_ended_) {
         unanswered_since_[id] = now;
     }
     bool over = job->stage == "done" || job->stage == "cancelled";
-    if (auto told = final_.find(id);
-        told != final_.end() && told->second.stage != job->stage &&
-        (over || told->second.when < when)) { // two outcomes are one too many whenever asked for
-        broken.push_back("went_back " + id + " " + told->second.stage + " " + job->stage);
+    if (auto reported = final_stages_.find(id);
+        reported != final_stages_.end() && reported->second.stage != job->stage &&
+        (over ||
+         reported->second.when < when)) { // two outcomes are one too many whenever asked for
+        broken.push_back("went_back " + id + " " + reported->second.stage + " " + job->stage);
     }
     if (job->stage == "done" && !all_done(id)) {
         broken.push_back("not_done " + id);
     }
-    if (job->stage == "cancelled" && !cancel_asked_.contains(id)) {
+    if (job->stage == "cancelled" && !cancel_requested_.contains(id)) {
         broken.push_back("went_back " + id + " cancelled by nobody");
     }
     if (over) {
-        final_.emplace(id, Told{job->stage, now});
+        final_stages_.emplace(id, ReportedStage{job->stage, now});
         unanswered_since_.erase(id);
     }
 }
@@ -107,26 +109,26 @@
         completed({spec.id, i});
     }
     if (stage == "done" || stage == "cancelled") {
-        final_.emplace(spec.id, Told{stage, now});
+        final_stages_.emplace(spec.id, ReportedStage{stage, now});
     }
     if (stage == "cancelled") { // by its user
-        cancel_asked_.insert(spec.id);
+        cancel_requested_.insert(spec.id);
     }
 }
 
 std::string HistoryChecker::reported_outcome(const std::string& job) const {
-    auto it = final_.find(job);
-    return it == final_.end() ? "" : it->second.stage;
+    auto it = final_stages_.find(job);
+    return it == final_stages_.end() ? "" : it->second.stage;
 }
 
 std::vector<std::string> HistoryChecker::open_jobs() const {
-    std::vector<std::string> out;
+    std::vector<std::string> jobs;
     for (const auto& [id, when] : accepted_) {
-        if (!final_.contains(id)) {
-            out.push_back(id);
+        if (!final_stages_.contains(id)) {
+            jobs.push_back(id);
         }
     }
-    return out;
+    return jobs;
 }
 
 double HistoryChecker::longest_unanswered(Time now) const {
@@ -139,17 +141,17 @@
 
 // ---- Machines ----
 
-void HistoryChecker::started(Time now, const TaskId& task, Time left) {
-    began_.emplace(task.job, now);
+void HistoryChecker::started(Time now, const TaskId& task, Time sent_at) {
+    first_starts_.emplace(task.job, now);
     idle_since_.erase(task.job);
-    auto told = final_.find(task.job);
-    if (told == final_.end() || told->second.stage != "cancelled") {
+    auto reported = final_stages_.find(task.job);
+    if (reported == final_stages_.end() || reported->second.stage != "cancelled") {
         return;
     }
-    Time since = told->second.when;
-    (left > since ? late_starts_.sent_after_response : late_starts_.sent_before_response) += 1;
+    Time since = reported->second.when;
+    (sent_at > since ? late_starts_.sent_after_response : late_starts_.sent_before_response) += 1;
     late_starts_.longest_s = std::max(late_starts_.longest_s, now - since);
-    late_starts_.longest_sent_s = std::max(late_starts_.longest_sent_s, left - since);
+    late_starts_.longest_sent_s = std::max(late_starts_.longest_sent_s, sent_at - since);
 }
 
 void HistoryChecker::completed(const TaskId& task) { done_[task.job].insert(task.index); }
@@ -160,12 +162,12 @@
 }
 
 void HistoryChecker::task_on_machine(Time now, const TaskId& task) {
-    auto told = final_.find(task.job);
-    if (told == final_.end() || told->second.stage != "cancelled") {
+    auto reported = final_stages_.find(task.job);
+    if (reported == final_stages_.end() || reported->second.stage != "cancelled") {
         return;
     }
-    longest_cancelled_ = std::max(longest_cancelled_, now - told->second.when);
-    if (now > told->second.when + cancel_s_) {
+    longest_cancelled_ = std::max(longest_cancelled_, now - reported->second.when);
+    if (now > reported->second.when + cancel_s_) {
         broken.push_back("ran_cancelled " + task.job);
     }
 }
@@ -176,14 +178,15 @@
 }
 
 std::optional<double> HistoryChecker::seconds_to_first_start(const std::string& job) const {
-    auto it = began_.find(job);
-    return it == began_.end() ? std::nullopt : std::optional(it->second - submitted_.at(job));
+    auto it = first_starts_.find(job);
+    return it == first_starts_.end() ? std::nullopt
+                                     : std::optional(it->second - submitted_.at(job));
 }
 
 // ---- Idle beside waiting ----
 
 void HistoryChecker::faults_ended(Time now) {
-    over_ = true;
+    faults_ended_ = true;
     unanswered_since_.clear();
     longest_unanswered_ = 0;
     for (const auto& id : open_jobs()) {
@@ -194,7 +197,7 @@
 }
 
 bool HistoryChecker::could_start(
-    const WaitingJob& job, const std::vector<FreeCapacity>& rooms,
+    const WaitingJob& job, const std::vector<FreeCapacity>& free_capacity,
     const std::map<std::string, std::pair<double, double>>& used) const {
     const JobSpec& spec = specs_.at(job.job);
     bool gang = spec.kind == JobKind::gang;
@@ -203,49 +206,52 @@
     }
     double times = gang ? spec.tasks : 1;
     auto team = std::find_if(quotas_.begin(), quotas_.end(),
-                             [&](const auto& t) { return t.name == spec.team; });
-    auto taken = used.find(spec.team);
-    auto [cpus, gpus] = taken == used.end() ? std::pair(0.0, 0.0) : taken->second;
+                             [&](const auto& quota) { return quota.name == spec.team; });
+    auto team_use = used.find(spec.team);
+    auto [cpus, gpus] = team_use == used.end() ? std::pair(0.0, 0.0) : team_use->second;
     if (!team->allows(cpus + times * spec.cpus, gpus + times * spec.gpus)) {
         return false;
     }
-    std::map<std::string, double> fit; // tasks, by zone
-    for (const FreeCapacity& r : rooms) {
-        if ((spec.zone && *spec.zone != r.zone) || (r.spot && !spec.spot) ||
-            !spec.allows_type(r.type->name)) {
+    std::map<std::string, double> fitting_by_zone; // tasks, by zone
+    for (const FreeCapacity& free : free_capacity) {
+        if ((spec.zone && *spec.zone != free.zone) || (free.spot && !spec.spot) ||
+            !spec.allows_type(free.type->name)) {
             continue;
         }
-        double n = spec.tasks;
-        for (auto [need, has] : {std::pair(spec.cpus, r.cpus), std::pair(spec.gpus, r.gpus),
-                                 std::pair(spec.ram_gb, r.ram_gb)}) {
-            n = need > 0 ? std::min(n, std::floor((has + 1e-9) / need)) : n;
+        double fitting = spec.tasks;
+        for (auto [need, has] : {std::pair(spec.cpus, free.cpus), std::pair(spec.gpus, free.gpus),
+                                 std::pair(spec.ram_gb, free.ram_gb)}) {
+            fitting = need > 0 ? std::min(fitting, std::floor((has + 1e-9) / need)) : fitting;
         }
-        fit[r.zone] += n;
+        fitting_by_zone[free.zone] += fitting;
     }
-    double most = spec.spread ? (spec.tasks + 1) / 2 : spec.tasks; // in one zone
+    double zone_limit = spec.spread ? (spec.tasks + 1) / 2 : spec.tasks; // in one zone
     double all = 0;
     double best = 0;
-    for (const auto& [zone, n] : fit) {
-        auto there = job.in_zone.find(zone);
-        bool alone = job.in_zone.empty() || (there != job.in_zone.end() && job.in_zone.size() == 1);
-        double held = there == job.in_zone.end() ? 0 : there->second;
-        double may = spec.one_zone && !alone ? 0 : std::max(0.0, std::min(n, most - held));
-        all += may;
-        best = std::max(best, may);
+    for (const auto& [zone, fitting] : fitting_by_zone) {
+        auto in_zone = job.in_zone.find(zone);
+        bool alone =
+            job.in_zone.empty() || (in_zone != job.in_zone.end() && job.in_zone.size() == 1);
+        double held = in_zone == job.in_zone.end() ? 0 : in_zone->second;
+        double startable =
+            spec.one_zone && !alone ? 0 : std::max(0.0, std::min(fitting, zone_limit - held));
+        all += startable;
+        best = std::max(best, startable);
     }
     return (spec.one_zone ? best : all) >= times;
 }
 
 void HistoryChecker::observe_capacity(
-    Time now, const std::vector<FreeCapacity>& rooms, const std::vector<WaitingJob>& jobs,
+    Time now, const std::vector<FreeCapacity>& free_capacity, const std::vector<WaitingJob>& jobs,
     const std::map<std::string, std::pair<double, double>>& used) {
-    if (!over_) {
+    if (!faults_ended_) {
         return;
     }
     std::map<std::string, Time> since;
     for (const auto& job : jobs) {
-        if (accepted_.contains(job.job) && !final_.contains(job.job) &&
-            !cancel_asked_.contains(job.job) && job.waiting > 0 && could_start(job, rooms, used)) {
+        if (accepted_.contains(job.job) && !final_stages_.contains(job.job) &&
+            !cancel_requested_.contains(job.job) && job.waiting > 0 &&
+            could_start(job, free_capacity, used)) {
             auto it = idle_since_.find(job.job);
             Time from = since[job.job] = it == idle_since_.end() ? now : it->second;
             if (now - from > longest_idle_) {
@@ -264,15 +270,15 @@
 }
 
 // Is the job one to be served?
-bool HistoryChecker::counts(const std::string& id) const {
+bool HistoryChecker::should_be_served(const std::string& id) const {
     const JobSpec& spec = specs_.at(id);
     return can_run(spec) && (reported_outcome(id) != "cancelled" || spec.kind == JobKind::service);
 }
 
-std::map<std::string, std::vector<std::string>> HistoryChecker::largest() const {
+std::map<std::string, std::vector<std::string>> HistoryChecker::largest_jobs() const {
     std::map<std::string, std::vector<std::string>> by_class;
     for (const auto& [id, when] : submitted_) {
-        if (counts(id)) {
+        if (should_be_served(id)) {
             by_class[specs_.at(id).job_class].push_back(id);
         }
     }
@@ -285,29 +291,31 @@
     return by_class;
 }
 
-std::vector<std::string> HistoryChecker::groups_served_below(double shard) const {
+std::vector<std::string> HistoryChecker::groups_served_below(double min_share) const {
     std::map<std::string, std::pair<int, int>> rows; // served, of how many
     auto count = [&](const std::string& row, const std::string& id) {
         const JobSpec& spec = specs_.at(id);
-        rows[row].first += spec.kind == JobKind::service ? began_.contains(id) : all_done(id);
+        rows[row].first +=
+            spec.kind == JobKind::service ? first_starts_.contains(id) : all_done(id);
         ++rows[row].second;
     };
     for (const auto& [id, when] : submitted_) {
         const JobSpec& spec = specs_.at(id);
-        if (counts(id)) {
+        if (should_be_served(id)) {
             count("class " + spec.job_class, id);
             count("team " + spec.team, id);
         }
     }
-    for (const auto& [name, ids] : largest()) {
+    for (const auto& [name, ids] : largest_jobs()) {
         for (const auto& id : ids) {
             count("largest of " + name, id);
         }
     }
     std::vector<std::string> low;
-    for (const auto& [row, n] : rows) {
-        if (n.first < shard * n.second) {
-            low.push_back(row + ": " + std::to_string(n.first) + " of " + std::to_string(n.second));
+    for (const auto& [row, served] : rows) {
+        if (served.first < min_share * served.second) {
+            low.push_back(row + ": " + std::to_string(served.first) + " of " +
+                          std::to_string(served.second));
         }
     }
     return low;
@@ -315,15 +323,15 @@
 
 std::vector<std::string> HistoryChecker::largest_jobs_started_after(double seconds,
                                                                     Time now) const {
-    std::vector<std::string> out;
-    for (const auto& [name, ids] : largest()) {
+    std::vector<std::string> jobs;
+    for (const auto& [name, ids] : largest_jobs()) {
         for (const auto& id : ids) {
             if (seconds_to_first_start(id).value_or(now - submitted_.at(id)) > seconds) {
-                out.push_back(id);
+                jobs.push_back(id);
             }
         }
     }
-    return out;
+    return jobs;
 }
 
 } // namespace scheduler::test
--- a/tests/simulation/kv_store_model.cpp
+++ b/tests/simulation/kv_store_model.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// The model of the state service: see kv_store_model.h.
+// The model of the state service: see kv_store_model.h.
 #include "simulation/kv_store_model.h"
 
 #include <utility>
@@ -9,9 +8,9 @@
 namespace scheduler::test {
 
 namespace {
-/// Small, so that longer lists come in pages.
+// Small, so that longer lists come in pages.
 constexpr std::size_t kPageSize = 12;
-/// What is read at one revision is not long: it comes whole.
+// What is read at one revision is not long: it comes whole.
 constexpr const char* kUnpagedPrefix = "part/";
 
 OutboundResponse reply_of(int status) {
@@ -93,7 +92,7 @@
 
 void KvStoreModel::apply(const StoreWrite& change) {
     if (change.value && std::holds_alternative<PartitionRecord>(*change.value)) {
-        callbacks_.part_claimed();
+        callbacks_.leadership_written();
     }
     if (change.value) {
         entries_[change.key] = {*change.value, revision_, change.lease.value_or(0)};
@@ -103,45 +102,45 @@
     note_change(change.key, !change.value);
 }
 
-OutboundResponse KvStoreModel::serve(const OutboundBody& call) {
+OutboundResponse KvStoreModel::serve(const OutboundBody& request) {
     expire_leases();
-    if (const auto* get_call = std::get_if<StoreGet>(&call)) {
-        return get(*get_call);
+    if (const auto* get_request = std::get_if<StoreGet>(&request)) {
+        return get(*get_request);
     }
-    if (const auto* range_call = std::get_if<StoreRange>(&call)) {
-        return range(*range_call);
+    if (const auto* range_request = std::get_if<StoreRange>(&request)) {
+        return range(*range_request);
     }
-    if (const auto* transaction = std::get_if<StoreTransaction>(&call)) {
+    if (const auto* transaction = std::get_if<StoreTransaction>(&request)) {
         OutboundResponse response = transact(*transaction);
         fire_watches();
         return response;
     }
-    if (const auto* grant_call = std::get_if<StoreLeaseGrant>(&call)) {
-        return grant(*grant_call);
+    if (const auto* grant_request = std::get_if<StoreLeaseGrant>(&request)) {
+        return grant(*grant_request);
     }
-    if (const auto* renew_call = std::get_if<StoreLeaseRenewal>(&call)) {
-        return renew(*renew_call);
+    if (const auto* renew_request = std::get_if<StoreLeaseRenewal>(&request)) {
+        return renew(*renew_request);
     }
     return reply_of(200);
 }
 
-OutboundResponse KvStoreModel::get(const StoreGet& call) const {
-    auto found = entries_.find(call.key);
+OutboundResponse KvStoreModel::get(const StoreGet& request) const {
+    auto found = entries_.find(request.key);
     if (found == entries_.end()) {
         return reply_of(404);
     }
     OutboundResponse response = reply_of(200);
-    response.entries.push_back({call.key, found->second.record, found->second.version});
+    response.entries.push_back({request.key, found->second.record, found->second.version});
     return response;
 }
 
-OutboundResponse KvStoreModel::range(const StoreRange& call) const {
+OutboundResponse KvStoreModel::range(const StoreRange& request) const {
     OutboundResponse response = reply_of(200);
     response.revision = revision_;
-    auto entry =
-        call.after.empty() ? entries_.lower_bound(call.prefix) : entries_.upper_bound(call.after);
-    for (; entry != entries_.end() && entry->first.starts_with(call.prefix); ++entry) {
-        if (response.entries.size() == kPageSize && call.prefix != kUnpagedPrefix) {
+    auto entry = request.after.empty() ? entries_.lower_bound(request.prefix)
+                                       : entries_.upper_bound(request.after);
+    for (; entry != entries_.end() && entry->first.starts_with(request.prefix); ++entry) {
+        if (response.entries.size() == kPageSize && request.prefix != kUnpagedPrefix) {
             response.more = true;
             break;
         }
@@ -150,15 +149,15 @@
     return response;
 }
 
-OutboundResponse KvStoreModel::grant(const StoreLeaseGrant& call) {
+OutboundResponse KvStoreModel::grant(const StoreLeaseGrant& request) {
     OutboundResponse response = reply_of(200);
     response.lease = next_lease_++;
-    leases_[response.lease] = {clock_.now() + call.ttl_s, call.ttl_s};
+    leases_[response.lease] = {clock_.now() + request.ttl_s, request.ttl_s};
     return response;
 }
 
-OutboundResponse KvStoreModel::renew(const StoreLeaseRenewal& call) {
-    auto found = leases_.find(call.lease);
+OutboundResponse KvStoreModel::renew(const StoreLeaseRenewal& request) {
+    auto found = leases_.find(request.lease);
     if (found == leases_.end()) {
         return reply_of(404);
     }
@@ -202,7 +201,7 @@
 OutboundResponse KvStoreModel::changes_since(const OpenWatch& open) const {
     const WatchRequest& request = open.request;
     OutboundResponse response = reply_of(200);
-    response.request_id = request.call;
+    response.request_id = request.request_id;
     response.revision = revision_;
     std::map<std::string, bool> deleted_by_key;
     for (const auto& change : changes_) {
@@ -222,7 +221,7 @@
     return response;
 }
 
-bool KvStoreModel::cut_off(int controller) const {
+bool KvStoreModel::unreachable_from(int controller) const {
     return refuses(controller) || silent_to(controller) || network_.isolated(controller);
 }
 
@@ -239,7 +238,8 @@
     for (const auto& open : watches_) {
         OutboundResponse response = changes_since(open);
         bool nothing_new = response.entries.empty() && response.deleted.empty();
-        if (cut_off(open.request.controller) || (nothing_new && clock_.now() < open.until)) {
+        if (unreachable_from(open.request.controller) ||
+            (nothing_new && clock_.now() < open.until)) {
             still_open.push_back(open);
         } else {
             all_fired.push_back({open.request, std::move(response)});
--- a/tests/simulation/network_model.cpp
+++ b/tests/simulation/network_model.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// Links and their faults: see network_model.h.
+// Links and their faults: see network_model.h.
 #include "simulation/network_model.h"
 
 namespace scheduler::test {
@@ -13,10 +12,11 @@
 
 NetworkModel::NetworkModel(std::vector<std::string> controller_zones,
                            const RandomFaults& random_faults, RandomSource& random)
-    : controller_zones_(std::move(controller_zones)), troubles_(random_faults), random_(random) {}
+    : controller_zones_(std::move(controller_zones)), random_faults_(random_faults),
+      random_(random) {}
 
 double NetworkModel::delay() {
-    return random_.uniform(kShortestDelayS, kLongestDelayS + troubles_.link_delay_s);
+    return random_.uniform(kShortestDelayS, kLongestDelayS + random_faults_.link_delay_s);
 }
 
 double NetworkModel::late_delay() {
--- a/tests/simulation/pending_requests.cpp
+++ b/tests/simulation/pending_requests.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// Requests that await an answer: see pending_requests.h.
+// Requests that await an answer: see pending_requests.h.
 #include "simulation/pending_requests.h"
 
 #include <utility>
@@ -7,7 +6,7 @@
 namespace scheduler::test {
 
 namespace {
-/// Keeps the simulation's own requests apart from those of users.
+// Keeps the simulation's own requests apart from those of users.
 constexpr RequestId kOwnRequests = 1ULL << 40;
 } // namespace
 
--- a/tests/simulation/queries.cpp
+++ b/tests/simulation/queries.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// Questions about the simulation's state: see queries.h.
+// Questions about the simulation's state: see queries.h.
 #include "simulation/queries.h"
 
 #include <utility>
@@ -11,7 +10,7 @@
 
 namespace {
 using OpenJobs = std::map<std::string, HistoryChecker::WaitingJob>;
-/// CPUs and GPUs by team, as the history checker takes them.
+// CPUs and GPUs by team, as the history checker takes them.
 using UsedByTeam = std::map<std::string, std::pair<double, double>>;
 
 bool holds(const Worker& worker, const TaskId& task) {
@@ -34,20 +33,20 @@
     return jobs;
 }
 
-/// Returns the room that is left on the machine; its tasks are taken from what waits.
-HistoryChecker::FreeCapacity room_of(const Worker& worker, const InstanceType& type,
-                                     const HistoryChecker& history_checker, OpenJobs& jobs,
-                                     UsedByTeam& used) {
-    HistoryChecker::FreeCapacity room{worker.zone, worker.spot, &type,
-                                      type.cpus,   type.gpus,   type.ram_gb};
+// Returns the capacity that is left on the machine; its tasks are preempted_at from what waits.
+HistoryChecker::FreeCapacity free_capacity_of(const Worker& worker, const InstanceType& type,
+                                              const HistoryChecker& history_checker, OpenJobs& jobs,
+                                              UsedByTeam& used) {
+    HistoryChecker::FreeCapacity capacity{worker.zone, worker.spot, &type,
+                                          type.cpus,   type.gpus,   type.ram_gb};
     for (const auto& [task, state] : worker.tasks) {
         if (state.stage == TaskStage::exited) {
             continue;
         }
         const JobSpec& spec = history_checker.spec(task.job);
-        room.cpus -= spec.cpus;
-        room.gpus -= spec.gpus;
-        room.ram_gb -= spec.ram_gb;
+        capacity.cpus -= spec.cpus;
+        capacity.gpus -= spec.gpus;
+        capacity.ram_gb -= spec.ram_gb;
         used[spec.team].first += spec.cpus;
         used[spec.team].second += spec.gpus;
         if (auto job = jobs.find(task.job); job != jobs.end()) {
@@ -55,16 +54,16 @@
             ++job->second.in_zone[worker.zone];
         }
     }
-    return room;
+    return capacity;
 }
 
 bool usable(const Worker& worker, Time now) {
-    return worker.up && !worker.dead && !worker.cut && !worker.deaf && !worker.cut_outbound &&
-           now >= worker.hung_until && worker.taken == 0;
+    return worker.up && !worker.dead && !worker.cut && !worker.cut_inbound &&
+           !worker.cut_outbound && now >= worker.hung_until && worker.preempted_at == 0;
 }
 } // namespace
 
-int owner_of(const KvStoreModel& store, int partition) {
+int leader_of(const KvStoreModel& store, int partition) {
     auto found = store.entries().find("part/" + std::to_string(partition));
     if (found == store.entries().end()) {
         return -1;
@@ -134,11 +133,12 @@
                      const InstanceType& type, HistoryChecker& history_checker) {
     OpenJobs jobs = open_jobs(store, history_checker);
     UsedByTeam used;
-    std::vector<HistoryChecker::FreeCapacity> rooms;
+    std::vector<HistoryChecker::FreeCapacity> free_capacity;
     for (const auto& [name, worker] : workers) {
-        HistoryChecker::FreeCapacity room = room_of(worker, type, history_checker, jobs, used);
+        HistoryChecker::FreeCapacity capacity =
+            free_capacity_of(worker, type, history_checker, jobs, used);
         if (usable(worker, now)) {
-            rooms.push_back(room);
+            free_capacity.push_back(capacity);
         }
     }
     std::vector<HistoryChecker::WaitingJob> waiting;
@@ -147,7 +147,7 @@
             waiting.push_back(job);
         }
     }
-    history_checker.observe_capacity(now, rooms, waiting, used);
+    history_checker.observe_capacity(now, free_capacity, waiting, used);
 }
 
 } // namespace scheduler::test
--- a/tests/simulation/quota_model.cpp
+++ b/tests/simulation/quota_model.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// Teams' limits: see quota_model.h.
+// Teams' limits: see quota_model.h.
 #include "simulation/quota_model.h"
 
 #include <algorithm>
@@ -11,8 +10,8 @@
 namespace scheduler::test {
 
 namespace {
-/// Sums of CPUs are compared up to this.
-constexpr double kRounding = 1e-6;
+// Sums of CPUs are compared up to this.
+constexpr double kRoundingError = 1e-6;
 } // namespace
 
 QuotaModel::QuotaModel(const SimulationOptions& options, EventQueue& clock,
@@ -66,12 +65,12 @@
 
 // Of a change that another has followed since, nothing is known: a controller may have seen both at
 // once.
-void QuotaModel::note_in_force(const std::string& line) {
+void QuotaModel::record_applied(const std::string& line) {
     static const std::string kRevision = " revision=";
     const char* revision = line.c_str() + line.find(kRevision) + kRevision.size();
     auto found = written_.find(std::strtoull(revision, nullptr, 10));
     if (found != written_.end()) {
-        in_force_after_.push_back(clock_.now() - found->second.when);
+        quota_delays_s_.push_back(clock_.now() - found->second.when);
     }
 }
 
@@ -97,7 +96,7 @@
     for (const auto& [until, before] : limit.before) {
         most = std::max(most, before);
     }
-    if (used > most + kRounding) {
+    if (used > most + kRoundingError) {
         history_checker_.broken.push_back("quota " + team + " uses " + std::to_string(used) +
                                           " of " + std::to_string(most));
     }
--- a/tests/simulation/random_source.cpp
+++ b/tests/simulation/random_source.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// Random draws: see random_source.h.
+// Random draws: see random_source.h.
 #include "simulation/random_source.h"
 
 #include <utility>
--- /dev/null
+++ b/tests/simulation/request_router.cpp
@@ -0,0 +1,154 @@
+// The arrival of calls: see request_router.h.
+#include "simulation/request_router.h"
+
+#include "core/model/partition_assignment.h"
+#include "simulation/cluster_setup.h"
+
+namespace scheduler::test {
+
+namespace {
+// A call between controllers or to a worker runs out of time.
+constexpr double kRequestTimeoutS = 1.5;
+// A watch that the state service does not take.
+constexpr double kRefusedWatchDelayS = 3;
+} // namespace
+
+bool is_store_request(const OutboundBody& request) {
+    return std::holds_alternative<StoreGet>(request) ||
+           std::holds_alternative<StoreRange>(request) ||
+           std::holds_alternative<StoreTransaction>(request) ||
+           std::holds_alternative<StoreLeaseGrant>(request) ||
+           std::holds_alternative<StoreLeaseRenewal>(request) ||
+           std::holds_alternative<StoreWatch>(request);
+}
+
+bool is_quota_config_request(const OutboundBody& request) {
+    const auto* range = std::get_if<StoreRange>(&request);
+    const auto* watch = std::get_if<StoreWatch>(&request);
+    return (range && range->prefix == kQuotaConfigPrefix) ||
+           (watch && watch->prefix == kQuotaConfigPrefix);
+}
+
+RequestRouter::RequestRouter(const SimulationOptions& options, EventQueue& clock,
+                             NetworkModel& network, PendingRequests& requests,
+                             ReplyChannel& replies, RequestReceivers receivers)
+    : options_(options), clock_(clock), network_(network), requests_(requests), replies_(replies),
+      receivers_(receivers) {}
+
+void RequestRouter::time_out_unless_suppressed(double seconds, const RequestMessage& message) {
+    if (!message.response_suppressed) {
+        replies_.time_out_after(seconds, message);
+    }
+}
+
+void RequestRouter::arrive(const RequestMessage& message) {
+    const OutboundBody& body = message.request.body;
+    if (arrive_at_controller(message)) {
+        return;
+    }
+    if (const auto* batch = std::get_if<WorkerCommands>(&body)) {
+        arrive_at_worker(message, *batch);
+    } else if (network_.isolated(message.controller)) {
+        time_out_unless_suppressed(options_.report_s / 2, message);
+    } else if (is_store_request(body)) {
+        arrive_at_store(message);
+    } else {
+        replies_.reply(message, receivers_.cloud.serve(body));
+    }
+}
+
+bool RequestRouter::arrive_at_controller(const RequestMessage& message) {
+    const OutboundBody& body = message.request.body;
+    if (const auto* sync = std::get_if<PeerSyncCall>(&body)) {
+        send_to_peer(message, sync->node, [sync](RequestId request_id) {
+            return PeerSyncReceived{request_id, sync->sync};
+        });
+    } else if (const auto* extension = std::get_if<LeaseExtensionCall>(&body)) {
+        send_to_peer(message, extension->node, [extension](RequestId request_id) {
+            return LeaseExtensionReceived{request_id, extension->extension};
+        });
+    } else if (const auto* cancelled = std::get_if<CancellationCall>(&body)) {
+        send_to_peer(message, cancelled->node, [cancelled](RequestId request_id) {
+            return CancellationsReceived{request_id, cancelled->jobs};
+        });
+    } else {
+        return false;
+    }
+    return true;
+}
+
+// The response itself may be lost too; then the call runs out of time.
+void RequestRouter::send_to_peer(const RequestMessage& message, const std::string& peer,
+                                 const MakeInput& make_input) {
+    const int to = controller_number(peer);
+    replies_.time_out_after(kRequestTimeoutS, message);
+    if (!receivers_.controllers.running(to) || !network_.peers_connected(message.controller, to)) {
+        return;
+    }
+    RequestId request_id = requests_.expect([this, message](const Response& peer_response, Time) {
+        if (!message.response_suppressed) {
+            OutboundResponse response = peer_reply(peer_response);
+            response.request_id = message.request.id;
+            replies_.deliver(message, response);
+        }
+    });
+    receivers_.controllers.input(to, make_input(request_id));
+}
+
+OutboundResponse RequestRouter::peer_reply(const Response& peer_response) {
+    OutboundResponse response;
+    response.status = peer_response.status;
+    if (const auto* sync = std::get_if<PeerSyncResponse>(&peer_response.body)) {
+        response.peer_sync = *sync;
+        inventory_entries_ += static_cast<double>(
+            sync->tasks.size() + sync->pending_launches.size() + sync->machines.size());
+    } else if (const auto* extension = std::get_if<LeaseExtensionResponse>(&peer_response.body)) {
+        response.lease_extension = *extension;
+    }
+    return response;
+}
+
+void RequestRouter::arrive_at_worker(const RequestMessage& message, const WorkerCommands& batch) {
+    const Worker* worker = receivers_.workers.find(batch.machine);
+    if (!worker || worker->dead || worker->cut || worker->cut_inbound ||
+        !network_.worker_connected(message.controller, worker->zone)) {
+        time_out_unless_suppressed(kRequestTimeoutS, message);
+    } else if (clock_.now() < worker->hung_until) {
+        arrive_at_hung_worker(message, *worker, batch);
+    } else {
+        replies_.reply(message, receivers_.workers.execute_commands(batch, message.sent_at));
+    }
+}
+
+void RequestRouter::arrive_at_hung_worker(const RequestMessage& message, const Worker& worker,
+                                          const WorkerCommands& batch) {
+    replies_.time_out_after(kRequestTimeoutS, message);
+    clock_.at(worker.hung_until, [this, batch, sent_at = message.sent_at] {
+        const Worker* woken = receivers_.workers.find(batch.machine);
+        if (woken && !woken->dead) {
+            receivers_.workers.execute_commands(batch, sent_at);
+        }
+    });
+}
+
+void RequestRouter::arrive_at_store(const RequestMessage& message) {
+    KvStoreModel& store = receivers_.store;
+    const auto* watch = std::get_if<StoreWatch>(&message.request.body);
+    if (store.silent_to(message.controller)) {
+        time_out_unless_suppressed(options_.report_s / 2, message);
+    } else if (store.down() || store.refuses(message.controller)) {
+        if (watch) {
+            replies_.time_out_after(kRefusedWatchDelayS, message);
+            return;
+        }
+        OutboundResponse refused;
+        refused.status = 503;
+        replies_.reply(message, refused);
+    } else if (watch) {
+        store.watch({message.controller, message.incarnation, message.request.id, *watch});
+    } else {
+        replies_.reply(message, store.serve(message.request.body));
+    }
+}
+
+} // namespace scheduler::test
--- a/tests/simulation/start_checker.cpp
+++ b/tests/simulation/start_checker.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// The rules about starts: see start_checker.h.
+// The rules about starts: see start_checker.h.
 #include "simulation/start_checker.h"
 
 namespace scheduler::test {
@@ -7,7 +6,7 @@
 void StartChecker::started(Time now, const Workers& workers, const Worker& worker,
                            const TaskId& task) {
     ++starts_[task];
-    history_checker_.started(now, task, worker.tasks.at(task).left);
+    history_checker_.started(now, task, worker.tasks.at(task).sent_at);
     std::size_t in_zone = check_others(workers, worker, task);
     check_place(history_checker_.spec(task.job), worker, in_zone);
 }
--- a/tests/simulation/user_model.cpp
+++ b/tests/simulation/user_model.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// The users: see user_model.h.
+// The users: see user_model.h.
 #include "simulation/user_model.h"
 
 #include <utility>
@@ -10,15 +9,15 @@
 namespace scheduler::test {
 
 namespace {
-constexpr double kAskEveryS = 5;
-/// More CPUs than any machine has.
-constexpr double kUnfitCpus = 1000;
+constexpr double kPollIntervalS = 5;
+// More CPUs than any machine has.
+constexpr double kUnsatisfiableCpus = 1000;
 } // namespace
 
 UserModel::UserModel(const SimulationOptions& options, const RandomFaults& random_faults,
                      EventQueue& clock, RandomSource& random, PendingRequests& requests,
                      ControllerModel& controllers, HistoryChecker& history_checker)
-    : options_(options), troubles_(random_faults), clock_(clock), random_(random),
+    : options_(options), random_faults_(random_faults), clock_(clock), random_(random),
       requests_(requests), controllers_(controllers), history_checker_(history_checker) {}
 
 int UserModel::any_controller() {
@@ -27,36 +26,37 @@
 
 RequestId UserModel::submit(int controller, const JobSpec& spec) {
     history_checker_.submitted(clock_.now(), spec);
-    return ask(controller, HistoryChecker::RequestKind::submit, spec.id);
+    return send_request(controller, HistoryChecker::RequestKind::submit, spec.id);
 }
 
 RequestId UserModel::poll(int controller, const std::string& job) {
-    return ask(controller, HistoryChecker::RequestKind::poll, job);
+    return send_request(controller, HistoryChecker::RequestKind::poll, job);
 }
 
 RequestId UserModel::cancel(int controller, const std::string& job) {
-    return ask(controller, HistoryChecker::RequestKind::cancel, job);
+    return send_request(controller, HistoryChecker::RequestKind::cancel, job);
 }
 
-RequestId UserModel::ask(int controller, HistoryChecker::RequestKind what, const std::string& job) {
+RequestId UserModel::send_request(int controller, HistoryChecker::RequestKind kind,
+                                  const std::string& job) {
     RequestId request_id = requests_.next();
-    ask(request_id, controller, what, job);
+    send_request(request_id, controller, kind, job);
     return request_id;
 }
 
-void UserModel::ask_closely(int controller, HistoryChecker::RequestKind what,
-                            const std::string& job) {
+void UserModel::send_follow_up(int controller, HistoryChecker::RequestKind kind,
+                               const std::string& job) {
     RequestId request_id = requests_.next();
-    looks_.insert(request_id); // it may be answered at once
-    ask(request_id, controller, what, job);
+    follow_up_requests_.insert(request_id); // it may be answered at once
+    send_request(request_id, controller, kind, job);
 }
 
-void UserModel::ask(RequestId request_id, int controller, HistoryChecker::RequestKind what,
-                    const std::string& job) {
-    history_checker_.asked(clock_.now(), request_id, what, job);
-    if (what == HistoryChecker::RequestKind::submit) {
+void UserModel::send_request(RequestId request_id, int controller, HistoryChecker::RequestKind kind,
+                             const std::string& job) {
+    history_checker_.asked(clock_.now(), request_id, kind, job);
+    if (kind == HistoryChecker::RequestKind::submit) {
         controllers_.input(controller, SubmitJob{request_id, history_checker_.spec(job)});
-    } else if (what == HistoryChecker::RequestKind::poll) {
+    } else if (kind == HistoryChecker::RequestKind::poll) {
         controllers_.input(controller, PollJob{request_id, job});
     } else {
         controllers_.input(controller, CancelJob{request_id, job});
@@ -69,42 +69,43 @@
     return answers.at(request_id).status;
 }
 
-void UserModel::answered(const Response& answer) {
-    history_checker_.answered(clock_.now(), answer);
-    if (const auto* job = std::get_if<JobStatusBody>(&answer.body)) {
-        bool close_look = looks_.contains(answer.request_id);
-        looks_answered_ += close_look;
-        bool news = answer.status == 201 || !history_checker_.reported_outcome(job->id).empty();
-        if (news && !close_look && random_.fault(troubles_.concurrent_status_reads)) {
-            look_closely(job->id);
+void UserModel::answered(const Response& response) {
+    history_checker_.answered(clock_.now(), response);
+    if (const auto* job = std::get_if<JobStatusBody>(&response.body)) {
+        bool is_follow_up = follow_up_requests_.contains(response.request_id);
+        status_reads_answered_ += is_follow_up;
+        bool is_news =
+            response.status == 201 || !history_checker_.reported_outcome(job->id).empty();
+        if (is_news && !is_follow_up && random_.fault(random_faults_.concurrent_status_reads)) {
+            send_concurrent_status_reads(job->id);
         }
     }
-    answers[answer.request_id] = answer;
+    answers[response.request_id] = response;
 }
 
-void UserModel::look_closely(const std::string& job) {
+void UserModel::send_concurrent_status_reads(const std::string& job) {
     for (double after_s : {0.001, 0.004, 0.02, 0.1}) {
         clock_.after(after_s, [this, job] {
             for (int controller = 0; controller < controllers_.count(); ++controller) {
-                ask_closely(controller, HistoryChecker::RequestKind::poll, job);
-                ask_closely(controller, HistoryChecker::RequestKind::submit, job);
+                send_follow_up(controller, HistoryChecker::RequestKind::poll, job);
+                send_follow_up(controller, HistoryChecker::RequestKind::submit, job);
             }
         });
     }
     if (random_.chance(0.25)) {
         clock_.after(0.002, [this, job] {
-            ask_closely(any_controller(), HistoryChecker::RequestKind::cancel, job);
+            send_follow_up(any_controller(), HistoryChecker::RequestKind::cancel, job);
         });
     }
 }
 
 void UserModel::send_edge_case_requests(const std::string& job) {
     int controller = any_controller();
-    ask_closely(controller, HistoryChecker::RequestKind::submit, job);
+    send_follow_up(controller, HistoryChecker::RequestKind::submit, job);
     if (history_checker_.reported_outcome(job) == "done") {
-        ask_closely(controller, HistoryChecker::RequestKind::cancel, job);
+        send_follow_up(controller, HistoryChecker::RequestKind::cancel, job);
     }
-    JobSpec unfit = usual_job(options_, job + "99999", 1, kUnfitCpus);
+    JobSpec unfit = usual_job(options_, job + "99999", 1, kUnsatisfiableCpus);
     submit(controller, unfit);
     unfit.id += "9";
     unfit.cpus = 1;
@@ -118,7 +119,7 @@
 
 void UserModel::task_completed(const TaskId& task) {
     history_checker_.completed(task);
-    if (history_checker_.all_done(task.job) && random_.fault(troubles_.cancel_at_end)) {
+    if (history_checker_.all_done(task.job) && random_.fault(random_faults_.cancel_at_end)) {
         double within_s = random_.uniform(0, 2 * options_.report_s);
         bool wait = random_.chance(0.5);
         clock_.after(wait ? within_s : 0,
@@ -126,16 +127,16 @@
     }
 }
 
-bool UserModel::start_asking() {
-    if (std::exchange(asking_, true)) {
+bool UserModel::start_polling() {
+    if (std::exchange(polling_, true)) {
         return false;
     }
-    clock_.after(0, [this] { ask_all(); });
-    clock_.every(kAskEveryS, [this] { ask_all(); });
+    clock_.after(0, [this] { poll_open_jobs(); });
+    clock_.every(kPollIntervalS, [this] { poll_open_jobs(); });
     return true;
 }
 
-void UserModel::ask_all() {
+void UserModel::poll_open_jobs() {
     std::vector<int> ready;
     for (int controller = 0; controller < controllers_.count(); ++controller) {
         if (controllers_.awake(controller) && probe_readiness(controller) == 200) {
--- a/tests/simulation/user_model.h
+++ b/tests/simulation/user_model.h
@@ -1,5 +1,4 @@
-/// @file
-/// The users: what they ask of controllers, and the answers that they get.
+// The users: kind they send_request of controllers, and the answers that they get.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +16,7 @@
 
 namespace scheduler::test {
 
-/// Sends users' requests, tells the history checker of them and of the answers.
+// Sends users' requests, tells the history checker of them and of the answers.
 class UserModel {
   public:
     UserModel(const SimulationOptions& options, const RandomFaults& random_faults,
@@ -27,47 +26,48 @@
     RequestId submit(int controller, const JobSpec& spec);
     RequestId poll(int controller, const std::string& job);
     RequestId cancel(int controller, const std::string& job);
-    /// What a health check gets now: a status.
+    // What a health check gets now: a status.
     int probe_readiness(int controller);
-    /// A repeated submission, a cancellation of a job that is done, jobs that can never run.
+    // A repeated submission, a cancellation of a job that is done, jobs that can never run.
     void send_edge_case_requests(const std::string& job);
-    /// From now on users ask for each open job every 5 s, at a controller that is ready. Returns
-    /// whether they did not so far.
-    bool start_asking();
+    // From now on users send_request for each open job every 5 s, at a controller that is ready.
+    // Returns whether they did not so far.
+    bool start_polling();
 
-    /// A controller answered a user's request.
-    void answered(const Response& answer);
-    /// A task has completed; its job's user may call the job off at the end of the last one.
+    // A controller answered a user's request.
+    void answered(const Response& response);
+    // A task has completed; its job's user may call the job off at the end of the last one.
     void task_completed(const TaskId& task);
 
-    /// Of the requests of close looks and odd ones, those that were answered with a job's stage.
-    std::size_t status_reads_answered() const { return looks_answered_; }
-    /// The answers so far, by request.
+    // Of the requests of close looks and odd ones, those that were answered with a job's stage.
+    std::size_t status_reads_answered() const { return status_reads_answered_; }
+    // The answers so far, by request.
     std::map<RequestId, Response> answers;
 
   private:
-    /// A request that leads to no further close look.
-    void ask_closely(int controller, HistoryChecker::RequestKind what, const std::string& job);
-    void ask(RequestId request_id, int controller, HistoryChecker::RequestKind what,
-             const std::string& job);
-    RequestId ask(int controller, HistoryChecker::RequestKind what, const std::string& job);
-    /// At all controllers within milliseconds: a poll, the submission once more; sometimes a
-    /// cancellation.
-    void look_closely(const std::string& job);
-    void ask_all();
+    // A request that leads to no further close look.
+    void send_follow_up(int controller, HistoryChecker::RequestKind kind, const std::string& job);
+    void send_request(RequestId request_id, int controller, HistoryChecker::RequestKind kind,
+                      const std::string& job);
+    RequestId send_request(int controller, HistoryChecker::RequestKind kind,
+                           const std::string& job);
+    // At all controllers within milliseconds: a poll, the submission once more; sometimes a
+    // cancellation.
+    void send_concurrent_status_reads(const std::string& job);
+    void poll_open_jobs();
     int any_controller();
 
     const SimulationOptions& options_;
-    const RandomFaults& troubles_;
+    const RandomFaults& random_faults_;
     EventQueue& clock_;
     RandomSource& random_;
     PendingRequests& requests_;
     ControllerModel& controllers_;
     HistoryChecker& history_checker_;
-    bool asking_ = false;
-    /// Requests that led to no further ones.
-    std::set<RequestId> looks_;
-    std::size_t looks_answered_ = 0;
+    bool polling_ = false;
+    // Requests that led to no further ones.
+    std::set<RequestId> follow_up_requests_;
+    std::size_t status_reads_answered_ = 0;
 };
 
 } // namespace scheduler::test
--- a/tests/simulation/worker_model.cpp
+++ b/tests/simulation/worker_model.cpp
@@ -1,5 +1,4 @@
-/// @file
-/// Machines and their tasks: see worker_model.h.
+// Machines and their tasks: see worker_model.h.
 #include "simulation/worker_model.h"
 
 #include <algorithm>
@@ -10,13 +9,13 @@
 namespace scheduler::test {
 
 namespace {
-constexpr double kFetchS = 0.5;
-/// A service runs until it is stopped.
+constexpr double kImageFetchS = 0.5;
+// A service runs until it is stopped.
 constexpr Time kNever = 1e12;
 
-void exit_with(WorkerTask& state, ExitReason why) {
+void exit_with(WorkerTask& state, ExitReason exit_reason) {
     state.stage = TaskStage::exited;
-    state.why = why;
+    state.exit_reason = exit_reason;
 }
 } // namespace
 
@@ -38,8 +37,8 @@
     }
     found->second.cut_outbound = cut_outbound;
     found->second.up = true;
-    found->second.renewed = clock_.now();
-    callbacks_.report_due(machine);
+    found->second.lease_renewed_at = clock_.now();
+    callbacks_.heartbeat_due(machine);
 }
 
 const Worker* WorkerModel::find(const std::string& machine) const {
@@ -51,7 +50,7 @@
     Worker& worker = workers_.at(machine);
     worker.hung_until = clock_.now() + seconds;
     for (auto& [task, state] : worker.tasks) { // they make no progress
-        state.next += seconds;
+        state.next_change += seconds;
     }
 }
 
@@ -60,18 +59,18 @@
     workers_.at(machine).tasks.clear();
 }
 
-void WorkerModel::take(const std::string& machine, double notice_s) {
+void WorkerModel::preempt(const std::string& machine, double notice_s) {
     Worker& worker = workers_.at(machine);
-    worker.taken = clock_.now() + notice_s;
-    callbacks_.report_due(machine);
-    clock_.at(worker.taken, [this, machine] {
+    worker.preempted_at = clock_.now() + notice_s;
+    callbacks_.heartbeat_due(machine);
+    clock_.at(worker.preempted_at, [this, machine] {
         if (workers_.contains(machine)) {
             kill(machine);
         }
     });
 }
 
-Heartbeat WorkerModel::make_report(const std::string& machine) {
+Heartbeat WorkerModel::make_heartbeat(const std::string& machine) {
     Worker& worker = workers_.at(machine);
     Heartbeat heartbeat;
     heartbeat.machine = worker.name;
@@ -79,50 +78,51 @@
     heartbeat.type = kMachineTypeName;
     heartbeat.zone = worker.zone;
     heartbeat.spot = worker.spot;
-    heartbeat.agent_epoch = worker.session;
-    heartbeat.sequence = ++worker.tick;
-    heartbeat.fencing_token = worker.token;
-    if (worker.taken > 0) {
-        heartbeat.preemption_notice_s = std::max(0.0, worker.taken - clock_.now());
+    heartbeat.agent_epoch = worker.agent_epoch;
+    heartbeat.sequence = ++worker.heartbeat_sequence;
+    heartbeat.fencing_token = worker.fencing_token;
+    if (worker.preempted_at > 0) {
+        heartbeat.preemption_notice_s = std::max(0.0, worker.preempted_at - clock_.now());
     }
     for (const auto& [task, state] : worker.tasks) {
-        heartbeat.tasks.push_back({task, state.attempt, state.stage, state.why});
+        heartbeat.tasks.push_back({task, state.attempt, state.stage, state.exit_reason});
     }
     return heartbeat;
 }
 
-OutboundResponse WorkerModel::execute_orders(const WorkerCommands& orders, Time left) {
-    Worker& worker = workers_.at(orders.machine);
+OutboundResponse WorkerModel::execute_commands(const WorkerCommands& batch, Time sent_at) {
+    Worker& worker = workers_.at(batch.machine);
     OutboundResponse response;
-    if (orders.fencing_token < worker.token || orders.agent_epoch != worker.session) {
+    if (batch.fencing_token < worker.fencing_token || batch.agent_epoch != worker.agent_epoch) {
         response.status = 409;
     } else {
-        worker.token = orders.fencing_token;
-        execute(worker, orders.commands, left);
+        worker.fencing_token = batch.fencing_token;
+        execute(worker, batch.commands, sent_at);
         response.status = 200;
     }
-    response.heartbeat = make_report(orders.machine);
+    response.heartbeat = make_heartbeat(batch.machine);
     return response;
 }
 
-bool WorkerModel::accept_answer(const std::string& machine, const HeartbeatBody& answer, Time sent,
-                                Time left) {
+bool WorkerModel::accept_response(const std::string& machine, const HeartbeatBody& response,
+                                  Time heartbeat_sent_at, Time response_sent_at) {
     Worker& worker = workers_.at(machine);
-    bool higher = answer.fencing_token > worker.token;
-    worker.token = answer.fencing_token;
-    worker.renewed = std::max(worker.renewed, sent);
-    execute(worker, answer.commands, left);
+    bool higher = response.fencing_token > worker.fencing_token;
+    worker.fencing_token = response.fencing_token;
+    worker.lease_renewed_at = std::max(worker.lease_renewed_at, heartbeat_sent_at);
+    execute(worker, response.commands, response_sent_at);
     return higher;
 }
 
-void WorkerModel::execute(Worker& worker, const std::vector<WorkerCommand>& commands, Time left) {
+void WorkerModel::execute(Worker& worker, const std::vector<WorkerCommand>& commands,
+                          Time sent_at) {
     for (const auto& command : commands) {
         auto found = worker.tasks.find(command.task);
         if (command.type == CommandType::start) {
             if (found == worker.tasks.end()) {
                 worker.tasks[command.task] = {command.attempt,  TaskStage::fetching,
-                                              ExitReason::none, clock_.now() + kFetchS,
-                                              clock_.now(),     left};
+                                              ExitReason::none, clock_.now() + kImageFetchS,
+                                              clock_.now(),     sent_at};
             } // else the same attempt: no effect; another: refused as busy
         } else if (found != worker.tasks.end() && found->second.attempt == command.attempt) {
             if (command.type == CommandType::stop) {
@@ -140,8 +140,8 @@
     if (state.stage == TaskStage::running && job.checkpoint_interval_s > 0 &&
         command.grace_s >= job.save_duration_s) {
         state.stage = TaskStage::saving;
-        state.next = clock_.now() + job.save_duration_s;
-        gangs_.stop_seen(command.task.job, state.attempt);
+        state.next_change = clock_.now() + job.save_duration_s;
+        gangs_.stop_received(command.task.job, state.attempt);
     } else if (state.stage != TaskStage::exited &&
                (state.stage != TaskStage::saving || command.grace_s == 0)) {
         exit_with(state, ExitReason::stopped);
@@ -159,8 +159,8 @@
         return;
     }
     // Hung for longer than its lease it kills its tasks on waking, before anything else.
-    if ((clock_.now() - worker.renewed) * worker.rate > options_.lease_s) {
-        lose_lease(worker);
+    if ((clock_.now() - worker.lease_renewed_at) * worker.clock_rate > options_.lease_s) {
+        expire_lease(worker);
     }
     if (clock_.now() < worker.hung_until) {
         return;
@@ -170,23 +170,23 @@
         changed |= advance(worker, task, state);
     }
     if (changed) {
-        callbacks_.report_due(worker.name);
+        callbacks_.heartbeat_due(worker.name);
     }
 }
 
-void WorkerModel::lose_lease(Worker& worker) {
+void WorkerModel::expire_lease(Worker& worker) {
     worker.tasks.clear();
-    ++worker.session;
-    worker.renewed = clock_.now();
-    callbacks_.report_due(worker.name);
+    ++worker.agent_epoch;
+    worker.lease_renewed_at = clock_.now();
+    callbacks_.heartbeat_due(worker.name);
 }
 
 bool WorkerModel::advance(Worker& worker, const TaskId& task, WorkerTask& state) {
-    if (clock_.now() < state.next) {
+    if (clock_.now() < state.next_change) {
         return false;
     }
     if (state.stage == TaskStage::fetching) {
-        return image_fetched(worker, task, state);
+        return finish_fetch(worker, task, state);
     }
     bool saving = state.stage == TaskStage::saving;
     bool running = state.stage == TaskStage::running;
@@ -196,20 +196,20 @@
     if (saving) {
         exit_with(state, ExitReason::stopped);
     } else {
-        run_over(task, state);
+        finish_run(task, state);
     }
     return true;
 }
 
-bool WorkerModel::image_fetched(Worker& worker, const TaskId& task, WorkerTask& state) {
+bool WorkerModel::finish_fetch(Worker& worker, const TaskId& task, WorkerTask& state) {
     start_checker_.started(clock_.now(), workers_, worker, task);
     if (spec(task).kind != JobKind::gang) {
         state.stage = TaskStage::running;
-        state.next = end_of_run(task);
+        state.next_change = end_of_run(task);
         return false;
     }
     state.stage = TaskStage::waiting;
-    state.since = clock_.now();
+    state.stage_since = clock_.now();
     if (history_checker_.done(task)) { // the result is kept
         exit_with(state, ExitReason::done);
     }
@@ -226,9 +226,9 @@
     return clock_.now() + options_.run_s * random_.uniform(0.5, 1.5);
 }
 
-void WorkerModel::run_over(const TaskId& task, WorkerTask& state) {
+void WorkerModel::finish_run(const TaskId& task, WorkerTask& state) {
     exit_with(state, random_.chance(options_.error) ? ExitReason::error : ExitReason::done);
-    if (state.why == ExitReason::done) {
+    if (state.exit_reason == ExitReason::done) {
         complete(task);
     }
 }
@@ -237,8 +237,8 @@
     workers_.at(machine).tasks.at(task).stage = TaskStage::running;
 }
 
-void WorkerModel::exit(const std::string& machine, const TaskId& task, ExitReason why) {
-    exit_with(workers_.at(machine).tasks.at(task), why);
+void WorkerModel::exit(const std::string& machine, const TaskId& task, ExitReason exit_reason) {
+    exit_with(workers_.at(machine).tasks.at(task), exit_reason);
 }
 
 } // namespace scheduler::test
