--- a/tests/seeds.h
+++ b/tests/seeds.h
@@ -1,5 +1,5 @@
-// Seeds of the randomised tests beyond those of CI: SCHEDULER_SEEDS=200 asks for so many, from
-// SCHEDULER_FIRST_SEED on.
+// Runs randomized tests with further seeds than those of CI: SCHEDULER_SEEDS=200 runs 200 of them,
+// from SCHEDULER_FIRST_SEED on.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
     return seeds ? std::atoi(seeds) : 0;
 }
 
-// Skips the test where none are asked for.
+// Skips the test if SCHEDULER_SEEDS is not set.
 template <class Play> void run_extra_seeds(int default_first_seed, Play play) {
     if (extra_seed_count() == 0) {
         GTEST_SKIP() << "SCHEDULER_SEEDS is not set";
--- a/tests/simulated_cluster.cpp
+++ b/tests/simulated_cluster.cpp
@@ -1,4 +1,3 @@
-// The wiring of a simulation: see simulated_cluster.h.
 #include "simulated_cluster.h"
 
 #include "core/model/partition_assignment.h"
--- a/tests/simulated_cluster.h
+++ b/tests/simulated_cluster.h
@@ -1,5 +1,5 @@
-// A simulation of everything outside the core: state service, cloud, workers, network, users and
-// a fake clock, with faults on demand. It checks the rules at every step.
+// A simulation of everything outside the core: key-value store, cloud, workers, network, users and
+// clock, with faults on demand. It checks the rules at every step.
 #pragma once
 
 #include <functional>
@@ -32,8 +32,9 @@
 
 namespace scheduler::test {
 
-// Wires the models of a simulated cluster to the controllers under test, and offers them to tests.
-// Controllers ("nodes") go by their numbers, times are in seconds of the fake clock.
+// Connects the models of a simulated cluster with the controllers under test and offers them to
+// tests. Controllers ("nodes") are identified by number; times are in seconds of the simulated
+// clock.
 class SimulatedCluster {
   public:
     explicit SimulatedCluster(SimulationOptions options);
@@ -46,22 +47,23 @@
     // Schedules work of the test.
     void at(Time when, std::function<void()> work) { clock_.at(when, std::move(work)); }
 
-    // Users. The answers come back in `answers`, by request.
+    // Users. The responses are stored in `answers`, by request.
     RequestId submit(int node, const JobSpec& spec) { return users_.submit(node, spec); }
-    // A job that was accepted under other settings, and how it stands.
+    // Adds a job that was accepted earlier, maybe under other settings, with its outcome.
     void add_existing_job(const JobSpec& spec, Outcome outcome);
     RequestId poll(int node, const std::string& job) { return users_.poll(node, job); }
     RequestId cancel(int node, const std::string& job) { return users_.cancel(node, job); }
-    // Of the requests of close looks and odd ones, those that were answered with a job's stage.
+    // Returns how many requests of concurrent status reads and edge cases got the job's stage as
+    // response.
     std::size_t status_reads_answered() const { return users_.status_reads_answered(); }
-    // A repeated submission, a cancellation of a job that is done, jobs that can never run.
+    // Sends a repeated submission, a cancellation if the job is done, and submissions that can
+    // never run.
     void send_edge_case_requests(const std::string& job) { users_.send_edge_case_requests(job); }
-    // From now on users send_request for each job that has been accepted and is not over every 5 s,
-    // at a node that is ready, and the history checker counts how long each goes without an answer,
-    // or waits beside idle machines.
+    // From now on users poll each open job every 5 s, at a controller that is ready. The history
+    // checker measures how long each goes unanswered or waits although machines are idle.
     void start_polling_open_jobs();
     double longest_unanswered() const { return history_checker_.longest_unanswered(now()); }
-    // What a health check gets now.
+    // Returns the status of a readiness probe.
     int probe_readiness(int node) { return users_.probe_readiness(node); }
     JobSpec job(const std::string& id, std::uint32_t tasks, double cpus = 2) const {
         return usual_job(options_, id, tasks, cpus);
@@ -69,46 +71,48 @@
 
     // Faults.
     void crash(int node, double restart_s) { controllers_.crash(node, restart_s); }
-    // It stands still while its clock runs on; what comes meanwhile waits.
+    // Pauses the process while its clock continues; inputs are held until it resumes.
     void freeze(int node, double seconds) { controllers_.freeze(node, seconds); }
-    // Gives a share of the part to another part. False: its owner does not, now.
+    // Migrates a shard of the partition to another partition. Returns false if its leader can't
+    // now.
     bool migrate_shard(int partition, const ShardId& shard, int to) {
         return controllers_.migrate_shard(owner(partition), partition, shard, to);
     }
-    // The shares that the part's owner holds.
+    // Returns the shards that the partition's leader holds.
     std::vector<ShardId> held_shards(int partition) const {
         return controllers_.held_shards(owner(partition), partition);
     }
-    // Lines of the log with this event.
+    // Returns the number of log lines with this event.
     std::size_t log_count(const std::string& event) const;
     void set_store_down(bool down) { store_.set_down(down); }
     void set_store_refusing(int node, bool refuses) { store_.set_refusing(node, refuses); }
-    // The node hears nothing from the state service.
+    // The controller gets no responses from the key-value store.
     void set_store_silent(int node, bool silent) { store_.set_silent(node, silent); }
     void cut_workers(int node, bool cut) { network_.cut_workers(node, cut); }
     void cut_peers(int a, int b, bool cut) { network_.cut_peers(a, b, cut); }
-    // The zone is cut off from all else, its nodes and machines reach each other. Empty: none is.
+    // Isolates the zone from everything outside it. An empty name ends the isolation.
     void cut_zone(const std::string& zone) { network_.cut_zone(zone); }
     void cut_machine(const std::string& machine, bool cut) { workers_.set_cut(machine, cut); }
-    // Its reports arrive, answers and direct commands do not.
+    // Its heartbeats arrive; responses and direct commands do not.
     void cut_inbound(const std::string& machine, bool cut) {
         workers_.set_inbound_cut(machine, cut);
     }
-    // It reaches no controller; direct commands reach it.
+    // Its heartbeats reach no controller; direct commands reach it.
     void cut_outbound(const std::string& machine, bool cut) {
         workers_.set_outbound_cut(machine, cut);
     }
-    // It stands still; what is sent to it directly is executed when it goes on.
+    // Pauses the machine. Direct commands are executed when it resumes.
     void hang(const std::string& machine, double seconds) { workers_.hang(machine, seconds); }
     void kill_machine(const std::string& machine) { workers_.kill(machine); }
-    // The cloud says that it takes the machine, and does so then.
+    // Gives notice that the cloud preempts the machine, and ends it after `notice_s`.
     void preempt_machine(const std::string& machine, double notice_s) {
         workers_.preempt(machine, notice_s);
     }
     void set_cloud_down(bool down) { cloud_.set_down(down); }
-    // The cloud rents no more than so many at once from now on.
+    // From now on, the cloud provisions a machine only while it has fewer than this number.
     void set_cloud_capacity(std::size_t machines) { cloud_.set_capacity(machines); }
-    // A report that the machine sent once comes to the node only now, or once more.
+    // Delivers an earlier heartbeat of the machine to the controller now, for the first time or
+    // again.
     void deliver_heartbeat_late(int node, const Heartbeat& heartbeat) {
         heartbeats_.deliver_heartbeat_late(node, heartbeat);
     }
@@ -119,29 +123,31 @@
     // Faults drawn at random from now on.
     RandomFaults random_faults;
 
-    // Configuration.
-    // Writes the team's key as an operator does, over whatever stands there; false: the state
-    // service is down. `late_s`: it is carried out so much later, the writer knows nothing.
+    // Quota configuration.
+    // Overwrites the team's quota, as an operator does. Returns false if the store is down. With a
+    // positive `late_s`, the write is executed that much later and the writer does not learn its
+    // outcome.
     bool configure(const TeamQuota& quota, double late_s = 0) {
         return quotas_.configure(quota, late_s);
     }
-    // As last written, or as in the settings.
+    // Returns the quota as last written, or as in the settings.
     TeamQuota team(const std::string& name) const { return quotas_.team(name); }
-    // A write over this version, as a second operator makes it: its status.
+    // Writes the quota if the stored version is `version`, as a concurrent operator does. Returns
+    // the status.
     int configure_if_version(const TeamQuota& quota, std::uint64_t version) {
         return quotas_.configure_if_version(quota, version);
     }
     std::uint64_t version_of(const std::string& key) const { return store_.version_of(key); }
-    // From the write of each change to its coming into force at each node, seconds.
+    // Returns the seconds from the write of each change until it is in force at each controller.
     const std::vector<double>& quota_delays_s() const { return quotas_.quota_delays_s(); }
-    // Puts a raw record into the state service, or takes one away.
+    // Writes or deletes a record of the store directly.
     void put(const std::string& key, StoredRecord record) { store_.put(key, std::move(record)); }
     void drop(const std::string& key) { store_.drop(key); }
     bool key_exists(const std::string& key) const { return store_.entries().contains(key); }
 
-    // What is true.
+    // Actual state of the cluster.
     const HistoryChecker& history_checker() const { return history_checker_; }
-    // The longest time that a task was on a machine after its user had been reported of the
+    // Returns the longest time that a task was on a machine after its user was told of the
     // cancellation.
     double longest_cancelled() const { return history_checker_.longest_cancelled(); }
     std::vector<std::string> machines_up() const { return test::machines_up(workers_.all()); }
@@ -149,43 +155,45 @@
         return test::machines_of(workers_.all(), task);
     }
     std::string zone_of(const std::string& machine) const { return workers_.get(machine).zone; }
-    // The node that the machine reports to.
+    // Returns the controller that the machine sends its heartbeats to.
     int controller_of(const std::string& machine) const {
         return heartbeats_.controller_of(machine);
     }
-    // Its lease: the report answered last was sent then.
+    // Returns the start of its lease: when the last heartbeat that was answered had been sent.
     Time last_lease_renewal(const std::string& machine) const {
         return workers_.get(machine).lease_renewed_at;
     }
     bool all_done(const std::string& job) const { return history_checker_.all_done(job); }
-    // Seconds from the submission to the first start of a task; none: none has started.
+    // Returns the seconds from the submission to the first start of a task, or none if none has
+    // started.
     std::optional<double> seconds_to_first_start(const std::string& job) const {
         return history_checker_.seconds_to_first_start(job);
     }
     int starts(const TaskId& task) const { return start_checker_.starts(task); }
-    // Times that all tasks of a gang began to run together, and that they saved in good order.
+    // Return how often all tasks of a gang started to run together, and how often all of them saved
+    // their progress.
     int gang_runs(const std::string& job) const { return gangs_.runs(job); }
     int gang_saves(const std::string& job) const { return gangs_.saves(job); }
-    // On a machine now; 0: on none.
+    // Returns the attempt that is on a machine now, or 0 if there is none.
     std::uint64_t attempt_of(const TaskId& task) const {
         return test::attempt_of(workers_.all(), task);
     }
-    // In what the team states.
+    // Returns what the team's tasks use, in the unit of its quota: CPUs or GPUs.
     double used(const std::string& team) const { return quotas_.used(team); }
-    // The node that owns the part, -1: none.
+    // Returns the controller that leads the partition, or -1 if there is none.
     int owner(int partition = 0) const { return leader_of(store_, partition); }
     std::map<std::string, Outcome> outcomes() const { return job_outcomes(store_); }
     // See HistoryChecker::groups_served_below.
     std::vector<std::string> groups_served_below(double min_share) const {
         return history_checker_.groups_served_below(min_share);
     }
-    // For a failing test.
+    // Describes the job and all machines, for the message of a failing test.
     std::string describe(const std::string& job) const {
         return test::describe(workers_.all(), spec_of(job));
     }
     std::size_t request_count(const std::string& kind) const { return transport_.count(kind); }
-    // Counted since the start: reports, starts, entries of what owners list for each other, and
-    // what the cores looked at.
+    // Totals since the start: heartbeats, starts, inventory entries that leaders sent each other,
+    // and items that the controllers examined.
     struct Counts {
         double reports = 0;
         double starts = 0;
@@ -198,7 +206,7 @@
     }
     const JobSpec& spec_of(const std::string& job) const { return history_checker_.spec(job); }
 
-    // Sees each line that a node logs.
+    // Called for each line that a controller logs.
     std::function<void(Time, int node, const std::string& text)> on_log;
 
   private:
@@ -208,7 +216,7 @@
     void line_logged(int node, const std::string& line);
     void step();
 
-    // Each is built from those before it; callbacks lead to those after it.
+    // Each member is built from those before it; callbacks refer to those after it.
     const SimulationOptions options_;
     const InstanceType type_;
     EventQueue clock_;
@@ -231,17 +239,18 @@
     std::map<std::string, std::size_t> log_counts_;
 
   public:
-    // Rules broken, in words.
+    // Broken rules, in words.
     std::vector<std::string>& broken = history_checker_.broken;
-    // The answers to users, by request.
+    // Responses to users, by request.
     std::map<RequestId, Response>& answers = users_.answers;
-    // Calls the test wants to see or hold back: return true to swallow the message.
+    // Called for each request before it is sent. If it returns true, the request is dropped.
     std::function<bool(int node, const OutboundBody&)>& intercept = transport_.intercept;
-    // Transactions that are carried out at once and whose answer alone is lost.
+    // Selects transactions that are executed at once while only the response is lost.
     std::function<bool(int node, const StoreTransaction&)>& lose_response =
         transport_.lose_response;
-    // Sees each output that leaves a node, the call or the answer, and may end the node right
-    // after it, before the next one: seconds until it is back.
+    // Called for each output of a controller, with either the request or the response. May return
+    // the seconds after which the controller restarts; it then crashes at once, before its next
+    // output.
     std::function<std::optional<double>(int node, const OutboundRequest*, const Response*)>&
         after_output = controllers_.after_output;
 };
--- a/tests/simulation/cloud_model.cpp
+++ b/tests/simulation/cloud_model.cpp
@@ -1,4 +1,3 @@
-// The model of the cloud: see cloud_model.h.
 #include "simulation/cloud_model.h"
 
 #include <cstdio>
--- a/tests/simulation/cloud_model.h
+++ b/tests/simulation/cloud_model.h
@@ -1,4 +1,4 @@
-// A model of the cloud that machines are rented from.
+// A model of the cloud that machines are provisioned from.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 
 namespace scheduler::test {
 
-// Rents machines out and takes them back.
+// Provisions and releases machines.
 class CloudModel {
   public:
     CloudModel(const SimulationOptions& options, const RandomFaults& random_faults,
@@ -23,14 +23,14 @@
                HeartbeatSender& heartbeats);
 
     void set_down(bool down) { down_ = down; }
-    // The cloud rents no more than so many machines at once from now on.
+    // From now on, the cloud provisions a machine only while it has fewer than this number.
     void set_capacity(std::size_t machines) { capacity_ = machines; }
 
-    // Carries out a call to the cloud. Status 503: the cloud is down.
+    // Executes a request to the cloud. Returns status 503 while the cloud is down.
     OutboundResponse serve(const OutboundBody& request);
 
   private:
-    // Returns the machines of the order. An order that came before has no effect.
+    // Returns the machines of the scale-out request. A repeated request has no further effect.
     const std::vector<std::string>& provision(const ScaleOut& scale_out);
     std::string add_machine(const ScaleOut& scale_out);
     std::vector<Instance> instances() const;
@@ -43,7 +43,7 @@
     HeartbeatSender& heartbeats_;
     bool down_ = false;
     std::size_t capacity_;
-    // The machines of each order.
+    // Machines by the idempotency key of their scale-out request.
     std::map<std::string, std::vector<std::string>> machines_by_request_;
     int next_machine_ = 0;
 };
--- a/tests/simulation/cluster_setup.cpp
+++ b/tests/simulation/cluster_setup.cpp
@@ -1,4 +1,3 @@
-// The simulated cluster's settings: see cluster_setup.h.
 #include "simulation/cluster_setup.h"
 
 #include <cstdlib>
--- a/tests/simulation/cluster_setup.h
+++ b/tests/simulation/cluster_setup.h
@@ -1,4 +1,4 @@
-// What the options of a simulation come to: zones, machine types, teams, settings of controllers.
+// Derives zones, machine types, teams and controller settings from the options of a simulation.
 #pragma once
 
 #include <string>
@@ -9,26 +9,26 @@
 
 namespace scheduler::test {
 
-// The only machine type that the cloud has.
+// The only machine type that the cloud offers.
 inline constexpr char kMachineTypeName[] = "m8";
-// Seconds that a gang's task waits for the others.
+// Seconds that a task of a gang waits for the others to start.
 inline constexpr double kGangWaitS = 30;
-// Seconds after which a gang's task has noticed that one of the others is gone.
+// Seconds until a task of a gang notices that another one is gone.
 inline constexpr double kGangMemberLostS = 5;
 
-// The name of a controller, as it stands in messages.
+// Returns the name of a controller, as it is used in messages.
 std::string controller_name(int controller);
-// The controller of this name.
+// Returns the number of the controller with this name.
 int controller_number(const std::string& name);
 
 std::vector<std::string> zone_names(const SimulationOptions& options);
-// The zones of the controllers, by their numbers.
+// Returns the zone of each controller, by controller number.
 std::vector<std::string> controller_zones(const SimulationOptions& options);
 InstanceType machine_type(const SimulationOptions& options);
 std::vector<TeamQuota> team_quotas(const SimulationOptions& options);
 ClusterSettings controller_settings(const SimulationOptions& options, int controller);
 
-// A job of the team red with usual needs, that may use spot machines.
+// Returns a job of the team red with the default requirements, allowed on spot machines.
 JobSpec usual_job(const SimulationOptions& options, const std::string& id, std::uint32_t tasks,
                   double cpus);
 
--- a/tests/simulation/controller_model.cpp
+++ b/tests/simulation/controller_model.cpp
@@ -1,4 +1,3 @@
-// The processes of the controllers: see controller_model.h.
 #include "simulation/controller_model.h"
 
 #include <utility>
@@ -10,9 +9,9 @@
 
 namespace {
 constexpr double kTickS = 0.25;
-// Controllers start one after the other.
+// Controllers start one after another.
 constexpr double kStartIntervalS = 0.01;
-// Their steady clocks have nothing in common.
+// Offset between the steady clocks of two controllers, which have no common origin.
 constexpr double kClockOffsetS = 1000;
 } // namespace
 
--- a/tests/simulation/controller_model.h
+++ b/tests/simulation/controller_model.h
@@ -1,4 +1,4 @@
-// The processes of the controllers under test: their clocks, crashes and standstills.
+// Runs the controllers under test as processes with their own clocks, crashes and pauses.
 #pragma once
 
 #include <cstddef>
@@ -18,13 +18,13 @@
 
 namespace scheduler::test {
 
-// Runs the controllers: hands each its inputs and passes its outputs on.
+// Passes inputs to the controllers and their outputs on to the simulation.
 class ControllerModel {
   public:
-    // Where outputs go.
+    // Receivers of the outputs.
     struct Callbacks {
         std::function<void(int controller, const std::string& line)> logged;
-        // An response to a user's request.
+        // A response to a user's request.
         std::function<void(const Response&)> answered;
         std::function<void(int controller, const OutboundRequest&)> requested;
     };
@@ -34,34 +34,36 @@
                     NetworkModel& network, PendingRequests& requests, Callbacks callbacks);
     ~ControllerModel();
 
-    // Hands over an input now. A controller that is down loses it; one that stands still takes it
-    // when it goes on.
+    // Passes an input to the controller now. A controller that is down loses it; a paused one
+    // handles it when it resumes.
     void input(int controller, Input input);
-    // Hands over the response to a call, unless that process incarnation has ended.
+    // Delivers the response to a request, unless that incarnation of the process has ended.
     void deliver(int controller, int incarnation, OutboundResponse response);
 
     // Ends the process; a new one starts after `restart_s`.
     void crash(int controller, double restart_s);
-    // It stands still while its clock runs on.
+    // Pauses the process while its clock continues.
     void freeze(int controller, double seconds);
-    // Asks a part's owner to give a share to another part. False: it does not, now.
+    // Asks a partition's leader to migrate a shard to another partition. Returns false if it can't
+    // now.
     bool migrate_shard(int leader, int partition, const ShardId& shard, int to);
     std::vector<ShardId> held_shards(int leader, int partition) const;
 
     int count() const { return static_cast<int>(processes_.size()); }
-    // Counts the starts and ends of the controller's process.
+    // Counts the starts and crashes of the controller's process.
     int incarnation(int controller) const { return processes_[controller]->incarnation; }
     bool running(int controller) const { return processes_[controller]->core != nullptr; }
-    // Running and not standing still.
+    // Returns whether the process is running and not paused.
     bool awake(int controller) const;
     const ClusterSettings& cluster_settings(int controller) const {
         return processes_[controller]->cluster_settings;
     }
-    // What the running controllers looked at since their start.
+    // Returns the number of items that the running controllers have examined since their start.
     double effort() const;
 
-    // Sees each output that leaves a controller, the call or the response, and may end the
-    // controller right after it, before the next one: seconds until it is back.
+    // Called for each output of a controller, with either the request or the response. May return
+    // the seconds after which the controller restarts; it then crashes at once, before its next
+    // output.
     std::function<std::optional<double>(int controller, const OutboundRequest*, const Response*)>
         after_output;
 
@@ -70,10 +72,10 @@
         ClusterSettings cluster_settings;
         std::unique_ptr<Controller> core;
         int incarnation = 0;
-        // Of its steady clock.
+        // Rate of its steady clock, relative to the simulation's clock.
         double clock_rate = 1;
         Time frozen_until = 0;
-        // What came while it stands still.
+        // Inputs that arrived while the process is paused.
         std::vector<Input> held;
     };
 
--- a/tests/simulation/event_queue.cpp
+++ b/tests/simulation/event_queue.cpp
@@ -1,4 +1,3 @@
-// The fake clock: see event_queue.h.
 #include "simulation/event_queue.h"
 
 #include <algorithm>
--- a/tests/simulation/event_queue.h
+++ b/tests/simulation/event_queue.h
@@ -1,4 +1,4 @@
-// The fake clock of a simulation and the work that is scheduled on it.
+// The simulated clock and the work that is scheduled on it.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +10,21 @@
 
 namespace scheduler::test {
 
-// Runs scheduled work in the order of time; work of the same time in the order of its scheduling.
+// Runs scheduled work in order of time, and in order of scheduling where times are equal.
 class EventQueue {
   public:
     // Seconds since the start of the simulation.
     Time now() const { return now_; }
 
-    // Schedules `work` at `when`, or now if that is over.
+    // Schedules `work` at `when`, or now if `when` is in the past.
     void at(Time when, std::function<void()> work);
     // Schedules `work` `seconds` from now.
     void after(double seconds, std::function<void()> work) { at(now_ + seconds, std::move(work)); }
-    // Schedules `work` every `seconds`, first after that time, until the end of the simulation.
+    // Schedules `work` every `seconds`, starting `seconds` from now, until the end of the
+    // simulation.
     void every(double seconds, std::function<void()> work);
 
-    // Runs all work up to and including `end`; the clock stands there then.
+    // Runs all work up to and including `end`, and sets the clock to `end`.
     void run_until(Time end);
 
   private:
@@ -31,7 +32,8 @@
         Time time;
         std::uint64_t sequence;
         std::function<void()> work;
-        // The queue's top is the largest_jobs: the earliest.
+        // Inverted, because the queue's top is the largest element: it has to be the earliest
+        // event.
         bool operator<(const Event& other) const;
     };
 
--- a/tests/simulation/gang_model.cpp
+++ b/tests/simulation/gang_model.cpp
@@ -1,4 +1,3 @@
-// Gangs: see gang_model.h.
 #include "simulation/gang_model.h"
 
 #include <algorithm>
--- a/tests/simulation/gang_model.h
+++ b/tests/simulation/gang_model.h
@@ -1,5 +1,5 @@
-// How the tasks of a gang run: they find each other by their attempt, run and complete together,
-// and notice when one of them is gone.
+// Runs the tasks of gangs: those of the same attempt start and complete together, and stop when one
+// of them is gone.
 #pragma once
 
 #include <cstdint>
@@ -17,20 +17,20 @@
 
 class WorkerModel;
 
-// Follows the attempts of gangs over all machines.
+// Tracks the attempts of gangs over all machines.
 class GangModel {
   public:
     GangModel(const SimulationOptions& options, const EventQueue& clock,
               const HistoryChecker& history_checker);
 
-    // A task of this attempt was reported to save its progress and stop.
+    // Called when a task of this attempt is told to save its progress and stop.
     void stop_received(const std::string& job, std::uint64_t attempt);
-    // Lets all gangs go on until now. Returns the machines on which a task changed.
+    // Advances all gangs to the current time. Returns the machines on which a task changed.
     std::set<std::string> step(WorkerModel& workers);
 
-    // Times that all tasks of the gang began to run together.
+    // Returns how often all tasks of the gang started to run together.
     int runs(const std::string& job) const;
-    // Times that all tasks of the gang saved in good order.
+    // Returns how often all tasks of the gang saved their progress after a stop.
     int saves(const std::string& job) const;
 
   private:
@@ -42,9 +42,9 @@
     struct Attempt {
         bool ran = false;
         Time end = 0;
-        // 0: no task was reported to stop.
+        // When the first task was told to stop; 0 if none was.
         Time first_stop_at = 0;
-        // 0: no task is known to be gone.
+        // When a task was first found missing; 0 if none was.
         Time member_lost_at = 0;
     };
     struct Member {
@@ -67,7 +67,7 @@
     std::map<AttemptKey, Attempt> attempts_;
     std::map<std::string, int> run_counts_;
     std::map<std::string, int> save_counts_;
-    // Of the step under way.
+    // Set only during step().
     WorkerModel* workers_ = nullptr;
     std::set<std::string> changed_;
 };
--- a/tests/simulation/heartbeat_sender.cpp
+++ b/tests/simulation/heartbeat_sender.cpp
@@ -1,4 +1,3 @@
-// Reports and their answers: see heartbeat_sender.h.
 #include "simulation/heartbeat_sender.h"
 
 #include <algorithm>
@@ -9,16 +8,16 @@
 namespace scheduler::test {
 
 namespace {
-// An response counts until then.
+// Later responses are ignored.
 constexpr double kResponseTimeoutS = 4;
-// The worker gives an unanswered heartbeat up: just after the last response that counts.
+// The worker gives up an unanswered heartbeat just after the last valid response can arrive.
 constexpr double kGiveUpS = 4.001;
 constexpr double kRetryDelayS = 1;
 constexpr double kRedirectDelayS = 0.1;
 constexpr double kNewEpochDelayS = 0.01;
-// After the first response of a new owner.
+// Delay after the first response of a new leader.
 constexpr double kNewLeaderDelayS = 0.5;
-// Of the time between reports, as the response took some.
+// Share of the heartbeat interval until the next heartbeat; the rest is left for the response.
 constexpr double kHeartbeatIntervalShare = 0.9;
 constexpr double kLatestCopyLeases = 1.5;
 } // namespace
@@ -157,7 +156,7 @@
 void HeartbeatSender::deliver_kept_heartbeats() {
     for (const auto& heartbeat : std::exchange(kept_heartbeats_, {})) {
         for (int controller = 0; controller < options_.nodes; ++controller) {
-            // Before and after the machine's first true heartbeat to the new owner.
+            // Before and after the machine's first current heartbeat to the new leader.
             double after_s = random_.uniform(0, 1.5 * options_.report_s);
             clock_.after(random_.chance(0.5) ? after_s : 0.01, [this, controller, heartbeat] {
                 deliver_heartbeat_late(controller, heartbeat);
@@ -167,7 +166,7 @@
 }
 
 void HeartbeatSender::deliver_heartbeat_late(int controller, const Heartbeat& heartbeat) {
-    // The worker gave it up long ago.
+    // The worker gave up on it long ago.
     RequestId request_id = requests_.expect([](const Response&, Time) {});
     controllers_.input(controller, HeartbeatReceived{request_id, heartbeat});
 }
--- a/tests/simulation/heartbeat_sender.h
+++ b/tests/simulation/heartbeat_sender.h
@@ -1,4 +1,4 @@
-// The reports of workers on their way to controllers, and the answers on their way back.
+// Sends the heartbeats of workers to controllers and brings the responses back.
 #pragma once
 
 #include <cstdint>
@@ -17,41 +17,41 @@
 
 namespace scheduler::test {
 
-// Sends the workers' reports: one at a time each, to the controller that the worker takes for its
-// own.
+// Sends at most one heartbeat per worker at a time, to the controller that the worker believes is
+// responsible for it.
 class HeartbeatSender {
   public:
     HeartbeatSender(const SimulationOptions& options, const RandomFaults& random_faults,
                     EventQueue& clock, RandomSource& random, NetworkModel& network,
                     PendingRequests& requests, ControllerModel& controllers, WorkerModel& workers);
 
-    // The controller that a new machine reports to first.
+    // Sets the controller to which a new machine sends its first heartbeat.
     void connect(const std::string& machine, int controller) {
         links_[machine].controller = controller;
     }
-    // Sends a report, unless one is under way. A hung worker sends it when it goes on.
+    // Sends a heartbeat unless one is in flight. A hung worker sends it when it resumes.
     void send(const std::string& machine);
 
-    // A report that the machine sent once comes to the controller only now, or once more.
+    // Delivers an earlier heartbeat of the machine now, for the first time or again.
     void deliver_heartbeat_late(int controller, const Heartbeat& heartbeat);
-    // Gives the copies of reports kept so far to all controllers.
+    // Delivers the copies of heartbeats kept so far to all controllers.
     void deliver_kept_heartbeats();
 
     int controller_of(const std::string& machine) const { return links_.at(machine).controller; }
     const Heartbeat& last_sent_heartbeat(const std::string& machine) const {
         return last_heartbeats_.at(machine);
     }
-    // Reports sent so far.
+    // Returns the number of heartbeats sent so far.
     double count() const { return count_; }
 
   private:
-    // A worker's own view of its controller.
+    // A worker's view of its controller.
     struct Link {
         int controller = 0;
-        // The report that is under way; 0: none.
+        // Number of the heartbeat that is in flight; 0 if none is.
         std::uint64_t in_flight = 0;
     };
-    // A report under way.
+    // A heartbeat that has been sent and has no response yet.
     struct InFlightHeartbeat {
         std::uint64_t number = 0;
         std::string machine;
--- a/tests/simulation/history_checker.cpp
+++ b/tests/simulation/history_checker.cpp
@@ -52,7 +52,7 @@
 
 void HistoryChecker::answered(Time now, const Response& response) {
     auto request = requests_.find(response.request_id);
-    if (request == requests_.end()) { // a health check's
+    if (request == requests_.end()) { // a readiness probe
         return;
     }
     const auto& [kind, id, when] = request->second;
@@ -85,8 +85,7 @@
     bool over = job->stage == "done" || job->stage == "cancelled";
     if (auto reported = final_stages_.find(id);
         reported != final_stages_.end() && reported->second.stage != job->stage &&
-        (over ||
-         reported->second.when < when)) { // two outcomes are one too many whenever asked for
+        (over || reported->second.when < when)) { // a second final stage is always wrong
         broken.push_back("went_back " + id + " " + reported->second.stage + " " + job->stage);
     }
     if (job->stage == "done" && !all_done(id)) {
@@ -183,7 +182,7 @@
                                      : std::optional(it->second - submitted_.at(job));
 }
 
-// ---- Idle beside waiting ----
+// ---- Idle capacity while jobs wait ----
 
 void HistoryChecker::faults_ended(Time now) {
     faults_ended_ = true;
@@ -202,7 +201,7 @@
     const JobSpec& spec = specs_.at(job.job);
     bool gang = spec.kind == JobKind::gang;
     if (gang && !job.in_zone.empty()) {
-        return false; // under way
+        return false; // already started
     }
     double times = gang ? spec.tasks : 1;
     auto team = std::find_if(quotas_.begin(), quotas_.end(),
@@ -212,7 +211,7 @@
     if (!team->allows(cpus + times * spec.cpus, gpus + times * spec.gpus)) {
         return false;
     }
-    std::map<std::string, double> fitting_by_zone; // tasks, by zone
+    std::map<std::string, double> fitting_by_zone; // tasks that fit, by zone
     for (const FreeCapacity& free : free_capacity) {
         if ((spec.zone && *spec.zone != free.zone) || (free.spot && !spec.spot) ||
             !spec.allows_type(free.type->name)) {
@@ -263,13 +262,13 @@
     idle_since_ = std::move(since);
 }
 
-// ---- Who was served ----
+// ---- Served jobs ----
 
 double HistoryChecker::work(const JobSpec& spec) {
     return spec.tasks * std::max(spec.cpus, spec.gpus) * spec.estimated_run_s;
 }
 
-// Is the job one to be served?
+// Returns whether the job is one that should be served.
 bool HistoryChecker::should_be_served(const std::string& id) const {
     const JobSpec& spec = specs_.at(id);
     return can_run(spec) && (reported_outcome(id) != "cancelled" || spec.kind == JobKind::service);
@@ -292,7 +291,7 @@
 }
 
 std::vector<std::string> HistoryChecker::groups_served_below(double min_share) const {
-    std::map<std::string, std::pair<int, int>> rows; // served, of how many
+    std::map<std::string, std::pair<int, int>> rows; // served, total
     auto count = [&](const std::string& row, const std::string& id) {
         const JobSpec& spec = specs_.at(id);
         rows[row].first +=
--- a/tests/simulation/kv_store_model.cpp
+++ b/tests/simulation/kv_store_model.cpp
@@ -1,4 +1,3 @@
-// The model of the state service: see kv_store_model.h.
 #include "simulation/kv_store_model.h"
 
 #include <utility>
@@ -8,9 +7,9 @@
 namespace scheduler::test {
 
 namespace {
-// Small, so that longer lists come in pages.
+// Small, so that longer listings span several pages.
 constexpr std::size_t kPageSize = 12;
-// What is read at one revision is not long: it comes whole.
+// Partition records are read at one revision; the list is short and is not paged.
 constexpr const char* kUnpagedPrefix = "part/";
 
 OutboundResponse reply_of(int status) {
@@ -169,7 +168,8 @@
     for (auto entry = leases_.begin(); entry != leases_.end();) {
         Lease& lease = entry->second;
         if (down_) {
-            lease.end = clock_.now() + lease.ttl_s; // full time again after an outage
+            lease.end =
+                clock_.now() + lease.ttl_s; // leases get their full time again after an outage
         }
         if (clock_.now() < lease.end) {
             ++entry;
--- a/tests/simulation/kv_store_model.h
+++ b/tests/simulation/kv_store_model.h
@@ -1,4 +1,4 @@
-// A model of the state service: keys with versions, transactions, leases and watches.
+// A model of the key-value store: keys with versions, transactions, leases and watches.
 #pragma once
 
 #include <cstdint>
@@ -15,37 +15,37 @@
 
 namespace scheduler::test {
 
-// A watch that a controller has open. A watch ends with its first answer.
+// A watch opened by a controller. It ends with its first response.
 struct WatchRequest {
     int controller = 0;
-    // The controller's process incarnation: the answer is for no later one.
+    // The incarnation of the controller's process; a later one does not receive the response.
     int incarnation = 0;
     OutboundRequestId request_id = 0;
     StoreWatch watch;
 };
 
-// The only writer of the stored records. Answers come at once; the caller sees to delays.
+// The only writer of the stored records. Responds at once; delays are added by the caller.
 class KvStoreModel {
   public:
     // A stored record.
     struct Entry {
         StoredRecord record;
         std::uint64_t version = 0;
-        // The entry goes with this lease; 0: it stays.
+        // The lease that the entry is deleted with; 0 if it has none.
         std::uint64_t lease = 0;
     };
-    // What leaves the model by itself.
+    // Events that the model causes by itself.
     struct Callbacks {
-        // The answer to a watch reaches its controller.
+        // Delivers the response to a watch to its controller.
         std::function<void(const WatchRequest&, const OutboundResponse&)> deliver;
-        // A transaction writes the record of a part; called before each such write.
+        // Called before each write of a partition record.
         std::function<void()> leadership_written;
     };
 
     KvStoreModel(EventQueue& clock, RandomSource& random, NetworkModel& network,
                  Callbacks callbacks);
 
-    // Faults: down for all, refusing or silent to one controller.
+    // Faults: down for all controllers, refusing requests of one, or not responding to one.
     void set_down(bool down) { down_ = down; }
     bool down() const { return down_; }
     void set_refusing(int controller, bool refusing);
@@ -53,22 +53,22 @@
     void set_silent(int controller, bool silent);
     bool silent_to(int controller) const { return silent_.contains(controller); }
 
-    // Carries out a call other than a watch.
+    // Executes a request other than a watch.
     OutboundResponse serve(const OutboundBody& request);
     OutboundResponse transact(const StoreTransaction& transaction);
-    // Opens a watch; what it waits for may have come already.
+    // Opens a watch. It fires at once if there already is a change to report.
     void watch(const WatchRequest& request);
-    // Answers the watches that have something to tell or have run out of time.
+    // Responds to the watches that have a change to report or have timed out.
     void fire_watches();
-    // Removes leases that are over, and what was written under them.
+    // Removes expired leases and the entries written under them.
     void expire_leases();
 
-    // Writes a raw record, or takes one away.
+    // Writes or deletes a record directly.
     void put(const std::string& key, StoredRecord record);
     void drop(const std::string& key);
 
     const std::map<std::string, Entry>& entries() const { return entries_; }
-    // 0: there is no such key.
+    // Returns 0 if there is no such key.
     std::uint64_t version_of(const std::string& key) const;
     std::uint64_t revision() const { return revision_; }
 
--- a/tests/simulation/network_model.cpp
+++ b/tests/simulation/network_model.cpp
@@ -1,4 +1,3 @@
-// Links and their faults: see network_model.h.
 #include "simulation/network_model.h"
 
 namespace scheduler::test {
--- a/tests/simulation/network_model.h
+++ b/tests/simulation/network_model.h
@@ -1,4 +1,4 @@
-// The links between controllers, workers, cloud and state service, and their faults.
+// The links between controllers, workers, cloud and key-value store, and their faults.
 #pragma once
 
 #include <set>
@@ -12,32 +12,33 @@
 
 namespace scheduler::test {
 
-// Which links are cut, and how long a message takes.
+// Knows which links are cut, and draws how long a message takes.
 class NetworkModel {
   public:
-    // `controller_zones`: by the controllers' numbers. `random_faults` may change at any time.
+    // `controller_zones` is indexed by controller number. `random_faults` may change at any time.
     NetworkModel(std::vector<std::string> controller_zones, const RandomFaults& random_faults,
                  RandomSource& random);
 
-    // Seconds that a message takes: draws one number.
+    // Returns the seconds that a message takes. Draws one number.
     double delay();
-    // Seconds that a message takes which comes very late: draws one number.
+    // Returns the seconds that a very late message takes. Draws one number.
     double late_delay();
 
-    // Cuts the link between two controllers, or restores it.
+    // Cuts or restores the link between two controllers.
     void cut_peers(int first, int second, bool cut);
-    // Cuts a zone off from all else; those inside reach each other. Empty: no zone is cut off.
+    // Isolates a zone from everything outside it. An empty name ends the isolation.
     void cut_zone(const std::string& zone) { cut_zone_ = zone; }
-    // Cuts a controller off from all workers, or restores it.
+    // Cuts or restores the links between a controller and all workers.
     void cut_workers(int controller, bool cut);
 
     bool peers_connected(int from, int to) const;
-    // Whether messages pass between the controller and a machine of the zone, as far as the
-    // controller's own link and the zones go.
+    // Returns whether the controller reaches machines of the zone: its links to workers are not cut
+    // and no isolated zone is in between.
     bool worker_connected(int controller, const std::string& zone) const;
-    // Whether messages pass between the controller's zone and that of a machine.
+    // Returns whether the controller's zone reaches the machine's zone.
     bool zone_connected(int controller, const std::string& zone) const;
-    // The controller's zone is cut off: it reaches neither the cloud nor the state service.
+    // Returns whether the controller's zone is isolated; if so, it reaches neither the cloud nor
+    // the store.
     bool isolated(int controller) const { return zone_cut(zone_of(controller)); }
 
   private:
--- a/tests/simulation/options.h
+++ b/tests/simulation/options.h
@@ -1,4 +1,4 @@
-// What a simulation is set up with, and the faults that it draws at random.
+// The options of a simulation and the faults that it draws at random.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace scheduler::test {
 
-// Settings of a simulation, fixed when it is built. Times are in seconds.
+// Options of a simulation, fixed when it is built. Times are in seconds.
 struct SimulationOptions {
     // Seed of all random draws.
     std::uint64_t seed = 1;
@@ -17,21 +17,21 @@
     int nodes = 3;
     // Share of messages that are lost.
     double drop = 0;
-    // Share of messages that come very late.
+    // Share of messages that arrive very late.
     double late = 0;
-    // A task's usual run time.
+    // Usual run time of a task.
     double run_s = 8;
-    // From the renting of a machine to its first report.
+    // From the provisioning of a machine to its first heartbeat.
     double boot_s = 10;
     // Share of tasks that fail.
     double error = 0;
-    // Factor on the usual limits of the teams.
+    // Factor on the default limits of the teams.
     double limits = 1;
-    // Number of further teams t0, t1, ...: one CPU guaranteed, 24 at most.
+    // Number of additional teams t0, t1, ..., with one CPU guaranteed and a limit of 24.
     int extra_teams = 0;
-    // Machines that the cloud has.
+    // Number of machines that the cloud has.
     std::size_t capacity = 12;
-    // Steady clocks differ by up to this share.
+    // Steady clocks run faster or slower by up to this share.
     double drift = 0.0005;
     std::vector<ServiceLevelObjective> objectives;
     double report_s = 3;
@@ -39,42 +39,44 @@
     double cancel_s = 42;
     double state_rps = 100;
     double state_write_rps = 20;
-    // One zone; else there are two, with the controllers in turn.
+    // One zone. Otherwise there are two, with the controllers assigned alternately.
     bool one_zone = false;
-    // Machines have 4 GPUs, and teams state GPUs only.
+    // Machines have 4 GPUs, and quotas of teams are in GPUs only.
     bool gpus = false;
-    // Direct commands that a controller sends at once; five times as many wait in its process,
-    // more are not sent.
+    // Direct commands that a controller sends concurrently. Five times as many can be in progress,
+    // most of them queued in its process; further ones are not sent.
     int max_concurrent_commands = 64;
-    // Controllers tell each other of cancellations. Without, they hear of them by watches and
-    // promises only, and every rule has to hold so.
+    // Controllers broadcast cancellations to their peers. Without broadcasts they learn of them by
+    // watches and lease extensions only, and every rule has to hold all the same.
     bool cancellation_broadcasts = false;
 };
 
-// Faults drawn at random, as shares of messages or machines; a test changes them at any time.
+// Faults drawn at random, as shares of messages or machines. Tests change them at any time.
 struct RandomFaults {
-    // Transactions without an answer, carried out 2 to 12 s later, after newer ones.
+    // Transactions without a response that are executed 2 to 12 s later, after newer ones.
     double late_writes = 0;
-    // Copies of reports that arrive up to one and a half leases later.
+    // Heartbeats of which a copy arrives up to one and a half leases later.
     double late_heartbeats = 0;
-    // Direct commands without an answer, executed 2 to 12 s later.
+    // Direct commands without a response that are executed 2 to 12 s later.
     double delayed_commands = 0;
-    // Seconds that the state service takes for half of what it is asked.
+    // Additional seconds that the store takes for half of its requests.
     double store_delay_s = 0;
-    // Transactions carried out at once of which only the answer is lost.
+    // Transactions that are executed at once while only the response is lost.
     double lost_responses = 0;
-    // Copies of reports kept until a part is claimed, and then given to every controller.
+    // Heartbeats of which a copy is kept until a partition gets a new leader, and then delivered to
+    // every controller.
     double heartbeats_for_next_leader = 0;
-    // New machines that are up within two seconds.
+    // New machines that boot within two seconds.
     double quick_boots = 0;
     // New machines that reach no controller from their boot on.
     double outbound_cut_boots = 0;
     // Seconds that a message takes longer, at most.
     double link_delay_s = 0;
-    // Jobs just accepted, ended or cancelled that users look at closely: all controllers are
-    // asked, again and again within milliseconds, and sent the submission; some cancel.
+    // Jobs just accepted, completed or cancelled that are read concurrently: all controllers get
+    // status reads and repeated submissions, again and again within milliseconds, and sometimes a
+    // cancellation.
     double concurrent_status_reads = 0;
-    // Jobs that their users cancel at the end of the last task.
+    // Jobs that their users cancel when their last task completes, or shortly after.
     double cancel_at_end = 0;
 };
 
--- a/tests/simulation/pending_requests.cpp
+++ b/tests/simulation/pending_requests.cpp
@@ -1,4 +1,3 @@
-// Requests that await an answer: see pending_requests.h.
 #include "simulation/pending_requests.h"
 
 #include <utility>
@@ -6,7 +5,7 @@
 namespace scheduler::test {
 
 namespace {
-// Keeps the simulation's own requests apart from those of users.
+// Separates the simulation's own request IDs from those of users.
 constexpr RequestId kOwnRequests = 1ULL << 40;
 } // namespace
 
--- a/tests/simulation/pending_requests.h
+++ b/tests/simulation/pending_requests.h
@@ -1,4 +1,4 @@
-// Numbers of requests to controllers, and those of them whose answer the simulation awaits itself.
+// Numbers the requests to controllers and keeps the response handlers of the simulation's own ones.
 #pragma once
 
 #include <functional>
@@ -9,18 +9,18 @@
 
 namespace scheduler::test {
 
-// Gives out request numbers. Users' answers come back by the number alone; reports of workers and
-// messages between controllers exit_member a handler here.
+// Issues request IDs. A response to a user is matched by its ID alone. For heartbeats and messages
+// between controllers, a handler is registered here.
 class PendingRequests {
   public:
-    // Takes the answer, and when it left the controller.
+    // Receives the response and the time at which it left the controller.
     using Handler = std::function<void(const Response&, Time sent_at)>;
 
-    // The next number, for a user's request.
+    // Returns the next ID, for a user's request.
     RequestId next() { return next_++; }
-    // The next number, for a request of the simulation itself.
+    // Returns the next ID, for a request of the simulation itself.
     RequestId expect(Handler handler);
-    // The handler that waits for this request, which it forgets; none: it is a user's.
+    // Removes and returns the handler of this request; none if it is a user's request.
     std::optional<Handler> take(RequestId request_id);
 
   private:
--- a/tests/simulation/queries.cpp
+++ b/tests/simulation/queries.cpp
@@ -1,4 +1,3 @@
-// Questions about the simulation's state: see queries.h.
 #include "simulation/queries.h"
 
 #include <utility>
@@ -10,7 +9,7 @@
 
 namespace {
 using OpenJobs = std::map<std::string, HistoryChecker::WaitingJob>;
-// CPUs and GPUs by team, as the history checker takes them.
+// CPUs and GPUs in use by team, in the form that the history checker takes.
 using UsedByTeam = std::map<std::string, std::pair<double, double>>;
 
 bool holds(const Worker& worker, const TaskId& task) {
@@ -33,7 +32,8 @@
     return jobs;
 }
 
-// Returns the capacity that is left on the machine; its tasks are preempted_at from what waits.
+// Returns the free capacity of the machine, and subtracts its tasks from the waiting ones of
+// `jobs`.
 HistoryChecker::FreeCapacity free_capacity_of(const Worker& worker, const InstanceType& type,
                                               const HistoryChecker& history_checker, OpenJobs& jobs,
                                               UsedByTeam& used) {
--- a/tests/simulation/queries.h
+++ b/tests/simulation/queries.h
@@ -1,4 +1,4 @@
-// Questions of tests about what stands in the state service and what is on the machines.
+// Queries of tests about the records in the key-value store and the tasks on machines.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,21 @@
 
 namespace scheduler::test {
 
-// The controller that owns the part; -1: none does.
+// Returns the controller that leads the partition, or -1 if there is none.
 int leader_of(const KvStoreModel& store, int partition);
-// All stored jobs and their outcomes.
+// Returns all stored jobs and their outcomes.
 std::map<std::string, Outcome> job_outcomes(const KvStoreModel& store);
 
-// Machines that have booted and are not dead.
+// Returns the machines that have booted and are not dead.
 std::vector<std::string> machines_up(const Workers& workers);
-// Machines on which the task is or is to be.
+// Returns the machines that hold the task and on which it has not exited.
 std::set<std::string> machines_of(const Workers& workers, const TaskId& task);
-// The task's attempt on the first machine that has it; 0: it is on none.
+// Returns the task's attempt on the first machine that holds it, or 0 if none does.
 std::uint64_t attempt_of(const Workers& workers, const TaskId& task);
-// The job and what is on all machines, for a failing test.
+// Describes the job and the tasks on all machines, for the message of a failing test.
 std::string describe(const Workers& workers, const JobSpec& spec);
 
-// Tells the history checker what waits, and what room there is.
+// Reports the waiting jobs and the free capacity to the history checker.
 void observe_waiting(Time now, const KvStoreModel& store, const Workers& workers,
                      const InstanceType& type, HistoryChecker& history_checker);
 
--- a/tests/simulation/quota_model.cpp
+++ b/tests/simulation/quota_model.cpp
@@ -1,4 +1,3 @@
-// Teams' limits: see quota_model.h.
 #include "simulation/quota_model.h"
 
 #include <algorithm>
@@ -10,7 +9,7 @@
 namespace scheduler::test {
 
 namespace {
-// Sums of CPUs are compared up to this.
+// Tolerance for rounding errors in sums of CPUs.
 constexpr double kRoundingError = 1e-6;
 } // namespace
 
@@ -63,8 +62,7 @@
     history_checker_.configured(quota);
 }
 
-// Of a change that another has followed since, nothing is known: a controller may have seen both at
-// once.
+// Ignores revisions that a later change has replaced: a controller may have applied both at once.
 void QuotaModel::record_applied(const std::string& line) {
     static const std::string kRevision = " revision=";
     const char* revision = line.c_str() + line.find(kRevision) + kRevision.size();
@@ -86,10 +84,11 @@
 void QuotaModel::check(const std::string& team, double used) {
     auto known = limits_.find(team);
     if (known == limits_.end()) {
-        return; // no team of the settings: accepted under earlier ones
+        return; // not in the settings: the job was accepted under earlier ones
     }
     Limit& limit = known->second;
-    // Nobody can have heard of a change in an outage, if nobody had before.
+    // Controllers that had not learned of a change before an outage cannot do so during it, so
+    // outages extend the time for which earlier limits count.
     std::erase_if(limit.before,
                   [&](const auto& lowered) { return clock_.now() - outage_s_ > lowered.first; });
     double most = limit.quota.limit();
--- a/tests/simulation/quota_model.h
+++ b/tests/simulation/quota_model.h
@@ -1,4 +1,4 @@
-// The teams' limits as operators configure them, and the rule that teams keep to them.
+// The quotas of teams as operators change them, and the check that teams keep to them.
 #pragma once
 
 #include <cstdint>
@@ -14,38 +14,39 @@
 
 namespace scheduler::test {
 
-// Writes the configuration of teams into the state service, and notes the rule quota as broken
-// where a team uses more than any limit that may still be in force.
+// Writes the quotas of teams into the key-value store, and reports the rule quota as broken when a
+// team uses more than every limit that may be in force.
 class QuotaModel {
   public:
     QuotaModel(const SimulationOptions& options, EventQueue& clock, const WorkerModel& workers,
                KvStoreModel& store, HistoryChecker& history_checker);
 
-    // Writes the team's key over whatever stands there. False: the state service is down. With
-    // `late_s` it is carried out so much later, and the writer knows nothing of its outcome.
+    // Overwrites the team's quota. Returns false if the store is down. With a positive `late_s`,
+    // the write is executed that much later and the writer does not learn its outcome.
     bool configure(const TeamQuota& quota, double late_s);
-    // A write over this version, as a second operator makes it: its status.
+    // Writes the quota if the stored version is `version`, as a concurrent operator does. Returns
+    // the status.
     int configure_if_version(const TeamQuota& quota, std::uint64_t version);
-    // As last written, or as in the settings.
+    // Returns the quota as last written, or as in the settings.
     const TeamQuota& team(const std::string& name) const { return limits_.at(name).quota; }
 
-    // Judges what the teams use now. To be called every kCheckS.
+    // Checks what the teams use now. Has to be called every kCheckS.
     void check();
-    // A controller logged that a change came into force.
+    // Called when a controller logs that a change is in force.
     void record_applied(const std::string& line);
-    // From the write of each change to its coming into force at each controller, seconds.
+    // Returns the seconds from the write of each change until it is in force at each controller.
     const std::vector<double>& quota_delays_s() const { return quota_delays_s_; }
-    // What the team's tasks use on machines now, in what the team states: CPUs or GPUs.
+    // Returns what the team's tasks use on machines, in the unit of its quota: CPUs or GPUs.
     double used(const std::string& team) const;
 
     // Seconds between two checks.
     static constexpr double kCheckS = 0.1;
 
   private:
-    // What a team may use: its limit, and for a stated time after each lowering the one before.
+    // A team's limit and, for a stated time after each lowering, the limit before it.
     struct Limit {
         TeamQuota quota;
-        // Limits that were lowered, by when they end to count.
+        // Earlier, higher limits by the time until which they may be in force.
         std::map<Time, double> before;
     };
     struct WrittenChange {
@@ -63,10 +64,10 @@
     KvStoreModel& store_;
     HistoryChecker& history_checker_;
     std::map<std::string, Limit> limits_;
-    // By revision.
+    // Changes by revision.
     std::map<std::uint64_t, WrittenChange> written_;
     std::vector<double> quota_delays_s_;
-    // Seconds so far for which the state service was down.
+    // Total seconds for which the store was down.
     double outage_s_ = 0;
 };
 
--- a/tests/simulation/random_source.cpp
+++ b/tests/simulation/random_source.cpp
@@ -1,4 +1,3 @@
-// Random draws: see random_source.h.
 #include "simulation/random_source.h"
 
 #include <utility>
--- a/tests/simulation/random_source.h
+++ b/tests/simulation/random_source.h
@@ -1,4 +1,4 @@
-// All random draws of a simulation.
+// The source of all random draws of a simulation.
 #pragma once
 
 #include <cstddef>
@@ -7,23 +7,24 @@
 
 namespace scheduler::test {
 
-// Draws random numbers from a seed. The order of the draws is part of how a seed plays.
+// Draws random numbers from a seed. The order of the draws determines how a seed plays.
 class RandomSource {
   public:
     explicit RandomSource(std::uint64_t seed);
 
-    // A number in [low, high).
+    // Returns a number in [low, high).
     double uniform(double low, double high);
-    // True with this probability; draws a number in any case.
+    // Returns true with this probability. Always draws a number.
     bool chance(double probability);
-    // True with this probability; draws no number if it is 0, so that a seed plays as it did
-    // before the fault was known.
+    // Returns true with this probability. Draws no number if it is 0, so that seeds play the same
+    // as before this fault was introduced.
     bool fault(double probability) { return probability > 0 && chance(probability); }
-    // A number in [0, count).
+    // Returns a number in [0, count).
     std::size_t index(std::size_t count);
 
-    // While it lives, draws come from a stream of their own, if `config` says so: reads and
-    // watches of the configuration, so that a seed plays as it did before there were any.
+    // If `config` is set, draws come from a separate stream during the lifetime of this object. It
+    // is used for reads and watches of the quota configuration, so that seeds play the same as
+    // before they were introduced.
     class ConfigStream {
       public:
         ConfigStream(RandomSource& source, bool config);
--- a/tests/simulation/reply_channel.cpp
+++ b/tests/simulation/reply_channel.cpp
@@ -1,10 +1,9 @@
-// Answers to calls: see reply_channel.h.
 #include "simulation/reply_channel.h"
 
 namespace scheduler::test {
 
 namespace {
-// Direct commands that wait in a controller's process, by those that it sends at once.
+// Direct commands that a controller's process holds, per one that it sends concurrently.
 constexpr int kQueuedPerConcurrentCommand = 5;
 } // namespace
 
--- a/tests/simulation/reply_channel.h
+++ b/tests/simulation/reply_channel.h
@@ -1,4 +1,4 @@
-// The way back of a controller's calls: answers, and the lack of one.
+// Brings responses, or timeouts, back to the controllers that sent the requests.
 #pragma once
 
 #include <compare>
@@ -13,35 +13,35 @@
 
 namespace scheduler::test {
 
-// A controller's call on its way.
+// A request of a controller on its way.
 struct RequestMessage {
     int controller = 0;
-    // The controller's process incarnation; a later one hears no answer.
+    // The incarnation of the controller's process; a later one does not receive the response.
     int incarnation = 0;
     OutboundRequest request;
     // When it left the controller.
     Time sent_at = 0;
-    // Whatever comes of it, its caller hears no answer to it.
+    // The sender receives no response, whatever becomes of the request.
     bool response_suppressed = false;
 };
 
-// Brings answers to their callers, and counts the direct commands that have none yet.
+// Delivers responses to their senders, and counts the direct commands that have none yet.
 class ReplyChannel {
   public:
     ReplyChannel(const SimulationOptions& options, EventQueue& clock, NetworkModel& network,
                  ControllerModel& controllers);
 
-    // Counts direct commands as under way. False: the process has too many of them, they are not
-    // sent.
+    // Counts direct commands as in progress. Returns false if the process has too many of them;
+    // they are not sent then.
     bool admit_commands(const RequestMessage& message);
 
-    // The answer arrives after the usual delay, unless the message is silent.
+    // Delivers the response after the usual delay, unless the message's response is suppressed.
     void reply(const RequestMessage& message, OutboundResponse response);
-    // The caller has its call back at once: it never left the process.
+    // Returns the request to its sender at once, marked as never sent.
     void reject_unsent(const RequestMessage& message);
-    // The caller hears that there is no answer, `seconds` from now.
+    // Reports to the sender, `seconds` from now, that there is no response.
     void time_out_after(double seconds, const RequestMessage& message);
-    // The answer is there now.
+    // Delivers the response now.
     void deliver(const RequestMessage& message, const OutboundResponse& response);
 
   private:
--- a/tests/simulation/request_router.cpp
+++ b/tests/simulation/request_router.cpp
@@ -1,4 +1,3 @@
-// The arrival of calls: see request_router.h.
 #include "simulation/request_router.h"
 
 #include "core/model/partition_assignment.h"
@@ -7,9 +6,9 @@
 namespace scheduler::test {
 
 namespace {
-// A call between controllers or to a worker runs out of time.
+// Timeout of requests to other controllers and workers.
 constexpr double kRequestTimeoutS = 1.5;
-// A watch that the state service does not take.
+// Delay until a watch that the store does not accept fails.
 constexpr double kRefusedWatchDelayS = 3;
 } // namespace
 
@@ -77,7 +76,7 @@
     return true;
 }
 
-// The response itself may be lost too; then the call runs out of time.
+// The response may be lost as well; then the request times out.
 void RequestRouter::send_to_peer(const RequestMessage& message, const std::string& peer,
                                  const MakeInput& make_input) {
     const int to = controller_number(peer);
--- a/tests/simulation/request_router.h
+++ b/tests/simulation/request_router.h
@@ -1,5 +1,5 @@
-// The arrival of a controller's call at another controller, a worker, the cloud or the state
-// service.
+// Delivers a controller's request to another controller, a worker, the cloud or the key-value
+// store.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace scheduler::test {
 
-// The models that calls go to.
+// The models that can receive a request.
 struct RequestReceivers {
     ControllerModel& controllers;
     WorkerModel& workers;
@@ -26,26 +26,27 @@
     KvStoreModel& store;
 };
 
-// Whether the call goes to the state service.
+// Returns whether the request goes to the key-value store.
 bool is_store_request(const OutboundBody& request);
-// Whether the call is about the configuration: see RandomSource::ConfigStream.
+// Returns whether the request reads or watches the quota configuration. See
+// RandomSource::ConfigStream.
 bool is_quota_config_request(const OutboundBody& request);
 
-// Hands each call to its receiver, if the links are whole, and the answer to the reply channel.
+// Passes each request to its receiver if the network allows it, and the response to ReplyChannel.
 class RequestRouter {
   public:
     RequestRouter(const SimulationOptions& options, EventQueue& clock, NetworkModel& network,
                   PendingRequests& requests, ReplyChannel& replies, RequestReceivers receivers);
 
-    // The call is there now.
+    // Called when the request arrives at its destination.
     void arrive(const RequestMessage& message);
-    // Entries that owners listed for each other so far.
+    // Returns the number of tasks, pending launches and machines in all peer sync responses so far.
     double inventory_entries() const { return inventory_entries_; }
 
   private:
     using MakeInput = std::function<Input(RequestId)>;
 
-    // Returns whether the call goes to another controller.
+    // Returns whether the request goes to another controller.
     bool arrive_at_controller(const RequestMessage& message);
     void send_to_peer(const RequestMessage& message, const std::string& peer,
                       const MakeInput& make_input);
--- a/tests/simulation/request_transport.cpp
+++ b/tests/simulation/request_transport.cpp
@@ -1,14 +1,13 @@
-// The sending of calls: see request_transport.h.
 #include "simulation/request_transport.h"
 
 namespace scheduler::test {
 
 namespace {
 constexpr double kRequestTimeoutS = 1.5;
-// Held commands and late transactions arrive after so long.
+// Delayed commands and transactions arrive after 2 to 12 s.
 constexpr double kMinFaultDelayS = 2;
 constexpr double kMaxFaultDelayS = 12;
-// By the index of the call's body.
+// Kinds of requests by the variant index of the request's body.
 constexpr const char* kRequestKinds[] = {"get",    "range",   "txn",     "grant",     "renew",
                                          "watch",  "catalog", "list",    "rent",      "release",
                                          "orders", "peer",    "promise", "cancelled", "standing"};
@@ -69,7 +68,7 @@
     if (delayed_by_fault(message)) {
         return std::nullopt;
     }
-    if (lost || late) { // the caller hears nothing; the message may still arrive, much later
+    if (lost || late) { // the sender gets no response; the message may still arrive, much later
         suppress_response(message, kRequestTimeoutS);
         if (lost && models_.random.chance(0.5)) {
             return std::nullopt;
@@ -130,7 +129,7 @@
         return 0;
     }
     double slow_s = models_.random.chance(0.5) ? models_.random_faults.store_delay_s : 0;
-    if (slow_s > models_.options.report_s / 2) { // the caller has given it up by then
+    if (slow_s > models_.options.report_s / 2) { // the sender has given up by then
         suppress_response(message, models_.options.report_s / 2);
     }
     return slow_s;
--- a/tests/simulation/request_transport.h
+++ b/tests/simulation/request_transport.h
@@ -1,4 +1,4 @@
-// The sending of controllers' calls, with all faults that messages meet on their way.
+// Sends the requests of controllers and injects the faults that messages can have on their way.
 #pragma once
 
 #include <cstddef>
@@ -19,11 +19,10 @@
 
 namespace scheduler::test {
 
-// Sends each call on its way: it arrives after a while, or late, or never, and its caller may
-// hear nothing of it.
+// Sends each request. It arrives after a delay, very late or never, and the response may be lost.
 class RequestTransport {
   public:
-    // What the transport works with.
+    // The models that the transport depends on.
     struct Models {
         const SimulationOptions& options;
         const RandomFaults& random_faults;
@@ -38,30 +37,33 @@
 
     explicit RequestTransport(Models models) : models_(models) {}
 
-    // Sends a controller's call.
+    // Sends a request of a controller.
     void send(int controller, const OutboundRequest& request);
-    // Calls of this kind that were sent so far: "get", "range", "txn", "orders", "peer", ...
+    // Returns the number of requests of this kind sent so far: "get", "range", "txn", "orders",
+    // "peer", ...
     std::size_t count(const std::string& kind) const;
 
-    // Sees each call as it is sent. True: it goes no further, and its caller hears no answer.
+    // Called for each request before it is sent. If it returns true, the request is dropped and its
+    // sender gets no response.
     std::function<bool(int controller, const OutboundBody&)> intercept;
-    // Transactions that are carried out at once and whose answer alone is lost.
+    // Selects transactions that are executed at once while only the response is lost.
     std::function<bool(int controller, const StoreTransaction&)> lose_response;
 
   private:
-    // Returns whether the call ends before it is on its way.
+    // Returns whether the request ends before it is sent: rejected, refused or dropped by the test.
     bool handled_before_sending(const RequestMessage& message);
-    // Returns whether the call is a transaction that is carried out late.
+    // Returns whether a fault delays the request, a transaction. It is executed later if the store
+    // responds to the sender now.
     bool delayed_by_fault(const RequestMessage& message);
     void apply_later(const StoreTransaction& transaction);
-    // Returns the seconds until the arrival; none: the message is lost. Notes whether the caller
-    // hears an answer.
+    // Returns the seconds until arrival, or none if the message is lost. May mark the response as
+    // suppressed.
     std::optional<double> draw_delay(RequestMessage& message);
-    // For direct commands that are held up: the seconds until the arrival.
+    // Returns the seconds until arrival for direct commands that a fault delays.
     std::optional<double> draw_command_delay(RequestMessage& message);
     void draw_lost_response(RequestMessage& message);
     double draw_store_delay(RequestMessage& message);
-    // The caller hears no answer, and gives up after so long.
+    // Suppresses the response; the sender gives up after `timeout_s`.
     void suppress_response(RequestMessage& message, double timeout_s);
 
     Models models_;
--- a/tests/simulation/start_checker.cpp
+++ b/tests/simulation/start_checker.cpp
@@ -1,4 +1,3 @@
-// The rules about starts: see start_checker.h.
 #include "simulation/start_checker.h"
 
 namespace scheduler::test {
--- a/tests/simulation/user_model.cpp
+++ b/tests/simulation/user_model.cpp
@@ -1,4 +1,3 @@
-// The users: see user_model.h.
 #include "simulation/user_model.h"
 
 #include <utility>
@@ -47,7 +46,7 @@
 void UserModel::send_follow_up(int controller, HistoryChecker::RequestKind kind,
                                const std::string& job) {
     RequestId request_id = requests_.next();
-    follow_up_requests_.insert(request_id); // it may be answered at once
+    follow_up_requests_.insert(request_id); // before sending, as the response may come at once
     send_request(request_id, controller, kind, job);
 }
 
--- a/tests/simulation/user_model.h
+++ b/tests/simulation/user_model.h
@@ -1,4 +1,4 @@
-// The users: kind they send_request of controllers, and the answers that they get.
+// The users: their requests to controllers and the responses that they get.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
 namespace scheduler::test {
 
-// Sends users' requests, tells the history checker of them and of the answers.
+// Sends the requests of users, and passes them and the responses to the history checker.
 class UserModel {
   public:
     UserModel(const SimulationOptions& options, const RandomFaults& random_faults,
@@ -26,33 +26,35 @@
     RequestId submit(int controller, const JobSpec& spec);
     RequestId poll(int controller, const std::string& job);
     RequestId cancel(int controller, const std::string& job);
-    // What a health check gets now: a status.
+    // Returns the status of a readiness probe.
     int probe_readiness(int controller);
-    // A repeated submission, a cancellation of a job that is done, jobs that can never run.
+    // Sends a repeated submission, a cancellation if the job is done, and submissions that can
+    // never run.
     void send_edge_case_requests(const std::string& job);
-    // From now on users send_request for each open job every 5 s, at a controller that is ready.
-    // Returns whether they did not so far.
+    // From now on users poll each open job every 5 s, at a controller that is ready. Returns false
+    // if they did so already.
     bool start_polling();
 
-    // A controller answered a user's request.
+    // Called when a controller responds to a user's request.
     void answered(const Response& response);
-    // A task has completed; its job's user may call the job off at the end of the last one.
+    // Called when a task completes. At the last one the job's user may cancel the job.
     void task_completed(const TaskId& task);
 
-    // Of the requests of close looks and odd ones, those that were answered with a job's stage.
+    // Number of requests of concurrent status reads and edge cases that got the job's stage as
+    // response.
     std::size_t status_reads_answered() const { return status_reads_answered_; }
-    // The answers so far, by request.
+    // All responses so far, by request.
     std::map<RequestId, Response> answers;
 
   private:
-    // A request that leads to no further close look.
+    // Sends a request that does not lead to further concurrent status reads.
     void send_follow_up(int controller, HistoryChecker::RequestKind kind, const std::string& job);
     void send_request(RequestId request_id, int controller, HistoryChecker::RequestKind kind,
                       const std::string& job);
     RequestId send_request(int controller, HistoryChecker::RequestKind kind,
                            const std::string& job);
-    // At all controllers within milliseconds: a poll, the submission once more; sometimes a
-    // cancellation.
+    // Sends status reads and repeated submissions to all controllers within milliseconds, and
+    // sometimes a cancellation.
     void send_concurrent_status_reads(const std::string& job);
     void poll_open_jobs();
     int any_controller();
@@ -65,7 +67,7 @@
     ControllerModel& controllers_;
     HistoryChecker& history_checker_;
     bool polling_ = false;
-    // Requests that led to no further ones.
+    // Requests that do not lead to further ones.
     std::set<RequestId> follow_up_requests_;
     std::size_t status_reads_answered_ = 0;
 };
--- a/tests/simulation/worker.h
+++ b/tests/simulation/worker.h
@@ -1,4 +1,4 @@
-// What a simulated worker consists of.
+// The state of a simulated worker.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,16 @@
 
 namespace scheduler::test {
 
-// A task that a worker holds.
+// A task held by a worker.
 struct WorkerTask {
     std::uint64_t attempt = 0;
     TaskStage stage = TaskStage::fetching;
     ExitReason exit_reason = ExitReason::none;
-    // When its image is there, its run over, or its progress saved.
+    // When the fetch of its image, its run or the saving of its progress is over.
     Time next_change = 0;
-    // When it came to its stage, as far as gangs need it.
+    // When it reached its stage; only set where gangs need it.
     Time stage_since = 0;
-    // When its start left the controller.
+    // When its start command left the controller.
     Time sent_at = 0;
 };
 
@@ -30,21 +30,21 @@
     // It has booted.
     bool up = false;
     bool dead = false;
-    // No message comes or goes.
+    // All of its messages are lost, in both directions.
     bool cut = false;
-    // Its reports arrive, answers and direct commands do not.
+    // Its heartbeats arrive; responses and direct commands do not.
     bool cut_inbound = false;
-    // It reaches no controller, direct commands arrive.
+    // Its heartbeats reach no controller; direct commands arrive.
     bool cut_outbound = false;
     Time hung_until = 0;
-    // When the cloud takes it; 0: it has not said so.
+    // When the cloud preempts it; 0 if no notice was given.
     Time preempted_at = 0;
     std::uint64_t agent_epoch = 1;
     std::uint64_t heartbeat_sequence = 0;
     std::uint64_t fencing_token = 0;
-    // Its lease: the report answered last was sent then.
+    // Start of its lease: when the last heartbeat that was answered had been sent.
     Time lease_renewed_at = 0;
-    // Of its steady clock.
+    // Rate of its steady clock, relative to the simulation's clock.
     double clock_rate = 1;
     std::map<TaskId, WorkerTask> tasks;
 };
@@ -52,7 +52,7 @@
 // All machines of the cloud, by name.
 using Workers = std::map<std::string, Worker>;
 
-// Whether a task of this stage uses its machine.
+// Returns whether a task of this stage uses its machine.
 inline bool on_machine(TaskStage stage) {
     return stage != TaskStage::exited && stage != TaskStage::fetching;
 }
--- a/tests/simulation/worker_model.cpp
+++ b/tests/simulation/worker_model.cpp
@@ -1,4 +1,3 @@
-// Machines and their tasks: see worker_model.h.
 #include "simulation/worker_model.h"
 
 #include <algorithm>
@@ -10,7 +9,7 @@
 
 namespace {
 constexpr double kImageFetchS = 0.5;
-// A service runs until it is stopped.
+// Services run until they are stopped.
 constexpr Time kNever = 1e12;
 
 void exit_with(WorkerTask& state, ExitReason exit_reason) {
@@ -49,7 +48,7 @@
 void WorkerModel::hang(const std::string& machine, double seconds) {
     Worker& worker = workers_.at(machine);
     worker.hung_until = clock_.now() + seconds;
-    for (auto& [task, state] : worker.tasks) { // they make no progress
+    for (auto& [task, state] : worker.tasks) { // tasks make no progress meanwhile
         state.next_change += seconds;
     }
 }
@@ -123,7 +122,7 @@
                 worker.tasks[command.task] = {command.attempt,  TaskStage::fetching,
                                               ExitReason::none, clock_.now() + kImageFetchS,
                                               clock_.now(),     sent_at};
-            } // else the same attempt: no effect; another: refused as busy
+            } // else: the same attempt has no effect, another one is rejected as busy
         } else if (found != worker.tasks.end() && found->second.attempt == command.attempt) {
             if (command.type == CommandType::stop) {
                 stop(command, found->second);
@@ -158,7 +157,7 @@
     if (!worker.up || worker.dead) {
         return;
     }
-    // Hung for longer than its lease it kills its tasks on waking, before anything else.
+    // A worker that hung for longer than its lease kills its tasks first when it resumes.
     if ((clock_.now() - worker.lease_renewed_at) * worker.clock_rate > options_.lease_s) {
         expire_lease(worker);
     }
@@ -191,7 +190,7 @@
     bool saving = state.stage == TaskStage::saving;
     bool running = state.stage == TaskStage::running;
     if ((!saving && !running) || spec(task).kind == JobKind::gang) {
-        return false; // a gang's tasks end together, see GangModel
+        return false; // the tasks of a gang end together, see GangModel
     }
     if (saving) {
         exit_with(state, ExitReason::stopped);
@@ -210,7 +209,7 @@
     }
     state.stage = TaskStage::waiting;
     state.stage_since = clock_.now();
-    if (history_checker_.done(task)) { // the result is kept
+    if (history_checker_.done(task)) { // the result of an earlier run is kept
         exit_with(state, ExitReason::done);
     }
     return true;
--- a/tests/simulation/worker_model.h
+++ b/tests/simulation/worker_model.h
@@ -1,4 +1,4 @@
-// The workers' machines: the tasks that they run, the commands that they execute, their faults.
+// The workers: the tasks that they run, the commands that they execute, and their faults.
 #pragma once
 
 #include <functional>
@@ -17,12 +17,12 @@
 
 namespace scheduler::test {
 
-// The only writer of the workers. Their reports are sent by HeartbeatSender.
+// The only writer of the workers' state. Their heartbeats are sent by HeartbeatSender.
 class WorkerModel {
   public:
-    // What workers cause elsewhere.
+    // Events that workers cause elsewhere.
     struct Callbacks {
-        // The worker has something to report, beside its reports at regular times.
+        // The worker has something to report in addition to its regular heartbeats.
         std::function<void(const std::string& machine)> heartbeat_due;
         std::function<void(const TaskId&)> completed;
     };
@@ -31,17 +31,17 @@
                 HistoryChecker& history_checker, GangModel& gangs, StartChecker& start_checker,
                 Callbacks callbacks);
 
-    // Machines: rented, up, and released.
+    // Machines are added, booted and removed.
     void add(Worker worker);
     void boot(const std::string& machine, bool cut_outbound);
     void remove(const std::string& machine) { workers_.erase(machine); }
 
     const Workers& all() const { return workers_; }
     const Worker& get(const std::string& machine) const { return workers_.at(machine); }
-    // Null: the cloud has no such machine.
+    // Returns null if the cloud has no such machine.
     const Worker* find(const std::string& machine) const;
 
-    // Faults: see the members of Worker.
+    // Faults. See the members of Worker.
     void set_cut(const std::string& machine, bool cut) { workers_.at(machine).cut = cut; }
     void set_inbound_cut(const std::string& machine, bool cut_inbound) {
         workers_.at(machine).cut_inbound = cut_inbound;
@@ -51,22 +51,22 @@
     }
     void hang(const std::string& machine, double seconds);
     void kill(const std::string& machine);
-    // The cloud says that it takes the machine, and does so after `notice_s`.
+    // Gives notice that the cloud preempts the machine, and ends it after `notice_s`.
     void preempt(const std::string& machine, double notice_s);
 
-    // The worker's next report.
+    // Returns the worker's next heartbeat.
     Heartbeat make_heartbeat(const std::string& machine);
-    // Direct commands, which sent_at their controller at `sent_at`. Status 409: stale token or
-    // agent_epoch.
+    // Executes direct commands that left their controller at `sent_at`. Returns status 409 if the
+    // fencing token or the agent epoch is stale.
     OutboundResponse execute_commands(const WorkerCommands& batch, Time sent_at);
-    // The response to a report that was sent at `sent`, with commands. Returns whether the
-    // controller's token is higher than the one before.
+    // Handles the response, with commands, to a heartbeat. Returns whether the
+    // controller's fencing token is higher than the last one.
     bool accept_response(const std::string& machine, const HeartbeatBody& response,
                          Time heartbeat_sent_at, Time response_sent_at);
 
-    // Lets all tasks but those of gangs go on until now.
+    // Advances all tasks except those of gangs to the current time.
     void step();
-    // For gangs: their tasks run, complete and end together.
+    // For GangModel, which runs, completes and ends the tasks of gangs together.
     void run(const std::string& machine, const TaskId& task);
     void complete(const TaskId& task) { callbacks_.completed(task); }
     void exit(const std::string& machine, const TaskId& task, ExitReason exit_reason);
