--- a/src/core/recovery/inventory_relay.cpp
+++ b/src/core/recovery/inventory_relay.cpp
@@ -80,7 +80,7 @@
         if (posted.term != term) {
             posted = {term, now, {}, 0, false};
         }
-        bool needs_post = lender_.last_term_of(partition) < term || !posted.pages.empty();
+        bool needs_post = lender_.last_synced_term(partition) < term || !posted.pages.empty();
         if (posted.done || !needs_post ||
             now - posted.first_seen < kCallGraceHeartbeats * settings_.heartbeat_interval_s) {
             continue;
--- a/src/core/scheduling/preemptor.cpp
+++ b/src/core/scheduling/preemptor.cpp
@@ -9,63 +9,64 @@
 
 namespace {
 
-struct Victim { // a task that may be stopped; in the order in which they are
+struct Victim { // a task that may be stopped, ordered by run time
     double run_s = 0;
     TaskId task;
     auto operator<=>(const Victim&) const = default;
 };
 
-struct Resources {
+struct FreeResources {
     double cpus = 0;
     double gpus = 0;
     double ram_gb = 0;
 
-    bool fit(const JobSpec& spec) const {
+    bool covers(const JobSpec& spec) const {
         return cpus >= spec.cpus && gpus >= spec.gpus && ram_gb >= spec.ram_gb;
     }
-    void take(const JobSpec& spec) {
+    void subtract(const JobSpec& spec) {
         cpus -= spec.cpus;
         gpus -= spec.gpus;
         ram_gb -= spec.ram_gb;
     }
-    void release(const Placement& placement) {
+    void add(const Placement& placement) {
         cpus += placement.cpus;
         gpus += placement.gpus;
         ram_gb += placement.ram_gb;
     }
 };
 
-// The tasks on the machine that may be stopped for the job, least run time first.
+// Returns the tasks on the machine that may be stopped for the job, shortest run time first.
 std::vector<Victim> find_victims(Time now, const Machine& machine, const JobSpec& spec,
                                  bool within_guarantee) {
     std::vector<Victim> victims;
     for (const auto& [task, placement] : machine.tasks) {
-        bool lower =
+        bool is_preemptible =
             placement.priority > spec.priority || (within_guarantee && placement.over_guarantee);
-        bool stays = placement.launch_state != Placement::LaunchState::reported ||
-                     placement.kind != JobKind::array || placement.stage == TaskStage::saving ||
-                     placement.resources_unknown;
-        if (lower && !stays) {
-            bool runs = placement.stage == TaskStage::running;
-            victims.push_back({runs ? now - placement.running_since : 0, task});
+        bool must_stay = placement.launch_state != Placement::LaunchState::reported ||
+                         placement.kind != JobKind::array || placement.stage == TaskStage::saving ||
+                         placement.resources_unknown;
+        if (is_preemptible && !must_stay) {
+            bool is_running = placement.stage == TaskStage::running;
+            victims.push_back({is_running ? now - placement.running_since : 0, task});
         }
     }
     std::sort(victims.begin(), victims.end());
     return victims;
 }
 
-// Up to `most` options on the machine, each with the victims that it needs besides those of the
-// options before it.
+// Returns up to `max_options` options on the machine. Each lists the victims that it needs in
+// addition to those of the options before it.
 std::vector<PreemptionOption> options_on(Machine& machine, const JobSpec& spec,
-                                         const std::vector<Victim>& victims, std::size_t most) {
-    Resources free{machine.free_cpus(), machine.free_gpus(), machine.free_ram()};
+                                         const std::vector<Victim>& victims,
+                                         std::size_t max_options) {
+    FreeResources free{machine.free_cpus(), machine.free_gpus(), machine.free_ram()};
     double fetch_s = machine.fetch_s(spec.image, spec.image_gb);
     std::vector<PreemptionOption> options;
     PreemptionOption option{fetch_s, &machine, {}};
     auto next = victims.begin();
-    while (options.size() < most) {
-        if (free.fit(spec)) {
-            free.take(spec);
+    while (options.size() < max_options) {
+        if (free.covers(spec)) {
+            free.subtract(spec);
             options.push_back(std::move(option));
             option = PreemptionOption{fetch_s, &machine, {}};
             continue;
@@ -73,7 +74,7 @@
         if (next == victims.end()) {
             break;
         }
-        free.release(machine.tasks.at(next->task));
+        free.add(machine.tasks.at(next->task));
         option.cost_s += next->run_s;
         option.victims.push_back(next->task);
         ++next;
@@ -93,7 +94,7 @@
 }
 } // namespace
 
-void Preemptor::retry(Time now) {
+void Preemptor::preempt_for_pending_jobs(Time now) {
     std::erase_if(retry_at_, [&](const auto& entry) { return now > entry.second; });
     for (const PendingJob& candidate : queue_.ordered(now)) {
         const std::string& id = job_id(candidate);
@@ -117,8 +118,8 @@
 void Preemptor::preempt_for_candidate(Time now, const PendingJob& candidate) {
     bool within_guarantee = !candidate.over_guarantee;
     if (const SlotRequest* request = candidate.slot_request) {
-        JobSpec shape = requested_resources(*request);
-        preempt_for(now, {shape, request->count, within_guarantee, nullptr});
+        JobSpec spec = requested_resources(*request);
+        preempt_for(now, {spec, request->count, within_guarantee, nullptr});
         return;
     }
     Job& job = *candidate.job;
@@ -126,13 +127,14 @@
     bool fits_quota = spec.kind == JobKind::gang ? gang_fits_quota(quotas_, job)
                                                  : quotas_.fits(spec.team, spec.cpus, spec.gpus);
     if (fits_quota) {
-        bool made = preempt_for(now, {spec, job.waiting.size(), within_guarantee, &job});
-        job.needs_preemption = !made || spec.spread;
+        bool preempted = preempt_for(now, {spec, job.waiting.size(), within_guarantee, &job});
+        job.needs_preemption = !preempted || spec.spread;
     }
 }
 
-// Stops what has to go for the demand, all of it in one zone if the job says so, or nothing. The
-// machines are reserved for the job for one heartbeat interval.
+// Stops the tasks of the cheapest plan and reserves the machines for the job for one heartbeat
+// interval. Returns false if there is no plan. If the job requires one zone, all machines are in
+// the same zone.
 bool Preemptor::preempt_for(Time now, const Demand& demand) {
     std::optional<Plan> plan = cheapest_plan(demand, options_by_zone(now, demand));
     if (!plan) {
@@ -154,7 +156,7 @@
            (!demand.job || demand.job->allows_zone(machine.zone));
 }
 
-// All options by zone; under one name if the job's tasks need not share a zone.
+// Returns all options by zone, or all under an empty name if the job's tasks need not share a zone.
 Preemptor::OptionsByZone Preemptor::options_by_zone(Time now, const Demand& demand) {
     OptionsByZone by_zone;
     for (auto& [name, machine] : machines_.all()) {
@@ -170,14 +172,14 @@
     return by_zone;
 }
 
-// The plan that loses least run time: for a gang, one for all of its tasks or none.
+// Returns the plan with the lowest cost. A plan for a gang covers all of its tasks.
 std::optional<Preemptor::Plan> Preemptor::cheapest_plan(const Demand& demand,
                                                         OptionsByZone&& by_zone) {
     std::optional<Plan> best;
-    bool whole = demand.spec.kind == JobKind::gang;
+    bool all_or_nothing = demand.spec.kind == JobKind::gang;
     for (auto& [zone, options] : by_zone) {
-        // A machine's options come in the order of their cost, so the cheapest of all are a
-        // consistent choice.
+        // A machine's options are in the order of their cost and depend on the ones before them, so
+        // that taking the cheapest of all machines never skips one.
         std::stable_sort(options.begin(), options.end(), is_cheaper);
         if (options.size() > demand.tasks) {
             options.resize(demand.tasks);
@@ -186,7 +188,7 @@
         for (const auto& option : options) {
             cost_s += option.cost_s;
         }
-        bool enough = whole ? options.size() == demand.tasks : true;
+        bool enough = all_or_nothing ? options.size() == demand.tasks : true;
         if (enough && !options.empty() && (!best || cost_s < best->cost_s)) {
             best = Plan{std::move(options), cost_s};
         }
@@ -194,7 +196,8 @@
     return best;
 }
 
-// Reserves the machines of the plan and queues the stops. Returns how many tasks are stopped.
+// Reserves the machines of the plan and queues the stop commands. Returns the number of stopped
+// tasks.
 std::size_t Preemptor::stop_victims(Time now, const JobSpec& spec, const Plan& plan) {
     std::size_t stopped = 0;
     for (const auto& option : plan.options) {
--- a/src/core/stealing/slot_borrower.cpp
+++ b/src/core/stealing/slot_borrower.cpp
@@ -8,11 +8,11 @@
 namespace scheduler {
 
 namespace {
-constexpr double kMaxBatch = 64;                    // slots requested in a call
-constexpr std::size_t kMaxRequestsPerCall = 24;     // jobs for which slots are requested
-constexpr std::size_t kMaxCommandsPerCall = 256;    // commands about remote tasks
-constexpr std::size_t kMaxProvisionedPerCall = 256; // provisioned machines
-constexpr double kIdleCallsPerHeartbeat = 3;        // calls in a heartbeat interval when idle
+constexpr double kMaxBatchSlots = 64;               // per sync
+constexpr std::size_t kMaxRequestsPerSync = 24;     // jobs for which slots are requested
+constexpr std::size_t kMaxCommandsPerSync = 256;    // commands about remote tasks
+constexpr std::size_t kMaxProvisionedPerSync = 256; // provisioned machines
+constexpr double kIdleSyncsPerHeartbeat = 3;        // while there is nothing to borrow
 
 RemoteTaskCommand describe_command(const std::string& machine, const LaunchId& id,
                                    const JobSpec& spec) {
@@ -50,7 +50,8 @@
         return;
     }
     for (auto& [partition, peer] : peers_) {
-        if (!peer.in_flight && now >= peer.next && !partition_map_.at(partition).leader.empty()) {
+        if (!peer.in_flight && now >= peer.next_sync_at &&
+            !partition_map_.at(partition).leader.empty()) {
             sync_peer(now, partition, peer);
         }
     }
@@ -58,20 +59,22 @@
 
 void SlotBorrower::sync_soon() {
     for (auto& [partition, peer] : peers_) {
-        peer.next = 0;
+        peer.next_sync_at = 0;
     }
 }
 
-// One slot is requested for a job to begin with, from one peer at a time, each in turn for a
-// heartbeat interval.
-bool SlotBorrower::begins_at(Time now, const Job& job, std::uint64_t peer_index) const {
+// Returns whether the first slot of the job is requested from this peer now. It is requested from
+// one peer at a time, from each in turn for a heartbeat interval.
+bool SlotBorrower::requests_first_task_from(Time now, const Job& job,
+                                            std::uint64_t peer_index) const {
     auto turn =
         stable_hash(job.spec.id) + static_cast<std::uint64_t>(now / settings_.heartbeat_interval_s);
     return job.awaits_first_task && turn % peers_.size() == peer_index;
 }
 
-// The jobs with tasks to schedule, in the order in which slots are requested for them.
-std::vector<const Job*> SlotBorrower::jobs_to_request(Time now, std::uint64_t peer_index) const {
+// Returns the jobs with tasks to schedule, in the order in which slots are requested for them.
+std::vector<const Job*> SlotBorrower::jobs_awaiting_slots(Time now,
+                                                          std::uint64_t peer_index) const {
     std::vector<const Job*> waiting;
     for (const auto& [id, job] : jobs_.all()) {
         if (delegate_.has_schedulable_tasks(now, *job)) {
@@ -79,7 +82,8 @@
         }
     }
     auto rank = [&](const Job* job) {
-        bool first = begins_at(now, *job, peer_index) || queue_.is_starving(job->spec);
+        bool first =
+            requests_first_task_from(now, *job, peer_index) || queue_.is_starving(job->spec);
         return std::tuple(!first, job->spec.priority, !queue_.is_bottleneck(job->spec.team),
                           job->due, job->first_seen);
     };
@@ -88,8 +92,8 @@
     return waiting;
 }
 
-// A request of slots for the job, without their number.
-SlotRequest SlotBorrower::describe(Time now, const Job& job, bool begins) const {
+// Returns a slot request for the job, without the number of slots.
+SlotRequest SlotBorrower::make_slot_request(Time now, const Job& job, bool first_task_only) const {
     const JobSpec& spec = job.spec;
     SlotRequest request;
     request.job = spec.id;
@@ -102,9 +106,9 @@
     request.types = spec.types;
     request.zone = spec.zone;
     request.spot = spec.spot;
-    request.priority = PendingQueue::rank(job, begins);
+    request.priority = PendingQueue::effective_priority(job, first_task_only);
     request.bottleneck_team = queue_.is_bottleneck(spec.team);
-    request.starving = begins || queue_.is_starving(spec);
+    request.starving = first_task_only || queue_.is_starving(spec);
     request.over_guarantee = !quotas_.within_guarantee(spec.team, spec.cpus, spec.gpus);
     request.preempt = job.needs_preemption;
     request.age_s = now - job.first_seen;
@@ -116,7 +120,7 @@
                                 SlotRequest& request) {
     const JobSpec& spec = job.spec;
     auto tasks = static_cast<double>(job.waiting.size());
-    bool remainder = peer.calls % 2 == 1;
+    bool remainder = peer.last_sequence % 2 == 1;
     if (!quota_left.fits(spec.team, tasks * spec.cpus, tasks * spec.gpus) ||
         !delegate_.request_gang_slots(job, remainder, request)) {
         return false;
@@ -125,11 +129,11 @@
     return true;
 }
 
-void SlotBorrower::count_slots(const Job& job, const Peer& peer, bool begins,
-                               QuotaLedger& quota_left, SlotRequest& request) {
+void SlotBorrower::set_slot_count(const Job& job, const Peer& peer, bool first_task_only,
+                                  QuotaLedger& quota_left, SlotRequest& request) {
     const JobSpec& spec = job.spec;
-    // After its first task a job is in line with the others again.
-    std::size_t max_count = begins ? 1 : job.waiting.size();
+    // After its first task, the job is ordered like the others again.
+    std::size_t max_count = first_task_only ? 1 : job.waiting.size();
     while (request.count < peer.batch && request.count < max_count &&
            quota_left.fits(spec.team, spec.cpus, spec.gpus)) {
         quota_left.add_usage(spec.team, spec.cpus, spec.gpus);
@@ -137,26 +141,26 @@
     }
 }
 
-// Requests for many jobs, so that the peer can choose by image; it grants no more than the batch in
-// all.
+// Returns requests for several jobs, so that the peer can choose by cached image. The peer grants
+// at most the batch in total.
 std::vector<SlotRequest> SlotBorrower::slot_requests_for(Time now, int partition,
                                                          const Peer& peer) {
     auto peer_index =
         static_cast<std::uint64_t>(std::distance(peers_.begin(), peers_.find(partition)));
     std::vector<SlotRequest> requests;
     QuotaLedger quota_left = quotas_; // so that slots are not requested beyond a team's limit
-    for (const Job* job : jobs_to_request(now, peer_index)) {
-        bool begins = begins_at(now, *job, peer_index);
-        SlotRequest request = describe(now, *job, begins);
+    for (const Job* job : jobs_awaiting_slots(now, peer_index)) {
+        bool first_task_only = requests_first_task_from(now, *job, peer_index);
+        SlotRequest request = make_slot_request(now, *job, first_task_only);
         if (job->spec.kind != JobKind::gang) {
-            count_slots(*job, peer, begins, quota_left, request);
+            set_slot_count(*job, peer, first_task_only, quota_left, request);
         } else if (!request_gang(*job, peer, quota_left, request)) {
             continue;
         }
         if (request.count > 0) {
             requests.push_back(std::move(request));
         }
-        if (requests.size() == kMaxRequestsPerCall) {
+        if (requests.size() == kMaxRequestsPerSync) {
             break;
         }
     }
@@ -164,29 +168,30 @@
 }
 
 void SlotBorrower::append_commands(const Peer& peer, PeerSyncRequest& request,
-                                   SyncCall& call) const {
+                                   SentSync& sent_sync) const {
     for (const auto& [launch, command] : peer.commands) {
-        if (call.commands.size() == kMaxCommandsPerCall) {
+        if (sent_sync.commands.size() == kMaxCommandsPerSync) {
             break;
         }
-        call.commands.push_back(launch);
+        sent_sync.commands.push_back(launch);
         request.commands.push_back(command);
     }
 }
 
-void SlotBorrower::append_provisioned(PeerSyncRequest& request, SyncCall& call) const {
+void SlotBorrower::append_provisioned(PeerSyncRequest& request, SentSync& sent_sync) const {
     for (const auto& [name, provisioned] : demand_.provisioned()) {
-        const ScaleOut& order = provisioned.request;
-        ShardId shard = shard_of_machine(settings_, name, order.zone);
-        if (partition_map_.holder(shard) == call.partition &&
-            call.provisioned.size() < kMaxProvisionedPerCall) {
-            call.provisioned.push_back(name);
-            request.provisioned.push_back({name, order.type, order.zone, order.spot});
+        const ScaleOut& scale_out = provisioned.request;
+        ShardId shard = shard_of_machine(settings_, name, scale_out.zone);
+        if (partition_map_.holder(shard) == sent_sync.partition &&
+            sent_sync.provisioned.size() < kMaxProvisionedPerSync) {
+            sent_sync.provisioned.push_back(name);
+            request.provisioned.push_back({name, scale_out.type, scale_out.zone, scale_out.spot});
         }
     }
 }
 
-// All slots requested, within the batch; but a gang is requested as a whole.
+// Returns the number of slots requested, limited to the batch or, if larger, to the largest gang,
+// which is requested as a whole.
 std::uint32_t SlotBorrower::max_slots_for(const Peer& peer,
                                           const std::vector<SlotRequest>& requests) {
     std::uint32_t total = 0;
@@ -198,18 +203,18 @@
     return std::min(total, std::max(largest_gang, static_cast<std::uint32_t>(peer.batch)));
 }
 
-PeerSyncRequest SlotBorrower::build_request(Time now, Peer& peer, SyncCall& call) {
+PeerSyncRequest SlotBorrower::build_request(Time now, Peer& peer, SentSync& sent_sync) {
     PeerSyncRequest request;
     request.from_partition = leadership_.partition();
     request.term = leadership_.term();
-    request.to_partition = call.partition;
+    request.to_partition = sent_sync.partition;
     queue_.ordered(now); // updates the due times of jobs
-    request.sequence = ++peer.calls;
-    if (now >= peer.request_again_at) {
-        request.slot_requests = slot_requests_for(now, call.partition, peer);
+    request.sequence = ++peer.last_sequence;
+    if (now >= peer.requests_paused_until) {
+        request.slot_requests = slot_requests_for(now, sent_sync.partition, peer);
     }
-    append_commands(peer, request, call);
-    append_provisioned(request, call);
+    append_commands(peer, request, sent_sync);
+    append_provisioned(request, sent_sync);
     request.transfers = peer.transfers;
     request.acked_term = peer.acked_term;
     bool wants_full_inventory = peer.resyncs_requested != peer.resyncs_answered;
@@ -217,53 +222,53 @@
     request.demand = demand_.current(now).demand;
     request.capacity = demand_.current(now).capacity;
     request.max_slots = max_slots_for(peer, request.slot_requests);
-    call.max_slots = request.max_slots;
-    call.transfers = peer.transfers.size();
-    call.resyncs_requested = peer.resyncs_requested;
+    sent_sync.max_slots = request.max_slots;
+    sent_sync.transfers = peer.transfers.size();
+    sent_sync.resyncs_requested = peer.resyncs_requested;
     return request;
 }
 
 void SlotBorrower::sync_peer(Time now, int partition, Peer& peer) {
     queue_clears(peer);
-    SyncCall call;
-    call.partition = partition;
-    PeerSyncRequest request = build_request(now, peer, call);
-    bool busy = call.max_slots > 0 || peer.tasks > 0 || !delegate_.reconciled();
-    double idle_interval_s = settings_.heartbeat_interval_s / kIdleCallsPerHeartbeat;
-    peer.next = now + (busy ? policy_.peer_sync_interval_s : idle_interval_s);
+    SentSync sent_sync;
+    sent_sync.partition = partition;
+    PeerSyncRequest request = build_request(now, peer, sent_sync);
+    bool busy = sent_sync.max_slots > 0 || peer.tasks > 0 || !delegate_.reconciled();
+    double idle_interval_s = settings_.heartbeat_interval_s / kIdleSyncsPerHeartbeat;
+    peer.next_sync_at = now + (busy ? policy_.peer_sync_interval_s : idle_interval_s);
     peer.in_flight = true;
     requests_.send(PeerSyncCall{partition_map_.at(partition).leader, std::move(request)},
-                   [this, call](Time at, OutboundResponse& response) {
-                       on_sync_response(at, call, response);
+                   [this, sent_sync](Time at, OutboundResponse& response) {
+                       on_sync_response(at, sent_sync, response);
                    });
 }
 
-void SlotBorrower::on_sync_response(Time now, const SyncCall& call,
+void SlotBorrower::on_sync_response(Time now, const SentSync& sent_sync,
                                     const OutboundResponse& response) {
-    Peer& peer = peers_.at(call.partition);
+    Peer& peer = peers_.at(sent_sync.partition);
     peer.in_flight = false;
     if (response.status != 200 || !response.peer_sync || !leadership_.is_active(now)) {
         return;
     }
-    peer.resyncs_answered = call.resyncs_requested;
-    for (const auto& launch : call.commands) {
+    peer.resyncs_answered = sent_sync.resyncs_requested;
+    for (const auto& launch : sent_sync.commands) {
         peer.commands.erase(launch);
     }
     peer.transfers.erase(peer.transfers.begin(),
-                         peer.transfers.begin() + static_cast<std::ptrdiff_t>(call.transfers));
-    for (const auto& name : call.provisioned) {
-        demand_.remove_provisioned(name); // its owner counts it now, in this very response
+                         peer.transfers.begin() + static_cast<std::ptrdiff_t>(sent_sync.transfers));
+    for (const auto& name : sent_sync.provisioned) {
+        demand_.remove_provisioned(name); // the owner's capacity in this response includes it
     }
-    on_response(now, call.partition, call.max_slots, *response.peer_sync);
+    on_response(now, sent_sync.partition, sent_sync.max_slots, *response.peer_sync);
 }
 
-// The first batch is small; while everything requested is granted, the next is twice as large and
-// follows at once.
+// The first batch is small. While all requested slots are granted, the next batch is twice as large
+// and follows at once.
 void SlotBorrower::adapt_batch(Time now, Peer& peer, std::uint32_t max_slots,
                                std::size_t granted) const {
     if (max_slots > 0 && granted >= max_slots) {
-        peer.batch = std::min(kMaxBatch, peer.batch * 2);
-        peer.next = now;
+        peer.batch = std::min(kMaxBatchSlots, peer.batch * 2);
+        peer.next_sync_at = now;
     } else {
         peer.batch = std::max(policy_.initial_steal_batch, peer.batch / 2);
     }
@@ -279,19 +284,19 @@
             return entry.second.type == RemoteTaskCommand::Type::return_slot;
         });
     if (returns_slots) {
-        // The slots are returned at once; but requested again at once, they would come and go as
-        // fast as calls do.
-        peer.next = now;
-        peer.request_again_at = now + policy_.peer_sync_interval_s;
+        // The slots are returned at once. Requesting them again at once would pass the same slots
+        // back and forth with each sync.
+        peer.next_sync_at = now;
+        peer.requests_paused_until = now + policy_.peer_sync_interval_s;
     }
     delegate_.on_peer_response(now);
 }
 
-// Tasks that exited there: their machine may forget them once that is durable here.
+// Queues the command that lets a machine forget an exited task, once its exit is durable here.
 void SlotBorrower::queue_clears(Peer& peer) {
-    std::erase_if(peer.exited, [&](const auto& entry) {
+    std::erase_if(peer.unacked_exits, [&](const auto& entry) {
         const RemoteTaskStatus& remote_task = entry.second;
-        if (!delegate_.end_is_durable(remote_task.status)) {
+        if (!delegate_.is_exit_durable(remote_task.status)) {
             return false;
         }
         peer.commands[entry.first] = {RemoteTaskCommand::Type::clear, remote_task.machine,
@@ -300,27 +305,28 @@
     });
 }
 
-// Queues a command that does not wait for the next regular call.
+// Queues a command and makes the peer due at once.
 void SlotBorrower::queue_command(Peer& peer, RemoteTaskCommand command) {
     RemoteLaunch launch{command.launch, command.machine};
     peer.commands[launch] = std::move(command);
-    peer.next = 0;
+    peer.next_sync_at = 0;
 }
 
 void SlotBorrower::apply_response(Time now, int partition, Peer& peer,
                                   const PeerSyncResponse& response) {
-    if (response.term < peer.heard_term) {
+    if (response.term < peer.latest_leader_term) {
         return;
     }
-    peer.heard_term = response.term;
-    peer.answered_term = response.term;
+    peer.latest_leader_term = response.term;
+    peer.synced_term = response.term;
     demand_.on_peer_demand(now, partition, response.demand, response.capacity);
     reconcile(now, partition, peer, response);
     std::map<std::uint64_t, std::vector<SlotGrant>> gangs;
     for (const auto& grant : response.grants) {
         ShardId shard = shard_of_machine(settings_, grant.machine, grant.zone);
         if (term_of_fencing_token(grant.fencing_token) < shard_terms_[shard]) {
-            return_grant(partition, grant); // its shard has migrated: the launch would be refused
+            return_grant(partition,
+                         grant); // the shard has migrated, so the worker would reject the launch
         } else if ((grant.launch.attempt & kGangBit) != 0) {
             gangs[grant.launch.attempt].push_back(grant);
         } else {
@@ -335,20 +341,21 @@
 void SlotBorrower::apply_posted_inventory(Time now, int partition,
                                           const PeerSyncResponse& response) {
     Peer& peer = peers_.at(partition);
-    if (response.term >= peer.heard_term && response.term != peer.answered_term) {
-        peer.heard_term = response.term;
+    if (response.term >= peer.latest_leader_term && response.term != peer.synced_term) {
+        peer.latest_leader_term = response.term;
         reconcile(now, partition, peer, response);
     }
 }
 
-// A response counts by shard: only under the latest known term of the shard, and not for shards
-// that this partition owns. Sets `complete` to false if something has to be reported again.
+// Returns the shards whose inventory in the response is current: those under the latest known term
+// of the shard, and not owned by this partition. Sets `complete` to false if a shard has to be
+// reported again.
 SlotBorrower::ShardInventories
 SlotBorrower::current_inventories(int partition, const PeerSyncResponse& response, bool& complete) {
     std::vector<ShardInventory> reported;
     if (response.shards) {
         reported = *response.shards;
-    } else { // a controller of the previous version: it owns the shards whose home it is
+    } else { // a controller of the previous version owns exactly its home shards
         for (int number = 0; number < shards_per_home(settings_, partition); ++number) {
             reported.push_back(
                 {{partition, number}, response.term, response.reconciled, response.complete});
@@ -357,8 +364,8 @@
     ShardInventories current;
     for (const auto& inventory : reported) {
         if (const OwnedShards::Shard* own = owned_shards_.find(inventory.shard)) {
-            // A later term than the own one: the shard has migrated out, and the response to that
-            // transaction is still missing.
+            // A term later than this partition's: the shard has migrated out, but the response to
+            // that transaction has not arrived yet.
             complete = complete && inventory.term < own->term;
             continue;
         }
@@ -371,10 +378,10 @@
     return current;
 }
 
-// For each shard that it covers, the response reports every task of this partition there and every
-// slot whose launch has not shown. A remote task that is in neither is not on that machine, once
-// all of the shard's machines are reconciled and the shard has been reported in full, now or
-// before.
+// For each shard that it covers, the response reports every task of this partition and every lent
+// slot whose launch no heartbeat has reported yet. A remote task that is in neither list is not on
+// its machine, provided that all machines of the shard are reconciled and the shard was reported in
+// full, now or before.
 void SlotBorrower::reconcile(Time now, int partition, Peer& peer,
                              const PeerSyncResponse& response) {
     bool complete = response.no_stale_grants;
@@ -386,71 +393,72 @@
         }
     }
     apply_absent(now, response, inventories);
-    if (complete) { // from here on, changes are enough
+    if (complete) { // later responses only need to report changes
         peer.acked_term = response.term;
         peer.acked_version = response.version;
     }
-    std::size_t before = inventoried_.size();
+    std::size_t before = inventoried_shards_.size();
     for (const auto& [shard, inventory] : inventories) {
         if (inventory.reconciled && response.no_stale_grants) {
-            inventoried_.insert(shard);
+            inventoried_shards_.insert(shard);
         }
     }
-    if (inventoried_.size() > before) {
+    if (inventoried_shards_.size() > before) {
         delegate_.try_reconcile(now);
     }
 }
 
-// A task exited on a machine of another partition.
+// Handles the exit of a remote task.
 void SlotBorrower::apply_exit(Time now, Peer& peer, const RemoteTaskStatus& remote_task,
                               bool is_recorded) {
     const TaskStatus& status = remote_task.status;
     Job* job = jobs_.find(status.task.job);
-    bool waits = job && status.task.index < job->spec.tasks &&
-                 job->tasks[status.task.index] == TaskState::waiting;
+    bool is_waiting = job && status.task.index < job->spec.tasks &&
+                      job->tasks[status.task.index] == TaskState::waiting;
     if (is_recorded) {
         on_task_gone(now, status.task, status.exit_reason);
-    } else if (waits && status.exit_reason == ExitReason::done && job->open()) {
-        delegate_.on_found_done(now, *job, status.task.index);
+    } else if (is_waiting && status.exit_reason == ExitReason::done && job->open()) {
+        delegate_.on_completion_discovered(now, *job, status.task.index);
     }
     LaunchId id = launch_id(status.attempt, status.task.index);
-    peer.exited[{id, remote_task.machine}] = remote_task;
+    peer.unacked_exits[{id, remote_task.machine}] = remote_task;
 }
 
-// Records a task that an earlier leader of this partition launched. Returns false if it is not one.
+// Records a remote task that an earlier leader of this partition launched. Returns false if it was
+// not adopted.
 bool SlotBorrower::adopt_remote(Time now, int partition, const RemoteTaskStatus& remote_task,
                                 std::uint64_t term) {
     const TaskStatus& status = remote_task.status;
     Job* job = jobs_.find(status.task.job);
-    bool waits = job && status.task.index < job->spec.tasks &&
-                 job->tasks[status.task.index] == TaskState::waiting;
-    if (!waits ||
+    bool is_waiting = job && status.task.index < job->spec.tasks &&
+                      job->tasks[status.task.index] == TaskState::waiting;
+    if (!is_waiting ||
         (job->spec.kind == JobKind::gang && !gangs_.adopt(now, status.task.job, status.attempt))) {
         return false;
     }
     jobs_.mark_placed(*job, status.task.index, remote_task.zone);
     quotas_.add_usage(job->spec.team, job->spec.cpus, job->spec.gpus);
-    on_placed(status.task,
-              {status.attempt, partition, remote_task.machine, remote_task.zone,
-               shard_of_machine(settings_, remote_task.machine, remote_task.zone), term});
+    add_remote_task(status.task,
+                    {status.attempt, partition, remote_task.machine, remote_task.zone,
+                     shard_of_machine(settings_, remote_task.machine, remote_task.zone), term});
     return true;
 }
 
-// Queues the stop of a task that is not to run there. Returns false if it is.
+// Queues the stop of a remote task that must not run there. Returns false if the task may run.
 bool SlotBorrower::stop_unwanted(Peer& peer, const RemoteTaskStatus& remote_task,
                                  bool is_recorded) {
     const TaskStatus& status = remote_task.status;
     Job* job = jobs_.find(status.task.job);
     bool is_known = job && status.task.index < job->spec.tasks;
     bool must_move = remote_task.draining && is_known && job->spec.kind == JobKind::service;
-    // The command that ends an attempt may have gone to an earlier owner of the shard.
+    // The command that ends an attempt may have been sent to an earlier owner of the shard.
     const GangTracker::Attempt* attempt =
         is_known && job->spec.kind == JobKind::gang ? gangs_.find(status.task.job) : nullptr;
     bool attempt_ends = attempt && attempt->ending;
     if (is_recorded && job->open() && !must_move && !attempt_ends) {
         return false;
     }
-    double grace_s = is_recorded && attempt_ends && attempt->saves
+    double grace_s = is_recorded && attempt_ends && attempt->may_save
                          ? kSaveGraceFactor * job->spec.save_duration_s
                          : 0;
     LaunchId id = launch_id(status.attempt, status.task.index);
@@ -482,14 +490,14 @@
         peer.commands[{id, remote_task.machine}] = describe_command(remote_task.machine, id, spec);
     }
     if (spec.kind == JobKind::gang && status.stage == TaskStage::running) {
-        gangs_.on_running(status.task.job);
+        gangs_.on_task_running(status.task.job);
     }
     if (spec.kind == JobKind::gang && remote_task.preemption_notice) {
         delegate_.end_attempt(now, status.task.job, true);
     }
 }
 
-// Adds the tasks whose shard the response covers, but which it does not report.
+// Adds to `absent` the tasks whose shard the response covers but which it does not report.
 void SlotBorrower::collect_absent(const std::set<TaskId>& tasks,
                                   const ShardInventories& inventories,
                                   const ReportedLaunches& reported, bool needs_complete,
@@ -535,8 +543,8 @@
     }
 }
 
-// The task's shard is reported by another partition than before, or by the same under a later term:
-// pending commands about the task go there.
+// Updates the term and the partition of the task's shard. If the partition has changed, pending
+// commands about the task are moved to it.
 void SlotBorrower::update_location(RemoteTask& remote, const LaunchId& id, int partition,
                                    std::uint64_t term) {
     remote.term = std::max(remote.term, term);
@@ -553,13 +561,13 @@
     remote.partition = partition;
 }
 
-void SlotBorrower::on_placed(const TaskId& task, RemoteTask remote) {
+void SlotBorrower::add_remote_task(const TaskId& task, RemoteTask remote) {
     tasks_by_machine_[remote.machine].insert(task);
     ++peers_.at(remote.partition).tasks;
     remote_tasks_[task] = std::move(remote);
 }
 
-SlotBorrower::RemoteTask SlotBorrower::remove(const TaskId& task) {
+SlotBorrower::RemoteTask SlotBorrower::remove_remote_task(const TaskId& task) {
     auto it = remote_tasks_.find(task);
     RemoteTask remote = std::move(it->second);
     remote_tasks_.erase(it);
@@ -573,7 +581,7 @@
 }
 
 void SlotBorrower::on_task_gone(Time now, const TaskId& task, ExitReason reason) {
-    RemoteTask remote = remove(task);
+    RemoteTask remote = remove_remote_task(task);
     delegate_.on_remote_exit(now, task, reason, remote.zone);
 }
 
@@ -581,16 +589,16 @@
 
 void SlotBorrower::announce_transfer(int partition, const ShardTransfer& transfer) {
     peers_.at(partition).transfers.push_back(transfer);
-    peers_.at(partition).next = 0;
+    peers_.at(partition).next_sync_at = 0;
 }
 
-void SlotBorrower::migrated_out(const TaskId& task, RemoteTask remote) {
+void SlotBorrower::on_task_migrated_out(const TaskId& task, RemoteTask remote) {
     std::uint64_t& latest_term = shard_terms_[remote.shard];
     latest_term = std::max(latest_term, remote.term);
-    on_placed(task, std::move(remote));
+    add_remote_task(task, std::move(remote));
 }
 
-void SlotBorrower::migrated_in(const ShardId& shard, std::uint64_t term) {
+void SlotBorrower::on_shard_migrated_in(const ShardId& shard, std::uint64_t term) {
     shard_terms_[shard] = term;
 }
 
@@ -601,7 +609,7 @@
         it->second.machine != machine) {
         return false;
     }
-    remove(task);
+    remove_remote_task(task);
     return true;
 }
 
@@ -630,28 +638,28 @@
 
 // ---- Granted slots ----
 
-bool SlotBorrower::grant_suits(const Job& job, const SlotGrant& grant) const {
+bool SlotBorrower::fits_grant(const Job& job, const SlotGrant& grant) const {
     const JobSpec& spec = job.spec;
     return spec.cpus <= grant.cpus && spec.gpus <= grant.gpus && spec.ram_gb <= grant.ram_gb &&
            (spec.spot || !grant.spot) && spec.allows_type(grant.type) &&
            job.allows_zone(grant.zone) && quotas_.fits(spec.team, spec.cpus, spec.gpus);
 }
 
-// The job that the grant was requested for, or else, if its tasks have found slots meanwhile, the
-// first of the other jobs that may use the slot; null if there is none.
+// Returns the job that the grant was requested for or, if that job needs no slot any more, the
+// first other job that may use the slot; null if there is none.
 Job* SlotBorrower::job_for_grant(Time now, const SlotGrant& grant) const {
-    auto suits = [&](const Job& job) {
+    auto can_use = [&](const Job& job) {
         return job.spec.kind != JobKind::gang && delegate_.has_schedulable_tasks(now, job) &&
-               grant_suits(job, grant);
+               fits_grant(job, grant);
     };
     Job* job = jobs_.find(grant.job);
-    if (job && suits(*job)) {
+    if (job && can_use(*job)) {
         return job;
     }
     job = nullptr;
     for (const auto& [id, other] : jobs_.all()) {
-        if (suits(*other) && (!job || std::tie(other->spec.priority, other->first_seen) <
-                                          std::tie(job->spec.priority, job->first_seen))) {
+        if (can_use(*other) && (!job || std::tie(other->spec.priority, other->first_seen) <
+                                            std::tie(job->spec.priority, job->first_seen))) {
             job = other.get();
         }
     }
@@ -671,10 +679,10 @@
     TaskId task{job.spec.id, index};
     jobs_.mark_placed(job, index, grant.zone);
     quotas_.add_usage(job.spec.team, job.spec.cpus, job.spec.gpus);
-    on_placed(task, {grant.launch.attempt, partition, grant.machine, grant.zone,
-                     shard_of_machine(settings_, grant.machine, grant.zone),
-                     term_of_fencing_token(grant.fencing_token), grant.endpoint, grant.agent_epoch,
-                     grant.fencing_token});
+    add_remote_task(task, {grant.launch.attempt, partition, grant.machine, grant.zone,
+                           shard_of_machine(settings_, grant.machine, grant.zone),
+                           term_of_fencing_token(grant.fencing_token), grant.endpoint,
+                           grant.agent_epoch, grant.fencing_token});
     WorkerCommands commands{grant.machine,
                             grant.endpoint,
                             grant.fencing_token,
@@ -685,9 +693,9 @@
         auto it = remote_tasks_.find(task);
         if ((response.status != 409 && !response.never_sent) || it == remote_tasks_.end() ||
             it->second.attempt != id.attempt || it->second.machine != machine) {
-            return; // executed, or in doubt until the lender reports it or has fenced it
+            return; // executed, or possibly running until the lender reports or fences it
         }
-        // Refused or never sent, so it will never be executed: the slots are returned.
+        // The command was rejected or never sent, so it will never be executed: return the slot.
         queue_command(peers_.at(partition), {RemoteTaskCommand::Type::return_slot, machine, id});
         on_task_gone(at, task, ExitReason::none);
     });
@@ -697,7 +705,7 @@
     auto used = remote_tasks_.find({grant.job, grant.launch.index});
     if ((grant.launch.attempt & kGangBit) != 0 && used != remote_tasks_.end() &&
         used->second.attempt == grant.launch.attempt && used->second.machine == grant.machine) {
-        return; // the very slot that the task was launched on
+        return; // the task was launched on this slot
     }
     queue_command(peers_.at(partition),
                   {RemoteTaskCommand::Type::return_slot, grant.machine, grant.launch});
@@ -729,13 +737,13 @@
              .commands.contains({launch_id(remote.attempt, task.index), remote.machine})) {
         return false;
     }
-    requests_.send(
-        WorkerCommands{remote.machine,
-                       remote.endpoint,
-                       remote.fencing_token,
-                       remote.agent_epoch,
-                       {{CommandType::stop, task, remote.attempt, grace_s}}},
-        [](Time, OutboundResponse&) {}); // only the lender can tell that the task is gone
+    requests_.send(WorkerCommands{remote.machine,
+                                  remote.endpoint,
+                                  remote.fencing_token,
+                                  remote.agent_epoch,
+                                  {{CommandType::stop, task, remote.attempt, grace_s}}},
+                   [](Time, OutboundResponse&) {
+                   }); // only the lender's inventory confirms that the task is gone
     return true;
 }
 
