--- a/tests/sharding_test.cpp
+++ b/tests/sharding_test.cpp
@@ -14,9 +14,9 @@
 namespace scheduler::test {
 namespace {
 
-ClusterSettings five_nodes() { return World({.nodes = 5}).facts(0); }
+ClusterSettings five_controller_settings() { return World({.nodes = 5}).facts(0); }
 
-TEST(Shares, AreAtMostATwentiethOfAllMachinesAndHomeIsTheFixedHash) {
+TEST(ShardAssignment, SpreadsMachinesEvenlyAndKeepsTheirHomePartition) {
     for (const auto& zones :
          {std::vector<std::string>(5, "a"), std::vector<std::string>{"a", "b", "a", "b", "c"},
           std::vector<std::string>{"a", "b", "c"}}) {
@@ -42,19 +42,19 @@
     }
 }
 
-TEST(Shares, OfALostPartAreSpreadEvenlyOverThoseWhoAreThere) {
-    ClusterSettings settings = five_nodes();
-    ShardHolders now;
+TEST(ShardAssignment, ReassignsShardsOfALostPartitionEvenly) {
+    ClusterSettings settings = five_controller_settings();
+    ShardHolders assignment;
     for (const auto& shard : all_shards(settings)) {
-        now[shard.home_partition].push_back(shard.home_partition);
+        assignment[shard.home_partition].push_back(shard.home_partition);
     }
-    ShardHolders next = reassign_shards(now, 1, {0, 2, 3, 4}, 10);
-    ASSERT_EQ(next.size(), 1u);
-    for (const auto& [home, holders] : next) {
-        now[home] = holders;
+    ShardHolders reassigned = reassign_shards(assignment, 1, {0, 2, 3, 4}, 10);
+    ASSERT_EQ(reassigned.size(), 1u);
+    for (const auto& [home, holders] : reassigned) {
+        assignment[home] = holders;
     }
     std::map<int, int> held;
-    for (const auto& [home, holders] : now) {
+    for (const auto& [home, holders] : assignment) {
         for (int holder : holders) {
             ++held[holder];
         }
@@ -62,48 +62,48 @@
     EXPECT_EQ(held.count(1), 0u);
     int most = std::max({held[0], held[2], held[3], held[4]});
     EXPECT_LE(most, 1.25 * static_cast<double>(all_shards(settings).size()) / 4);
-    EXPECT_TRUE(reassign_shards(now, 1, {0, 2}, 10).empty()); // it holds none any more
-    EXPECT_TRUE(reassign_shards(now, 0, {}, 10).empty());     // nobody is there
+    EXPECT_TRUE(reassign_shards(assignment, 1, {0, 2}, 10).empty()); // it holds none any more
+    EXPECT_TRUE(reassign_shards(assignment, 0, {}, 10).empty());     // nobody is there
 }
 
 // ---- When to move ----
 
-TEST(ShareBalance, GivesToTheLeastLoadedUntilTheDifferenceIsSmall) {
-    ClusterSettings settings = five_nodes();
-    ShardBalancer balance(settings);
-    auto choose = [&](Time now, double mine, double theirs, double capacity = 1) {
+TEST(ShardBalancer, MovesToTheLeastLoadedUntilLoadsAreSimilar) {
+    ClusterSettings settings = five_controller_settings();
+    ShardBalancer balancer(settings);
+    auto choose_move = [&](Time now, double own_slots, double peer_slots, double headroom = 1) {
         std::vector<ShardLoad> shards;
         for (int n = 0; n < 10; ++n) {
-            shards.push_back({{0, n}, mine / 10, true});
+            shards.push_back({{0, n}, own_slots / 10, true});
         }
-        return balance.choose_move(now, 0,
-                                   {{0, mine, capacity, false},
-                                    {1, theirs, 1, true},
-                                    {2, theirs * 2, 1, true},
-                                    {3, 0, 1, false}}, // not heard of lately
-                                   shards, 8);
+        return balancer.choose_move(now, 0,
+                                    {{0, own_slots, headroom, false},
+                                     {1, peer_slots, 1, true},
+                                     {2, peer_slots * 2, 1, true},
+                                     {3, 0, 1, false}}, // not heard of lately
+                                    shards, 8);
     };
-    EXPECT_FALSE(choose(100, 1000, 900)); // near enough
-    auto move = choose(100, 1000, 500);
+    EXPECT_FALSE(choose_move(100, 1000, 900)); // near enough
+    auto move = choose_move(100, 1000, 500);
     ASSERT_TRUE(move);
     EXPECT_EQ(move->to_partition, 1);
-    balance.on_migration_started(100);
-    EXPECT_FALSE(choose(100.1, 1000, 500));   // one at a time
-    EXPECT_TRUE(choose(104, 1000, 800));      // it goes on below where it began
-    EXPECT_FALSE(choose(108, 1000, 900));     // until they are alike
-    EXPECT_FALSE(choose(112, 1000, 800));     // and does not begin again for that
-    EXPECT_TRUE(choose(116, 1000, 950, 0.5)); // a slow processor has twice the load
-    EXPECT_FALSE(choose(120, 40, 10));        // too few machines to be worth it
-}
-
-TEST(ShareBalance, HasABoundOnMovesInAnHour) {
-    ClusterSettings settings = five_nodes();
-    ShardBalancer balance(settings);
+    balancer.on_migration_started(100);
+    EXPECT_FALSE(choose_move(100.1, 1000, 500));   // one at a time
+    EXPECT_TRUE(choose_move(104, 1000, 800));      // it goes on below where it began
+    EXPECT_FALSE(choose_move(108, 1000, 900));     // until they are alike
+    EXPECT_FALSE(choose_move(112, 1000, 800));     // and does not begin again for that
+    EXPECT_TRUE(choose_move(116, 1000, 950, 0.5)); // a slow processor has twice the load
+    EXPECT_FALSE(choose_move(120, 40, 10));        // too few machines to be worth it
+}
+
+TEST(ShardBalancer, LimitsTheMovesPerHour) {
+    ClusterSettings settings = five_controller_settings();
+    ShardBalancer balancer(settings);
     int moves = 0;
     for (Time now = 0; now < 3600; now += 1) {
         std::vector<ShardLoad> shards{{{0, 1}, 10, true}};
-        if (balance.choose_move(now, 0, {{0, 1000, 1, false}, {1, 10, 1, true}}, shards, 8)) {
-            balance.on_migration_started(now);
+        if (balancer.choose_move(now, 0, {{0, 1000, 1, false}, {1, 10, 1, true}}, shards, 8)) {
+            balancer.on_migration_started(now);
             ++moves;
         }
     }
@@ -111,59 +111,60 @@
     EXPECT_LE(moves, 5 * shards_per_home(settings, 0) + 1);
 }
 
-TEST(ShareBalance, CapacityFallsWhileTheTimerIsLateAndComesBackByDegrees) {
-    ClusterSettings settings = five_nodes();
+TEST(ShardBalancer, CpuHeadroomDropsWhileTicksAreLateAndRecoversGradually) {
+    ClusterSettings settings = five_controller_settings();
     double tick = Controller::tick_s(settings);
-    CpuHeadroom capacity(settings, tick);
+    CpuHeadroom headroom(settings, tick);
     Time now = 0;
     auto run = [&](double seconds, double gap) {
         for (Time end = now + seconds; now < end; now += gap) {
-            capacity.tick(now);
+            headroom.tick(now);
         }
     };
     run(60, tick * 1.1);
-    EXPECT_EQ(capacity.value(), 1);
+    EXPECT_EQ(headroom.value(), 1);
     run(2 * settings.heartbeat_interval_s + 1, 1); // four times as long as it should be
-    EXPECT_LT(capacity.value(), 1);
+    EXPECT_LT(headroom.value(), 1);
     run(120, 1);
-    EXPECT_NEAR(capacity.value(), 0.1, 0.01);
+    EXPECT_NEAR(headroom.value(), 0.1, 0.01);
     run(2 * settings.worker_lease_s + 2, tick);
-    EXPECT_GT(capacity.value(), 0.15);
-    EXPECT_LT(capacity.value(), 0.5);
+    EXPECT_GT(headroom.value(), 0.15);
+    EXPECT_LT(headroom.value(), 0.5);
     run(20 * settings.worker_lease_s, tick);
-    EXPECT_EQ(capacity.value(), 1);
+    EXPECT_EQ(headroom.value(), 1);
 }
 
-// ---- The table and the holdings ----
+// ---- The partition_map and the owned_shards ----
 
-struct Table {
-    ClusterSettings facts = five_nodes();
-    StoreRateLimiter budget{1000, 1000, 1};
-    OutboundRequests calls{budget, 1};
-    LeadershipLease authority{11};
-    PartitionMap table{facts};
+struct PartitionMapFixture {
+    ClusterSettings settings = five_controller_settings();
+    StoreRateLimiter rate_limiter{1000, 1000, 1};
+    OutboundRequests requests{rate_limiter, 1};
+    LeadershipLease lease{11};
+    PartitionMap partition_map{settings};
     std::uint64_t revision = 10;
 
-    OutboundResponse read(std::vector<KeyedRecord> more = {}) {
-        OutboundResponse r;
-        r.status = 200;
-        r.revision = revision;
+    OutboundResponse partition_response(std::vector<KeyedRecord> more = {}) {
+        OutboundResponse response;
+        response.status = 200;
+        response.revision = revision;
         for (int p = 0; p < 5; ++p) {
-            r.entries.push_back({partition_key(p), PartitionRecord{"n" + std::to_string(p), true},
-                                 static_cast<std::uint64_t>(2 + p)});
+            response.entries.push_back({partition_key(p),
+                                        PartitionRecord{"n" + std::to_string(p), true},
+                                        static_cast<std::uint64_t>(2 + p)});
         }
-        r.entries.insert(r.entries.end(), more.begin(), more.end());
-        return r;
+        response.entries.insert(response.entries.end(), more.begin(), more.end());
+        return response;
     }
-    KeyedRecord shares(int home, std::vector<int> holders, std::uint64_t version) {
+    KeyedRecord holders_record(int home, std::vector<int> holders, std::uint64_t version) {
         return {PartitionMap::shards_key(home), ShardHoldersRecord{std::move(holders)}, version};
     }
-    std::vector<int> at_home(int home) {
-        return std::vector<int>(static_cast<std::size_t>(shards_per_home(facts, home)), home);
+    std::vector<int> all_at_home(int home) {
+        return std::vector<int>(static_cast<std::size_t>(shards_per_home(settings, home)), home);
     }
-    std::size_t errors() {
+    std::size_t take_error_count() {
         Outputs out;
-        calls.drain_into(out);
+        requests.drain_into(out);
         return static_cast<std::size_t>(
             std::count_if(out.log.begin(), out.log.end(), [](const LogLine& line) {
                 return line.text.starts_with("event=record_unreadable");
@@ -171,270 +172,286 @@
     }
 };
 
-TEST(ShareMap, WithoutOneEverythingIsAtHome) {
-    Table t;
-    EXPECT_EQ(t.table.revision(), 0u);
-    EXPECT_FALSE(t.table.can_reassign(12));
-    ASSERT_TRUE(t.table.load(t.read(), t.calls));
-    for (const auto& shard : all_shards(t.facts)) {
-        EXPECT_EQ(t.table.holder(shard), shard.home_partition);
+TEST(ShardMap, WithoutRecordsEveryShardIsHeldByItsHomePartition) {
+    PartitionMapFixture fixture;
+    EXPECT_EQ(fixture.partition_map.revision(), 0u);
+    EXPECT_FALSE(fixture.partition_map.can_reassign(12));
+    ASSERT_TRUE(fixture.partition_map.load(fixture.partition_response(), fixture.requests));
+    for (const auto& shard : all_shards(fixture.settings)) {
+        EXPECT_EQ(fixture.partition_map.holder(shard), shard.home_partition);
     }
-    EXPECT_TRUE(t.table.can_reassign(12));
-    EXPECT_FALSE(t.table.can_reassign(1)); // its conditions would not fit into a transaction
+    EXPECT_TRUE(fixture.partition_map.can_reassign(12));
+    EXPECT_FALSE(
+        fixture.partition_map.can_reassign(1)); // its conditions would not fit into a transaction
 }
 
-TEST(ShareMap, ANodeOfTheVersionBeforeKeepsAllSharesWhereTheyAre) {
-    Table t;
-    OutboundResponse r = t.read();
-    std::get<PartitionRecord>(r.entries[3].record).supports_sharding = false;
-    ASSERT_TRUE(t.table.load(r, t.calls));
-    EXPECT_FALSE(t.table.can_reassign(12));
+TEST(ShardMap, ControllerWithoutShardingSupportPreventsReassignment) {
+    PartitionMapFixture fixture;
+    OutboundResponse response = fixture.partition_response();
+    std::get<PartitionRecord>(response.entries[3].record).supports_sharding = false;
+    ASSERT_TRUE(fixture.partition_map.load(response, fixture.requests));
+    EXPECT_FALSE(fixture.partition_map.can_reassign(12));
 }
 
-TEST(ShareMap, ADamagedOneIsNamedAndFencedAndWhatWasKnownHolds) {
-    Table t;
-    auto moved = t.at_home(2);
+TEST(ShardMap, UnreadableRecordIsLoggedOnceAndKeepsTheKnownHolders) {
+    PartitionMapFixture fixture;
+    auto moved = fixture.all_at_home(2);
     moved[0] = 4;
-    ASSERT_TRUE(t.table.load(t.read({t.shares(2, moved, 7)}), t.calls));
-    EXPECT_EQ(t.table.holder({2, 0}), 4);
-    EXPECT_EQ(t.errors(), 0u);
-    auto short_one = t.at_home(2);
-    short_one.pop_back();
-    auto unknown_part = t.at_home(2);
-    unknown_part[1] = 5;
+    ASSERT_TRUE(fixture.partition_map.load(
+        fixture.partition_response({fixture.holders_record(2, moved, 7)}), fixture.requests));
+    EXPECT_EQ(fixture.partition_map.holder({2, 0}), 4);
+    EXPECT_EQ(fixture.take_error_count(), 0u);
+    auto too_short = fixture.all_at_home(2);
+    too_short.pop_back();
+    auto unknown_holder = fixture.all_at_home(2);
+    unknown_holder[1] = 5;
     std::uint64_t version = 8;
     for (const KeyedRecord& bad :
          {KeyedRecord{PartitionMap::shards_key(2), UnreadableRecord{}, version++},
-          t.shares(2, short_one, version++), t.shares(2, unknown_part, version++)}) {
-        ++t.revision;
-        ASSERT_TRUE(t.table.load(t.read({bad}), t.calls)); // the parts themselves are readable
-        EXPECT_EQ(t.errors(), 1u);
-        ++t.revision;
-        ASSERT_TRUE(t.table.load(t.read({bad}), t.calls));
-        EXPECT_EQ(t.errors(), 0u); // said once
-        EXPECT_EQ(t.table.holder({2, 0}), 4);
-        EXPECT_FALSE(t.table.is_readable(2));
-        EXPECT_TRUE(t.table.is_readable(1));
-    }
-    // A claim that has not held them gets none by what was read before: that may be older than the
-    // last change.
-    t.authority.on_granted(1, 0);
-    t.authority.on_elected(4, t.revision);
-    Leadership leadership(0, 4, t.authority);
-    OwnedShards owned_shards(leadership, t.table);
+          fixture.holders_record(2, too_short, version++),
+          fixture.holders_record(2, unknown_holder, version++)}) {
+        ++fixture.revision;
+        ASSERT_TRUE(
+            fixture.partition_map.load(fixture.partition_response({bad}),
+                                       fixture.requests)); // the parts themselves are readable
+        EXPECT_EQ(fixture.take_error_count(), 1u);
+        ++fixture.revision;
+        ASSERT_TRUE(
+            fixture.partition_map.load(fixture.partition_response({bad}), fixture.requests));
+        EXPECT_EQ(fixture.take_error_count(), 0u); // said once
+        EXPECT_EQ(fixture.partition_map.holder({2, 0}), 4);
+        EXPECT_FALSE(fixture.partition_map.is_readable(2));
+        EXPECT_TRUE(fixture.partition_map.is_readable(1));
+    }
+    // A leadership that has not held them gets none by what was read before: that may be older than
+    // the last change.
+    fixture.lease.on_granted(1, 0);
+    fixture.lease.on_elected(4, fixture.revision);
+    Leadership leadership(0, 4, fixture.lease);
+    OwnedShards owned_shards(leadership, fixture.partition_map);
     for (const auto& shard : owned_shards.update(0).gained) {
         EXPECT_NE(shard.home_partition, 2);
     }
     EXPECT_FALSE(owned_shards.may_serve({2, 0}));
     // A node that has never seen a readable one knows nobody who holds them.
-    Table fresh;
-    ASSERT_TRUE(fresh.table.load(fresh.read({t.shares(2, short_one, 9)}), fresh.calls));
-    EXPECT_EQ(fresh.table.holder({2, 0}), -1);
-    EXPECT_EQ(fresh.table.holder({1, 0}), 1);
+    PartitionMapFixture fresh;
+    ASSERT_TRUE(fresh.partition_map.load(
+        fresh.partition_response({fixture.holders_record(2, too_short, 9)}), fresh.requests));
+    EXPECT_EQ(fresh.partition_map.holder({2, 0}), -1);
+    EXPECT_EQ(fresh.partition_map.holder({1, 0}), 1);
 }
 
-TEST(ShareMap, AnUnreadablePartIsBelievedInNothing) {
-    Table t;
-    OutboundResponse r = t.read();
-    r.entries[0].record = UnreadableRecord{};
-    EXPECT_FALSE(t.table.load(r, t.calls));
-    EXPECT_EQ(t.table.revision(), 0u);
+TEST(ShardMap, UnreadablePartitionRecordRejectsTheWholeRead) {
+    PartitionMapFixture fixture;
+    OutboundResponse response = fixture.partition_response();
+    response.entries[0].record = UnreadableRecord{};
+    EXPECT_FALSE(fixture.partition_map.load(response, fixture.requests));
+    EXPECT_EQ(fixture.partition_map.revision(), 0u);
 }
 
-struct Holding : Table {
-    std::unique_ptr<Leadership> claim;
-    std::unique_ptr<OwnedShards> holdings;
+struct OwnedShardsFixture : PartitionMapFixture {
+    std::unique_ptr<Leadership> leadership;
+    std::unique_ptr<OwnedShards> owned_shards;
 
-    explicit Holding(std::uint64_t term) {
-        authority.on_granted(1, 0);
-        authority.on_elected(2, term);
-        claim = std::make_unique<Leadership>(0, 2, authority);
-        holdings = std::make_unique<OwnedShards>(*claim, table);
+    explicit OwnedShardsFixture(std::uint64_t term) {
+        lease.on_granted(1, 0);
+        lease.on_elected(2, term);
+        leadership = std::make_unique<Leadership>(0, 2, lease);
+        owned_shards = std::make_unique<OwnedShards>(*leadership, partition_map);
     }
-    OwnedShards::Changes read_map(std::uint64_t at, std::vector<int> holders,
+    OwnedShards::Changes load_map(std::uint64_t at, std::vector<int> holders,
                                   std::uint64_t version) {
         revision = at;
-        EXPECT_TRUE(table.load(read({shares(2, std::move(holders), version)}), calls));
-        return holdings->update(0);
+        EXPECT_TRUE(partition_map.load(
+            partition_response({holders_record(2, std::move(holders), version)}), requests));
+        return owned_shards->update(0);
     }
 };
 
-TEST(ShareHoldings, CountOnlyFromAMapReadAfterTheClaimAndRiseWithEachHolding) {
-    Holding h(20);
-    EXPECT_TRUE(h.read_map(19, h.at_home(2), 7).gained.empty()); // older than the claim
-    EXPECT_FALSE(h.holdings->has_map());
-    EXPECT_EQ(h.read_map(25, h.at_home(2), 7).gained.size(), h.at_home(2).size());
-    EXPECT_EQ(h.holdings->term({2, 0}), 25u);
-    auto given = h.at_home(2);
-    given[0] = 3;
-    auto news = h.read_map(30, given, 29);
-    ASSERT_EQ(news.lost.size(), 1u);
-    EXPECT_EQ(news.lost[0], (OwnedShards::LostShard{ShardId{2, 0}, 3}));
-    EXPECT_FALSE(h.holdings->may_serve({2, 0}));
-    EXPECT_TRUE(h.read_map(28, h.at_home(2), 7).gained.empty()); // a read that was overtaken
-    EXPECT_EQ(h.read_map(35, h.at_home(2), 33).gained.size(), 1u);
-    EXPECT_EQ(h.holdings->term({2, 0}), 35u);
-    EXPECT_EQ(h.holdings->term({2, 1}), 25u); // it has been ours all along
-}
-
-TEST(ShareHoldings, TheGiversWordCountsAsAReadOfThatRevisionAndNoLonger) {
-    Holding h(20);
-    auto others = h.at_home(2);
+TEST(ShardOwnership, StartsWithAMapReadAfterTheElectionAndRaisesTheTermOnEachGain) {
+    OwnedShardsFixture fixture(20);
+    EXPECT_TRUE(fixture.load_map(19, fixture.all_at_home(2), 7)
+                    .gained.empty()); // older than the leadership
+    EXPECT_FALSE(fixture.owned_shards->has_map());
+    EXPECT_EQ(fixture.load_map(25, fixture.all_at_home(2), 7).gained.size(),
+              fixture.all_at_home(2).size());
+    EXPECT_EQ(fixture.owned_shards->term({2, 0}), 25u);
+    auto reassigned = fixture.all_at_home(2);
+    reassigned[0] = 3;
+    auto changes = fixture.load_map(30, reassigned, 29);
+    ASSERT_EQ(changes.lost.size(), 1u);
+    EXPECT_EQ(changes.lost[0], (OwnedShards::LostShard{ShardId{2, 0}, 3}));
+    EXPECT_FALSE(fixture.owned_shards->may_serve({2, 0}));
+    EXPECT_TRUE(fixture.load_map(28, fixture.all_at_home(2), 7)
+                    .gained.empty()); // a read that was overtaken
+    EXPECT_EQ(fixture.load_map(35, fixture.all_at_home(2), 33).gained.size(), 1u);
+    EXPECT_EQ(fixture.owned_shards->term({2, 0}), 35u);
+    EXPECT_EQ(fixture.owned_shards->term({2, 1}), 25u); // it has been ours all along
+}
+
+TEST(ShardOwnership, TransferCountsAsAMapReadAtItsRevision) {
+    OwnedShardsFixture fixture(20);
+    auto others = fixture.all_at_home(2);
     others[0] = 3;
-    EXPECT_FALSE(h.holdings->accept_transfer(0, {{2, 0}, 26, 20})); // no map has been seen yet
-    h.read_map(25, others, 7);
     EXPECT_FALSE(
-        h.holdings->accept_transfer(0, {{2, 0}, 26, 19})); // given to a claim before this one
-    EXPECT_FALSE(h.holdings->accept_transfer(0, {{2, 0}, 24, 20})); // read better since
-    ASSERT_TRUE(h.holdings->accept_transfer(0, {{2, 0}, 30, 20}));
-    EXPECT_EQ(h.holdings->term({2, 0}), 30u);
-    EXPECT_TRUE(h.read_map(28, others, 7).lost.empty()); // read before it was given
-    EXPECT_TRUE(h.read_map(31, h.at_home(2), 30).gained.empty());
-    EXPECT_EQ(h.holdings->term({2, 0}), 30u);
-    h.holdings->on_migrated_out({2, 0}, 40);
-    EXPECT_FALSE(h.holdings->accept_transfer(0, {{2, 0}, 30, 20})); // the same word, late
-    EXPECT_EQ(h.holdings->find({2, 0}), nullptr);
+        fixture.owned_shards->accept_transfer(0, {{2, 0}, 26, 20})); // no map has been seen yet
+    fixture.load_map(25, others, 7);
+    EXPECT_FALSE(fixture.owned_shards->accept_transfer(
+        0, {{2, 0}, 26, 19})); // given to a leadership before this one
+    EXPECT_FALSE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 24, 20})); // read better since
+    ASSERT_TRUE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 30, 20}));
+    EXPECT_EQ(fixture.owned_shards->term({2, 0}), 30u);
+    EXPECT_TRUE(fixture.load_map(28, others, 7).lost.empty()); // read before it was given
+    EXPECT_TRUE(fixture.load_map(31, fixture.all_at_home(2), 30).gained.empty());
+    EXPECT_EQ(fixture.owned_shards->term({2, 0}), 30u);
+    fixture.owned_shards->on_migrated_out({2, 0}, 40);
+    EXPECT_FALSE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 30, 20})); // the same word, late
+    EXPECT_EQ(fixture.owned_shards->find({2, 0}), nullptr);
 }
 
 // ---- A move, step by step ----
 
-struct Moving : Holding, ShardMigration::Delegate {
-    std::unique_ptr<ShardMigration> mover;
-    bool quiet = true;
-    std::vector<int> handed_on;
-    std::vector<std::pair<int, std::uint64_t>> told;
-    int listed_again = 0;
+struct ShardMigrationFixture : OwnedShardsFixture, ShardMigration::Delegate {
+    std::unique_ptr<ShardMigration> migration;
+    bool quiescent = true;
+    std::vector<int> migrated_to;
+    std::vector<std::pair<int, std::uint64_t>> announced_transfers;
+    int republished_inventories = 0;
 
-    Moving() : Holding(4) { // the version of part/2 in `read`
-        read_map(25, at_home(2), 7);
-        mover = std::make_unique<ShardMigration>(*claim, facts, table, *holdings, calls, *this);
+    ShardMigrationFixture() : OwnedShardsFixture(4) { // the version of part/2 in `read`
+        load_map(25, all_at_home(2), 7);
+        migration = std::make_unique<ShardMigration>(*leadership, settings, partition_map,
+                                                     *owned_shards, requests, *this);
     }
-    bool is_quiescent(const ShardId&) const override { return quiet; }
+    bool is_quiescent(const ShardId&) const override { return quiescent; }
     void update_slot_lists(const ShardId&) override {}
-    void republish_inventory(const ShardId&) override { ++listed_again; }
-    void on_migrated(Time, const ShardId&, int to) override { handed_on.push_back(to); }
+    void republish_inventory(const ShardId&) override { ++republished_inventories; }
+    void on_migrated(Time, const ShardId&, int to) override { migrated_to.push_back(to); }
     void announce_transfer(int to, const ShardTransfer& transfer) override {
-        told.emplace_back(to, transfer.term);
+        announced_transfers.emplace_back(to, transfer.term);
     }
-    std::vector<OutboundRequest> sent() {
+    std::vector<OutboundRequest> take_requests() {
         Outputs out;
-        calls.drain_into(out);
+        requests.drain_into(out);
         return out.requests;
     }
-    void reply(Time now, const OutboundRequest& call, int status, std::uint64_t at = 0) {
-        OutboundResponse r;
-        r.request_id = call.id;
-        r.status = status;
-        r.revision = at;
-        calls.handle_response(now, r);
+    void respond(Time now, const OutboundRequest& request, int status, std::uint64_t at = 0) {
+        OutboundResponse response;
+        response.request_id = request.id;
+        response.status = status;
+        response.revision = at;
+        requests.handle_response(now, response);
     }
-    OwnedShards::State state() const { return holdings->find({2, 0})->state; }
+    OwnedShards::State state() const { return owned_shards->find({2, 0})->state; }
 };
 
-TEST(ShareMover, GivesNoSlotFromTheStartAndNoAnswerFromTheTransactionOn) {
-    Moving m;
-    m.quiet = false;
-    ASSERT_TRUE(m.mover->start(100, {2, 0}, 3));
-    EXPECT_FALSE(m.mover->start(100, {2, 1}, 3)); // one at a time
-    EXPECT_FALSE(m.holdings->may_lend({2, 0}));
-    EXPECT_TRUE(m.holdings->may_serve({2, 0}));
-    m.mover->tick(100.1);
-    EXPECT_TRUE(m.sent().empty()); // starts are on their way
-    m.quiet = true;
-    m.mover->tick(100.2);
-    auto calls = m.sent();
-    ASSERT_EQ(calls.size(), 1u);
-    const StoreTransaction& transaction = std::get<StoreTransaction>(calls[0].body);
+TEST(ShardMigration, LendsNoSlotAfterTheStartAndServesNothingAfterTheTransaction) {
+    ShardMigrationFixture fixture;
+    fixture.quiescent = false;
+    ASSERT_TRUE(fixture.migration->start(100, {2, 0}, 3));
+    EXPECT_FALSE(fixture.migration->start(100, {2, 1}, 3)); // one at a time
+    EXPECT_FALSE(fixture.owned_shards->may_lend({2, 0}));
+    EXPECT_TRUE(fixture.owned_shards->may_serve({2, 0}));
+    fixture.migration->tick(100.1);
+    EXPECT_TRUE(fixture.take_requests().empty()); // starts are on their way
+    fixture.quiescent = true;
+    fixture.migration->tick(100.2);
+    auto requests = fixture.take_requests();
+    ASSERT_EQ(requests.size(), 1u);
+    const StoreTransaction& transaction = std::get<StoreTransaction>(requests[0].body);
     EXPECT_EQ(transaction.conditions.size(), 6u); // every part, and the key of the map
     ASSERT_EQ(transaction.writes.size(), 1u);
     EXPECT_EQ(transaction.writes[0].key, "part/2/shares");
-    EXPECT_FALSE(m.holdings->may_serve({2, 0}));
-    m.reply(100.3, calls[0], 200, 31);
-    EXPECT_EQ(m.handed_on, (std::vector<int>{3}));
-    EXPECT_EQ(m.told, (std::vector<std::pair<int, std::uint64_t>>{{3, 5}})); // and its claim's term
-    EXPECT_EQ(m.holdings->find({2, 0}), nullptr);
-    EXPECT_TRUE(m.read_map(30, m.at_home(2), 7).gained.empty()); // read before it took effect
-}
-
-TEST(ShareMover, WhatDoesNotSettleGoesAllTheSameAfterTwoReports) {
-    Moving m;
-    m.quiet = false;
-    ASSERT_TRUE(m.mover->start(100, {2, 0}, 3));
-    m.mover->tick(100 + 2 * m.facts.heartbeat_interval_s);
-    EXPECT_TRUE(m.sent().empty());
-    m.mover->tick(100.1 + 2 * m.facts.heartbeat_interval_s);
-    EXPECT_EQ(m.sent().size(), 1u);
-}
-
-TEST(ShareMover, KeepsTheShareWhenTheTransactionWasNotExecuted) {
+    EXPECT_FALSE(fixture.owned_shards->may_serve({2, 0}));
+    fixture.respond(100.3, requests[0], 200, 31);
+    EXPECT_EQ(fixture.migrated_to, (std::vector<int>{3}));
+    EXPECT_EQ(fixture.announced_transfers,
+              (std::vector<std::pair<int, std::uint64_t>>{{3, 5}})); // and its leadership's term
+    EXPECT_EQ(fixture.owned_shards->find({2, 0}), nullptr);
+    EXPECT_TRUE(fixture.load_map(30, fixture.all_at_home(2), 7)
+                    .gained.empty()); // read before it took effect
+}
+
+TEST(ShardMigration, ProceedsWithoutQuiescenceAfterTwoHeartbeatIntervals) {
+    ShardMigrationFixture fixture;
+    fixture.quiescent = false;
+    ASSERT_TRUE(fixture.migration->start(100, {2, 0}, 3));
+    fixture.migration->tick(100 + 2 * fixture.settings.heartbeat_interval_s);
+    EXPECT_TRUE(fixture.take_requests().empty());
+    fixture.migration->tick(100.1 + 2 * fixture.settings.heartbeat_interval_s);
+    EXPECT_EQ(fixture.take_requests().size(), 1u);
+}
+
+TEST(ShardMigration, KeepsTheShardWhenTheTransactionIsNotExecuted) {
     for (int status : {409, 429, 503}) {
-        Moving m;
-        ASSERT_TRUE(m.mover->start(100, {2, 0}, 3));
-        m.mover->tick(100);
-        m.reply(100.1, m.sent().at(0), status, 30);
-        EXPECT_FALSE(m.mover->in_progress());
-        EXPECT_TRUE(m.holdings->may_lend({2, 0}));
-        EXPECT_EQ(m.listed_again, 1); // listings have left it out
+        ShardMigrationFixture fixture;
+        ASSERT_TRUE(fixture.migration->start(100, {2, 0}, 3));
+        fixture.migration->tick(100);
+        fixture.respond(100.1, fixture.take_requests().at(0), status, 30);
+        EXPECT_FALSE(fixture.migration->in_progress());
+        EXPECT_TRUE(fixture.owned_shards->may_lend({2, 0}));
+        EXPECT_EQ(fixture.republished_inventories, 1); // listings have left it out
     }
 }
 
-TEST(ShareMover, WithoutAnAnswerSendsTheSameAgainAndLetsTheMapDecide) {
+TEST(ShardMigration, RetriesAnUnansweredTransactionAndLetsTheMapDecide) {
     for (bool took_effect : {false, true}) {
-        Moving m;
-        ASSERT_TRUE(m.mover->start(100, {2, 0}, 3));
-        m.mover->tick(100);
-        auto first = m.sent().at(0);
-        m.reply(101, first, 0);
-        m.mover->tick(101.1);
-        EXPECT_TRUE(m.sent().empty()); // not at once
-        m.mover->tick(102);
-        auto second = m.sent().at(0);
+        ShardMigrationFixture fixture;
+        ASSERT_TRUE(fixture.migration->start(100, {2, 0}, 3));
+        fixture.migration->tick(100);
+        auto first = fixture.take_requests().at(0);
+        fixture.respond(101, first, 0);
+        fixture.migration->tick(101.1);
+        EXPECT_TRUE(fixture.take_requests().empty()); // not at once
+        fixture.migration->tick(102);
+        auto second = fixture.take_requests().at(0);
         EXPECT_EQ(std::get<StoreTransaction>(second.body).conditions.back().version,
                   std::get<StoreTransaction>(first.body).conditions.back().version);
-        m.reply(102.1, second, 503); // not executed, but the first may be yet
-        EXPECT_EQ(m.state(), OwnedShards::State::transfer_pending);
-        m.mover->tick(103);
-        m.reply(103.1, m.sent().at(0), 409, 40);
-        EXPECT_EQ(m.state(),
+        fixture.respond(102.1, second, 503); // not executed, but the first may be yet
+        EXPECT_EQ(fixture.state(), OwnedShards::State::transfer_pending);
+        fixture.migration->tick(103);
+        fixture.respond(103.1, fixture.take_requests().at(0), 409, 40);
+        EXPECT_EQ(fixture.state(),
                   OwnedShards::State::transfer_pending); // the map as it was read says nothing
-        m.mover->tick(104);
-        EXPECT_TRUE(m.sent().empty());
-        auto holders = m.at_home(2);
+        fixture.migration->tick(104);
+        EXPECT_TRUE(fixture.take_requests().empty());
+        auto holders = fixture.all_at_home(2);
         holders[took_effect ? 0 : 1] = 3; // else another change refused it
-        auto news = m.read_map(41, holders, 33);
-        for (const auto& [shard, to] : news.lost) {
-            m.mover->on_shard_lost(shard);
+        auto changes = fixture.load_map(41, holders, 33);
+        for (const auto& [shard, to] : changes.lost) {
+            fixture.migration->on_shard_lost(shard);
         }
-        m.mover->tick(105);
-        EXPECT_FALSE(m.mover->in_progress());
-        EXPECT_EQ(m.holdings->find({2, 0}) == nullptr, took_effect);
-        EXPECT_EQ(m.listed_again, took_effect ? 0 : 1);
+        fixture.migration->tick(105);
+        EXPECT_FALSE(fixture.migration->in_progress());
+        EXPECT_EQ(fixture.owned_shards->find({2, 0}) == nullptr, took_effect);
+        EXPECT_EQ(fixture.republished_inventories, took_effect ? 0 : 1);
     }
 }
 
-TEST(ShareMover, MovesNothingToNobodyNorAFencedMap) {
-    Moving m;
-    EXPECT_FALSE(m.mover->start(100, {1, 0}, 3)); // not ours
-    EXPECT_FALSE(m.mover->start(100, {2, 0}, 2)); // to ourselves
-    OutboundResponse r = m.read();
-    std::erase_if(r.entries, [](const auto& i) { return i.key == "part/3"; });
-    r.revision = 50;
-    ASSERT_TRUE(m.table.load(r, m.calls));
-    EXPECT_FALSE(m.mover->start(100, {2, 0}, 3)); // its owner is gone
-    r = m.read({{PartitionMap::shards_key(2), UnreadableRecord{}, 51}});
-    r.revision = 51;
-    ASSERT_TRUE(m.table.load(r, m.calls));
-    EXPECT_FALSE(m.mover->start(100, {2, 0}, 3));
+TEST(ShardMigration, RefusesShardsOfOthersMissingTargetsAndUnreadableRecords) {
+    ShardMigrationFixture fixture;
+    EXPECT_FALSE(fixture.migration->start(100, {1, 0}, 3)); // not ours
+    EXPECT_FALSE(fixture.migration->start(100, {2, 0}, 2)); // to ourselves
+    OutboundResponse response = fixture.partition_response();
+    std::erase_if(response.entries, [](const auto& i) { return i.key == "part/3"; });
+    response.revision = 50;
+    ASSERT_TRUE(fixture.partition_map.load(response, fixture.requests));
+    EXPECT_FALSE(fixture.migration->start(100, {2, 0}, 3)); // its owner is gone
+    response = fixture.partition_response({{PartitionMap::shards_key(2), UnreadableRecord{}, 51}});
+    response.revision = 51;
+    ASSERT_TRUE(fixture.partition_map.load(response, fixture.requests));
+    EXPECT_FALSE(fixture.migration->start(100, {2, 0}, 3));
 }
 
 // ---- Several machines and failures ----
 
-WorldOptions five(std::uint64_t seed = 1) {
+WorldOptions five_controllers(std::uint64_t seed = 1) {
     return {.seed = seed, .nodes = 5, .run_s = 30, .limits = 10, .capacity = 70};
 }
 
-// A world of five controllers and at least `machines` that run the tasks of a large job.
-void fill(World& world, std::size_t machines, const std::string& team = "red") {
+// A world of five controllers and at least `machines` that run the tasks of a large
+// job.
+void run_large_job(World& world, std::size_t machines, const std::string& team = "red") {
     world.run_for(3);
     JobSpec spec = world.job("req-1", static_cast<std::uint32_t>(machines * 4), 2);
     spec.team = team;
@@ -444,7 +461,7 @@
 }
 
 // A share that the part holds and that has machines.
-ShardId busy_share(const World& world, int partition) {
+ShardId busiest_shard(const World& world, int partition) {
     std::map<ShardId, int> count;
     for (const auto& machine : world.machines_up()) {
         ++count[shard_of_machine(world.facts(0), machine, world.zone_of(machine))];
@@ -467,7 +484,7 @@
 }
 
 // The part that holds the share; -1: none that is owned now.
-int holder(const World& world, const ShardId& shard) {
+int current_holder(const World& world, const ShardId& shard) {
     for (int partition = 0; partition < 5; ++partition) {
         for (const auto& held : world.shares(partition)) {
             if (held == shard) {
@@ -478,14 +495,14 @@
     return -1;
 }
 
-TEST(ShareMoves, AHundredOfOneShareToAndFroStopNoTask) {
-    WorldOptions options = five();
+TEST(ShardMigrationInCluster, HundredMovesOfOneShardStopNoTask) {
+    WorldOptions options = five_controllers();
     options.run_s = 420;
     World world(options);
-    fill(world, 24);
+    run_large_job(world, 24);
     world.run_for(20); // the parts have settled
     int from = 0;
-    ShardId shard = busy_share(world, from);
+    ShardId shard = busiest_shard(world, from);
     ASSERT_GE(shard.home_partition, 0);
     std::map<TaskId, std::uint64_t> before;
     for (std::uint32_t i = 0; i < 96; ++i) {
@@ -495,10 +512,10 @@
     for (; moves < 100; ++moves) {
         int to = (from + 1 + moves % 4) % 5;
         ASSERT_TRUE(world.give(from, shard, to)) << moves;
-        for (int k = 0; k < 100 && holder(world, shard) != to; ++k) {
+        for (int k = 0; k < 100 && current_holder(world, shard) != to; ++k) {
             world.run_for(0.1);
         }
-        ASSERT_EQ(holder(world, shard), to) << moves;
+        ASSERT_EQ(current_holder(world, shard), to) << moves;
         from = to;
         world.run_for(0.5);
         ASSERT_TRUE(world.broken.empty()) << world.broken.front();
@@ -512,14 +529,14 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-TEST(ShareMoves, TheTakerGivesSlotsOfTheShareAndTheGiverNoMore) {
-    World world(five());
-    fill(world, 24);
+TEST(ShardMigrationInCluster, TargetLendsSlotsOfTheShardAfterTheMove) {
+    World world(five_controllers());
+    run_large_job(world, 24);
     world.run_for(20);
-    ShardId shard = busy_share(world, 0);
+    ShardId shard = busiest_shard(world, 0);
     ASSERT_TRUE(world.give(0, shard, 3));
     world.run_for(8);
-    ASSERT_EQ(holder(world, shard), 3);
+    ASSERT_EQ(current_holder(world, shard), 3);
     std::size_t on = 0;
     JobSpec spec = world.job("req-2", 60, 2);
     spec.team = "blue";
@@ -539,34 +556,34 @@
     EXPECT_EQ(world.logged("event=shard_migrated"), 1u);
 }
 
-// The giver, the taker or both end right after the giver's n-th call since the move began, each n
-// on its own.
-struct Crash {
-    bool giver = false;
-    bool taker = false;
+// The source, the target or both end right after the source's n-th request since the move began,
+// each n on its own.
+struct CrashCase {
+    bool source = false;
+    bool target = false;
 };
-class ShareCrash : public testing::TestWithParam<Crash> {};
+class ShardMigrationCrash : public testing::TestWithParam<CrashCase> {};
 
-TEST_P(ShareCrash, AfterEachSingleOutputLosesNothing) {
+TEST_P(ShardMigrationCrash, CrashAfterAnyRequestLosesNoTask) {
     int outputs = 1;
     for (int n = 0; n < outputs; ++n) {
-        World world(five(7));
-        fill(world, 20);
+        World world(five_controllers(7));
+        run_large_job(world, 20);
         world.run_for(20);
         const int from = 0;
         const int to = 3;
-        ShardId shard = busy_share(world, from);
+        ShardId shard = busiest_shard(world, from);
         ASSERT_GE(shard.home_partition, 0);
-        int calls = 0;
+        int requests = 0;
         bool moving = true;
         world.intercept = [&](int node, const OutboundBody&) {
-            moving = moving && holder(world, shard) != to;
-            if (node == from && (moving || calls <= n) && calls++ == n) {
+            moving = moving && current_holder(world, shard) != to;
+            if (node == from && (moving || requests <= n) && requests++ == n) {
                 world.at(world.now(), [&world, from, to] {
-                    if (GetParam().giver) {
+                    if (GetParam().source) {
                         world.crash(from, 15);
                     }
-                    if (GetParam().taker) {
+                    if (GetParam().target) {
                         world.crash(to, 15);
                     }
                 });
@@ -577,16 +594,16 @@
         world.run_for(8);
         world.intercept = nullptr;
         if (n == 0) {
-            World calm(five(7)); // how many outputs a move has
-            fill(calm, 20);
-            calm.run_for(20);
+            World baseline(five_controllers(7)); // how many outputs a move has
+            run_large_job(baseline, 20);
+            baseline.run_for(20);
             outputs = 0;
-            calm.intercept = [&](int node, const OutboundBody&) {
-                outputs += node == from && holder(calm, shard) != to;
+            baseline.intercept = [&](int node, const OutboundBody&) {
+                outputs += node == from && current_holder(baseline, shard) != to;
                 return false;
             };
-            ASSERT_TRUE(calm.give(from, shard, to));
-            calm.run_for(8);
+            ASSERT_TRUE(baseline.give(from, shard, to));
+            baseline.run_for(8);
             ASSERT_GT(outputs, 3);
         }
         world.run_for(240);
@@ -594,16 +611,16 @@
         ASSERT_TRUE(world.all_done("req-1")) << "after output " << n;
     }
 }
-INSTANTIATE_TEST_SUITE_P(OfGiverTakerBoth, ShareCrash,
-                         testing::Values(Crash{true, false}, Crash{false, true},
-                                         Crash{true, true}));
+INSTANTIATE_TEST_SUITE_P(SourceTargetBoth, ShardMigrationCrash,
+                         testing::Values(CrashCase{true, false}, CrashCase{false, true},
+                                         CrashCase{true, true}));
 
-TEST(ShareMoves, AFrozenGiverOrTakerIsOutlived) {
+TEST(ShardMigrationInCluster, JobFinishesWhenTheSourceOrTargetFreezes) {
     for (int frozen : {0, 3}) {
-        World world(five(3));
-        fill(world, 20);
+        World world(five_controllers(3));
+        run_large_job(world, 20);
         world.run_for(20);
-        ShardId shard = busy_share(world, 0);
+        ShardId shard = busiest_shard(world, 0);
         ASSERT_TRUE(world.give(0, shard, 3));
         world.run_for(0.3);
         world.freeze(frozen, 40);
@@ -613,14 +630,14 @@
     }
 }
 
-TEST(ShareMoves, AStateOutageInItsMidstStopsNoTask) {
-    WorldOptions options = five(4);
+TEST(ShardMigrationInCluster, StoreOutageDuringAMoveStopsNoTask) {
+    WorldOptions options = five_controllers(4);
     options.run_s = 120;
     for (double after : {0.0, 0.02, 0.1, 0.3}) {
         World world(options);
-        fill(world, 20);
+        run_large_job(world, 20);
         world.run_for(20);
-        ShardId shard = busy_share(world, 0);
+        ShardId shard = busiest_shard(world, 0);
         ASSERT_TRUE(world.give(0, shard, 3));
         world.run_for(after);
         world.state_down(true);
@@ -635,29 +652,29 @@
     }
 }
 
-TEST(ShareMoves, GiverAndTakerCutFromEachOther) {
-    World world(five(5));
-    fill(world, 20);
+TEST(ShardMigrationInCluster, CompletesWhileSourceAndTargetAreDisconnected) {
+    World world(five_controllers(5));
+    run_large_job(world, 20);
     world.run_for(20);
     world.cut_peers(0, 3, true);
-    ShardId shard = busy_share(world, 0);
+    ShardId shard = busiest_shard(world, 0);
     ASSERT_TRUE(world.give(0, shard, 3));
     world.run_for(30);
-    EXPECT_EQ(holder(world, shard), 3);
+    EXPECT_EQ(current_holder(world, shard), 3);
     world.cut_peers(0, 3, false);
     world.run_for(240);
     EXPECT_TRUE(world.all_done("req-1"));
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-TEST(ShareMoves, ACancelledJobsTasksAreStoppedOverAMove) {
+TEST(ShardMigrationInCluster, TasksOfAJobCancelledDuringAMoveAreStopped) {
     for (double after : {0.0, 0.05, 0.5, 1.0}) {
-        WorldOptions options = five(6);
+        WorldOptions options = five_controllers(6);
         options.run_s = 300;
         World world(options);
-        fill(world, 20);
+        run_large_job(world, 20);
         world.run_for(20);
-        ShardId shard = busy_share(world, 0);
+        ShardId shard = busiest_shard(world, 0);
         ASSERT_TRUE(world.give(0, shard, 3));
         world.run_for(after);
         RequestId request_id = world.cancel(2, "req-1");
@@ -669,17 +686,17 @@
 }
 
 // A share moves while a gang is gathered, runs, or is stopped in good order.
-TEST(ShareMoves, InTheMidstOfAGang) {
+TEST(ShardMigrationInCluster, GangFinishesWhenShardsMoveDuringItsLifetime) {
     for (double at : {10.2, 12.0, 14.0, 20.0, 26.0}) {
-        World world(five(8));
-        fill(world, 12);
-        JobSpec g = world.job("req-2", 10, 4);
-        g.kind = JobKind::gang;
-        g.team = "blue";
-        g.checkpoint_interval_s = 5;
-        g.save_duration_s = 1;
-        g.spot = false;
-        world.at(world.now() + 5, [&] { world.submit(1, g); });
+        World world(five_controllers(8));
+        run_large_job(world, 12);
+        JobSpec gang = world.job("req-2", 10, 4);
+        gang.kind = JobKind::gang;
+        gang.team = "blue";
+        gang.checkpoint_interval_s = 5;
+        gang.save_duration_s = 1;
+        gang.spot = false;
+        world.at(world.now() + 5, [&] { world.submit(1, gang); });
         world.at(world.now() + 24, [&] {
             for (std::uint32_t i = 0; i < 10; ++i) {
                 for (const auto& machine : world.machines_of({"req-2", i})) {
@@ -691,7 +708,7 @@
         for (int k = 0; k < 4; ++k) {
             world.at(world.now() + at + 0.3 * k, [&world, k] {
                 for (int from = 0; from < 5; ++from) {
-                    ShardId shard = busy_share(world, from);
+                    ShardId shard = busiest_shard(world, from);
                     if (shard.home_partition >= 0) {
                         world.give(from, shard, (from + 1 + k) % 5);
                     }
@@ -706,45 +723,45 @@
     }
 }
 
-TEST(ShareMap, ADamagedOneLosesNothingWhileItsHoldersLive) {
-    World world(five(9));
-    fill(world, 20);
+TEST(ShardMap, UnreadableRecordLosesNoTaskWhileItsHoldersLive) {
+    World world(five_controllers(9));
+    run_large_job(world, 20);
     world.run_for(20);
-    ShardId shard = busy_share(world, 0);
+    ShardId shard = busiest_shard(world, 0);
     ASSERT_TRUE(world.give(0, shard, 3));
     world.run_for(8);
     ASSERT_TRUE(world.stands(PartitionMap::shards_key(shard.home_partition)));
     world.put(PartitionMap::shards_key(shard.home_partition), UnreadableRecord{});
     world.run_for(10);
-    EXPECT_EQ(holder(world, shard), 3); // it goes on
+    EXPECT_EQ(current_holder(world, shard), 3); // it goes on
     EXPECT_FALSE(world.give(3, shard, 0));
     EXPECT_GE(world.logged("event=record_unreadable"), 5u); // each node has named it
     world.run_for(150);
     EXPECT_TRUE(world.all_done("req-1"));
-    // A new claim of its part holds none of them, and says so to their machines.
+    // A new leadership of its part holds none of them, and says so to their machines.
     world.submit(1, world.job("req-2", 10, 2));
     world.crash(3, 60);
     world.run_for(30);
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-TEST(ShareMoves, BesideANodeOfTheVersionBeforeThereAreNone) {
-    World world(five(10));
-    fill(world, 20);
+TEST(ShardMigrationInCluster, RefusedWhileAControllerLacksShardingSupport) {
+    World world(five_controllers(10));
+    run_large_job(world, 20);
     world.run_for(20);
     world.crash(2, 100);
     world.put(partition_key(2),
               PartitionRecord{"n2", false}); // as if an older program had claimed it
     world.run_for(3);
-    EXPECT_FALSE(world.give(0, busy_share(world, 0), 3));
+    EXPECT_FALSE(world.give(0, busiest_shard(world, 0), 3));
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-TEST(ShareTakeover, TheSharesOfALostControllerGoToAllWhoAreThere) {
-    WorldOptions options = five(11);
+TEST(ShardFailover, ShardsOfALostControllerGoToAllLiveControllers) {
+    WorldOptions options = five_controllers(11);
     options.run_s = 60;
     World world(options);
-    fill(world, 40, "blue");
+    run_large_job(world, 40, "blue");
     world.run_for(20);
     std::size_t all = all_shards(world.facts(0)).size();
     world.crash(1, 120);
@@ -766,12 +783,12 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-TEST(ShareTakeover, AControllerThatComesBackGetsSharesByDegrees) {
-    WorldOptions options = five(12);
+TEST(ShardFailover, ReturningControllerRegainsShardsGradually) {
+    WorldOptions options = five_controllers(12);
     options.run_s = 900;
     options.limits = 20;
     World world(options);
-    fill(world, 60);
+    run_large_job(world, 60);
     world.run_for(20);
     world.crash(1, 40);
     world.run_for(39);
@@ -797,11 +814,11 @@
 }
 
 // A lost controller's machines find their new holders before their leases end.
-TEST(ShareTakeover, NoTaskIsLostToTheLeasesOfALostControllersMachines) {
-    WorldOptions options = five(14);
+TEST(ShardFailover, MachinesFindNewHoldersBeforeTheirLeasesEnd) {
+    WorldOptions options = five_controllers(14);
     options.run_s = 120;
     World world(options);
-    fill(world, 40, "blue");
+    run_large_job(world, 40, "blue");
     world.run_for(20);
     world.crash(1, 300);
     world.run_for(200);
@@ -812,10 +829,10 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-// Controllers refuse each other's calls while one of them is lost: its older tasks do not wait
-// until the calls go through again, since the listings come by way of the state service.
-TEST(ShareTakeover, OlderTasksRunWhilePeersRefuseCalls) {
-    WorldOptions options = five(13);
+// Controllers refuse each other's requests while one of them is lost: its older tasks do not wait
+// until the requests go through again, since the listings come by way of the state service.
+TEST(ShardFailover, OlderTasksStartWhilePeersRefuseRequests) {
+    WorldOptions options = five_controllers(13);
     options.run_s = 25;
     options.limits = 4; // so that tasks wait when their owner is lost
     World world(options);
@@ -853,11 +870,11 @@
 
 // Moves forced at random all the time, while jobs, gangs and replicas run and things fail. The seed
 // chooses which faults: each alone, and all together.
-void play(std::uint64_t seed) {
+void run_random_scenario(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    constexpr int kNodes = 5;
+    constexpr int kControllers = 5;
     World world({.seed = seed,
-                 .nodes = kNodes,
+                 .nodes = kControllers,
                  .drop = seed % 3 == 0 ? 0.03 : 0,
                  .late = seed % 3 == 0 ? 0.03 : 0,
                  .run_s = 12,
@@ -865,16 +882,18 @@
                  .limits = 10,
                  .capacity = 64});
     std::mt19937_64 random(seed);
-    auto any = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
-    int only = seed % 8 == 7 ? -1 : static_cast<int>(seed % 8); // -1: all faults together
+    auto random_below = [&](int n) {
+        return static_cast<int>(random() % static_cast<unsigned>(n));
+    };
+    int single_fault = seed % 8 == 7 ? -1 : static_cast<int>(seed % 8); // -1: all faults together
     std::function<void()> move = [&] {
-        int from = any(kNodes);
+        int from = random_below(kControllers);
         auto shards = world.shares(from);
         if (!shards.empty()) {
-            ShardId shard =
-                any(2) ? busy_share(world, from) : shards[any(static_cast<int>(shards.size()))];
+            ShardId shard = random_below(2) ? busiest_shard(world, from)
+                                            : shards[random_below(static_cast<int>(shards.size()))];
             if (shard.home_partition >= 0) {
-                world.give(from, shard, any(kNodes));
+                world.give(from, shard, random_below(kControllers));
             }
         }
     };
@@ -890,58 +909,61 @@
             move();
         }
         if (k < 60 && k % 2 == 0) {
-            JobSpec spec = world.job("req-" + std::to_string(++jobs), 4 + any(40), 1 + any(3));
-            spec.team = any(2) ? "red" : "blue";
-            spec.spot = any(2) != 0;
-            int kind = any(5);
+            JobSpec spec = world.job("req-" + std::to_string(++jobs), 4 + random_below(40),
+                                     1 + random_below(3));
+            spec.team = random_below(2) ? "red" : "blue";
+            spec.spot = random_below(2) != 0;
+            int kind = random_below(5);
             if (kind == 0) {
                 spec.kind = JobKind::gang;
-                spec.tasks = 2 + static_cast<std::uint32_t>(any(10));
-                spec.one_zone = any(2) != 0;
+                spec.tasks = 2 + static_cast<std::uint32_t>(random_below(10));
+                spec.one_zone = random_below(2) != 0;
                 spec.checkpoint_interval_s = 3;
-                spec.save_duration_s = any(2);
+                spec.save_duration_s = random_below(2);
             } else if (kind == 1) {
                 spec.kind = JobKind::service;
-                spec.tasks = 1 + static_cast<std::uint32_t>(any(5));
-                spec.spread = any(2) != 0;
+                spec.tasks = 1 + static_cast<std::uint32_t>(random_below(5));
+                spec.spread = random_below(2) != 0;
                 services.insert(spec.id);
             }
-            world.submit(any(kNodes), spec);
+            world.submit(random_below(kControllers), spec);
         }
-        std::string job = "req-" + std::to_string(1 + any(std::max(1, jobs)));
-        int fault = only >= 0 ? only : any(8);
-        bool strikes = any(4) == 0;
+        std::string job = "req-" + std::to_string(1 + random_below(std::max(1, jobs)));
+        int fault = single_fault >= 0 ? single_fault : random_below(8);
+        bool inject = random_below(4) == 0;
         auto up = world.machines_up();
-        if (strikes && fault == 0) {
-            world.crash(any(kNodes), 1 + any(20));
-        } else if (strikes && fault == 1) {
-            world.freeze(any(kNodes), 1 + any(30));
-        } else if (strikes && fault == 2) {
+        if (inject && fault == 0) {
+            world.crash(random_below(kControllers), 1 + random_below(20));
+        } else if (inject && fault == 1) {
+            world.freeze(random_below(kControllers), 1 + random_below(30));
+        } else if (inject && fault == 2) {
             world.state_down(true);
-        } else if (strikes && fault == 3) {
-            world.cut_peers(any(kNodes), any(kNodes), true);
-        } else if (strikes && fault == 4) {
-            any(2) ? world.cut_workers(any(kNodes), true) : world.state_refuses(any(kNodes), true);
-        } else if (strikes && fault == 5 && !up.empty()) {
-            const std::string& machine = up[any(static_cast<int>(up.size()))];
-            any(2) ? world.take_machine(machine, 6) : world.cut_machine(machine, any(2) != 0);
-        } else if (strikes && fault == 6) {
-            world.cancel(any(kNodes), job);
-        } else if (strikes && fault == 7 && !up.empty()) {
-            world.kill_machine(up[any(static_cast<int>(up.size()))]);
-        } else if (any(3) == 0) {
+        } else if (inject && fault == 3) {
+            world.cut_peers(random_below(kControllers), random_below(kControllers), true);
+        } else if (inject && fault == 4) {
+            random_below(2) ? world.cut_workers(random_below(kControllers), true)
+                            : world.state_refuses(random_below(kControllers), true);
+        } else if (inject && fault == 5 && !up.empty()) {
+            const std::string& machine = up[random_below(static_cast<int>(up.size()))];
+            random_below(2) ? world.take_machine(machine, 6)
+                            : world.cut_machine(machine, random_below(2) != 0);
+        } else if (inject && fault == 6) {
+            world.cancel(random_below(kControllers), job);
+        } else if (inject && fault == 7 && !up.empty()) {
+            world.kill_machine(up[random_below(static_cast<int>(up.size()))]);
+        } else if (random_below(3) == 0) {
             world.state_down(false);
-            for (int n = 0; n < kNodes; ++n) {
+            for (int n = 0; n < kControllers; ++n) {
                 world.state_refuses(n, false);
                 world.cut_workers(n, false);
             }
             cut_all_peers(world, false);
-            world.poll(any(kNodes), job);
+            world.poll(random_below(kControllers), job);
         }
         ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
     }
     world.state_down(false);
-    for (int n = 0; n < kNodes; ++n) {
+    for (int n = 0; n < kControllers; ++n) {
         world.state_refuses(n, false);
         world.cut_workers(n, false);
     }
@@ -951,7 +973,7 @@
     }
     world.run_for(30);
     for (const auto& id : services) {
-        for (int n = 0; n < kNodes; ++n) {
+        for (int n = 0; n < kControllers; ++n) {
             world.cancel(n, id);
             world.run_for(0.2);
         }
@@ -967,11 +989,13 @@
     }
 }
 
-class ShareRandom : public testing::TestWithParam<int> {};
-TEST_P(ShareRandom, RulesHoldWhileSharesMove) { play(static_cast<std::uint64_t>(GetParam())); }
-INSTANTIATE_TEST_SUITE_P(Seeds, ShareRandom, testing::Range(1, 17));
+class ShardingRandom : public testing::TestWithParam<int> {};
+TEST_P(ShardingRandom, InvariantsHoldWhileShardsMove) {
+    run_random_scenario(static_cast<std::uint64_t>(GetParam()));
+}
+INSTANTIATE_TEST_SUITE_P(Seeds, ShardingRandom, testing::Range(1, 17));
 
-TEST(ShareSeeds, AsManyAsAreAskedFor) { play_seeds_asked(17, play); }
+TEST(ShardingSeeds, InvariantsHoldForRequestedSeeds) { play_seeds_asked(17, run_random_scenario); }
 
 } // namespace
 } // namespace scheduler::test
