--- a/tests/sharding_test.cpp
+++ b/tests/sharding_test.cpp
@@ -1,5 +1,5 @@
-// Shares of machines and their moves: the pure parts, a move as its steps, and several machines and
-// failures on the fake clock. See docs/sharding.md.
+// Tests of sharding: assignment and balancing of shards, the steps of a migration, and migrations
+// in a simulated cluster with faults. See docs/sharding.md.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -26,7 +26,7 @@
         }
         std::map<ShardId, int> count;
         int machines = 0;
-        for (const auto& zone : {"a", "b", "c", "d"}) { // nobody is at home in d
+        for (const auto& zone : {"a", "b", "c", "d"}) { // no partition's home is in d
             for (int i = 0; i < 2000; ++i, ++machines) {
                 std::string name = "i-" + std::to_string(100000 + i);
                 ShardId shard = shard_of_machine(settings, name, zone);
@@ -62,11 +62,11 @@
     EXPECT_EQ(held.count(1), 0u);
     int most = std::max({held[0], held[2], held[3], held[4]});
     EXPECT_LE(most, 1.25 * static_cast<double>(all_shards(settings).size()) / 4);
-    EXPECT_TRUE(reassign_shards(assignment, 1, {0, 2}, 10).empty()); // it holds none any more
-    EXPECT_TRUE(reassign_shards(assignment, 0, {}, 10).empty());     // nobody is there
+    EXPECT_TRUE(reassign_shards(assignment, 1, {0, 2}, 10).empty()); // 1 holds none any more
+    EXPECT_TRUE(reassign_shards(assignment, 0, {}, 10).empty());     // no live partition
 }
 
-// ---- When to move ----
+// ---- When to migrate ----
 
 TEST(ShardBalancer, MovesToTheLeastLoadedUntilLoadsAreSimilar) {
     ClusterSettings settings = five_controller_settings();
@@ -80,20 +80,20 @@
                                     {{0, own_slots, headroom, false},
                                      {1, peer_slots, 1, true},
                                      {2, peer_slots * 2, 1, true},
-                                     {3, 0, 1, false}}, // not heard of lately
+                                     {3, 0, 1, false}}, // no recent load report
                                     shards, 8);
     };
-    EXPECT_FALSE(choose_move(100, 1000, 900)); // near enough
+    EXPECT_FALSE(choose_move(100, 1000, 900)); // similar loads
     auto move = choose_move(100, 1000, 500);
     ASSERT_TRUE(move);
     EXPECT_EQ(move->to_partition, 1);
     balancer.on_migration_started(100);
-    EXPECT_FALSE(choose_move(100.1, 1000, 500));   // one at a time
-    EXPECT_TRUE(choose_move(104, 1000, 800));      // it goes on below where it began
-    EXPECT_FALSE(choose_move(108, 1000, 900));     // until they are alike
-    EXPECT_FALSE(choose_move(112, 1000, 800));     // and does not begin again for that
-    EXPECT_TRUE(choose_move(116, 1000, 950, 0.5)); // a slow processor has twice the load
-    EXPECT_FALSE(choose_move(120, 40, 10));        // too few machines to be worth it
+    EXPECT_FALSE(choose_move(100.1, 1000, 500));   // too soon after the last move
+    EXPECT_TRUE(choose_move(104, 1000, 800));      // continues below the ratio that began it
+    EXPECT_FALSE(choose_move(108, 1000, 900));     // until the loads are similar
+    EXPECT_FALSE(choose_move(112, 1000, 800));     // and does not begin again at this ratio
+    EXPECT_TRUE(choose_move(116, 1000, 950, 0.5)); // half the headroom doubles the load
+    EXPECT_FALSE(choose_move(120, 40, 10));        // too few slots to be worth a move
 }
 
 TEST(ShardBalancer, LimitsTheMovesPerHour) {
@@ -123,7 +123,7 @@
     };
     run(60, tick * 1.1);
     EXPECT_EQ(headroom.value(), 1);
-    run(2 * settings.heartbeat_interval_s + 1, 1); // four times as long as it should be
+    run(2 * settings.heartbeat_interval_s + 1, 1); // four times the tick period
     EXPECT_LT(headroom.value(), 1);
     run(120, 1);
     EXPECT_NEAR(headroom.value(), 0.1, 0.01);
@@ -134,7 +134,9 @@
     EXPECT_EQ(headroom.value(), 1);
 }
 
-// ---- The partition_map and the owned_shards ----
+// ---- The partition map and the owned shards ----
+
+// A partition map with responses of the key-value store to load into it.
 
 struct PartitionMapFixture {
     ClusterSettings settings = five_controller_settings();
@@ -182,7 +184,7 @@
     }
     EXPECT_TRUE(fixture.partition_map.can_reassign(12));
     EXPECT_FALSE(
-        fixture.partition_map.can_reassign(1)); // its conditions would not fit into a transaction
+        fixture.partition_map.can_reassign(1)); // its conditions would exceed the transaction limit
 }
 
 TEST(ShardMap, ControllerWithoutShardingSupportPreventsReassignment) {
@@ -213,18 +215,18 @@
         ++fixture.revision;
         ASSERT_TRUE(
             fixture.partition_map.load(fixture.partition_response({bad}),
-                                       fixture.requests)); // the parts themselves are readable
+                                       fixture.requests)); // the records of partitions are readable
         EXPECT_EQ(fixture.take_error_count(), 1u);
         ++fixture.revision;
         ASSERT_TRUE(
             fixture.partition_map.load(fixture.partition_response({bad}), fixture.requests));
-        EXPECT_EQ(fixture.take_error_count(), 0u); // said once
+        EXPECT_EQ(fixture.take_error_count(), 0u); // logged once per version
         EXPECT_EQ(fixture.partition_map.holder({2, 0}), 4);
         EXPECT_FALSE(fixture.partition_map.is_readable(2));
         EXPECT_TRUE(fixture.partition_map.is_readable(1));
     }
-    // A leadership that has not held them gets none by what was read before: that may be older than
-    // the last change.
+    // A new leadership does not acquire these shards from the last readable record: it may be older
+    // than the last reassignment.
     fixture.lease.on_granted(1, 0);
     fixture.lease.on_elected(4, fixture.revision);
     Leadership leadership(0, 4, fixture.lease);
@@ -233,7 +235,7 @@
         EXPECT_NE(shard.home_partition, 2);
     }
     EXPECT_FALSE(owned_shards.may_serve({2, 0}));
-    // A node that has never seen a readable one knows nobody who holds them.
+    // A controller that has never read a readable record knows no holder.
     PartitionMapFixture fresh;
     ASSERT_TRUE(fresh.partition_map.load(
         fresh.partition_response({fixture.holders_record(2, too_short, 9)}), fresh.requests));
@@ -249,6 +251,7 @@
     EXPECT_EQ(fixture.partition_map.revision(), 0u);
 }
 
+// The leadership of partition 2, elected at `term`, and the shards that it owns.
 struct OwnedShardsFixture : PartitionMapFixture {
     std::unique_ptr<Leadership> leadership;
     std::unique_ptr<OwnedShards> owned_shards;
@@ -270,8 +273,8 @@
 
 TEST(ShardOwnership, StartsWithAMapReadAfterTheElectionAndRaisesTheTermOnEachGain) {
     OwnedShardsFixture fixture(20);
-    EXPECT_TRUE(fixture.load_map(19, fixture.all_at_home(2), 7)
-                    .gained.empty()); // older than the leadership
+    EXPECT_TRUE(
+        fixture.load_map(19, fixture.all_at_home(2), 7).gained.empty()); // read before the election
     EXPECT_FALSE(fixture.owned_shards->has_map());
     EXPECT_EQ(fixture.load_map(25, fixture.all_at_home(2), 7).gained.size(),
               fixture.all_at_home(2).size());
@@ -282,11 +285,10 @@
     ASSERT_EQ(changes.lost.size(), 1u);
     EXPECT_EQ(changes.lost[0], (OwnedShards::LostShard{ShardId{2, 0}, 3}));
     EXPECT_FALSE(fixture.owned_shards->may_serve({2, 0}));
-    EXPECT_TRUE(fixture.load_map(28, fixture.all_at_home(2), 7)
-                    .gained.empty()); // a read that was overtaken
+    EXPECT_TRUE(fixture.load_map(28, fixture.all_at_home(2), 7).gained.empty()); // an outdated read
     EXPECT_EQ(fixture.load_map(35, fixture.all_at_home(2), 33).gained.size(), 1u);
     EXPECT_EQ(fixture.owned_shards->term({2, 0}), 35u);
-    EXPECT_EQ(fixture.owned_shards->term({2, 1}), 25u); // it has been ours all along
+    EXPECT_EQ(fixture.owned_shards->term({2, 1}), 25u); // owned without interruption
 }
 
 TEST(ShardOwnership, TransferCountsAsAMapReadAtItsRevision) {
@@ -294,23 +296,25 @@
     auto others = fixture.all_at_home(2);
     others[0] = 3;
     EXPECT_FALSE(
-        fixture.owned_shards->accept_transfer(0, {{2, 0}, 26, 20})); // no map has been seen yet
+        fixture.owned_shards->accept_transfer(0, {{2, 0}, 26, 20})); // no map has been read yet
     fixture.load_map(25, others, 7);
     EXPECT_FALSE(fixture.owned_shards->accept_transfer(
-        0, {{2, 0}, 26, 19})); // given to a leadership before this one
-    EXPECT_FALSE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 24, 20})); // read better since
+        0, {{2, 0}, 26, 19})); // addressed to an earlier leadership
+    EXPECT_FALSE(
+        fixture.owned_shards->accept_transfer(0, {{2, 0}, 24, 20})); // a later map has been read
     ASSERT_TRUE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 30, 20}));
     EXPECT_EQ(fixture.owned_shards->term({2, 0}), 30u);
-    EXPECT_TRUE(fixture.load_map(28, others, 7).lost.empty()); // read before it was given
+    EXPECT_TRUE(fixture.load_map(28, others, 7).lost.empty()); // read before the transfer
     EXPECT_TRUE(fixture.load_map(31, fixture.all_at_home(2), 30).gained.empty());
     EXPECT_EQ(fixture.owned_shards->term({2, 0}), 30u);
     fixture.owned_shards->on_migrated_out({2, 0}, 40);
-    EXPECT_FALSE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 30, 20})); // the same word, late
+    EXPECT_FALSE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 30, 20})); // a late duplicate
     EXPECT_EQ(fixture.owned_shards->find({2, 0}), nullptr);
 }
 
-// ---- A move, step by step ----
+// ---- The steps of a migration ----
 
+// A migration with a recording delegate, whose store requests the test answers.
 struct ShardMigrationFixture : OwnedShardsFixture, ShardMigration::Delegate {
     std::unique_ptr<ShardMigration> migration;
     bool quiescent = true;
@@ -318,7 +322,7 @@
     std::vector<std::pair<int, std::uint64_t>> announced_transfers;
     int republished_inventories = 0;
 
-    ShardMigrationFixture() : OwnedShardsFixture(4) { // the version of part/2 in `read`
+    ShardMigrationFixture() : OwnedShardsFixture(4) { // the version of part/2 in partition_response
         load_map(25, all_at_home(2), 7);
         migration = std::make_unique<ShardMigration>(*leadership, settings, partition_map,
                                                      *owned_shards, requests, *this);
@@ -349,24 +353,24 @@
     ShardMigrationFixture fixture;
     fixture.quiescent = false;
     ASSERT_TRUE(fixture.migration->start(100, {2, 0}, 3));
-    EXPECT_FALSE(fixture.migration->start(100, {2, 1}, 3)); // one at a time
+    EXPECT_FALSE(fixture.migration->start(100, {2, 1}, 3)); // one migration at a time
     EXPECT_FALSE(fixture.owned_shards->may_lend({2, 0}));
     EXPECT_TRUE(fixture.owned_shards->may_serve({2, 0}));
     fixture.migration->tick(100.1);
-    EXPECT_TRUE(fixture.take_requests().empty()); // starts are on their way
+    EXPECT_TRUE(fixture.take_requests().empty()); // commands are in flight
     fixture.quiescent = true;
     fixture.migration->tick(100.2);
     auto requests = fixture.take_requests();
     ASSERT_EQ(requests.size(), 1u);
     const StoreTransaction& transaction = std::get<StoreTransaction>(requests[0].body);
-    EXPECT_EQ(transaction.conditions.size(), 6u); // every part, and the key of the map
+    EXPECT_EQ(transaction.conditions.size(), 6u); // every partition, and the record of the holders
     ASSERT_EQ(transaction.writes.size(), 1u);
     EXPECT_EQ(transaction.writes[0].key, "part/2/shares");
     EXPECT_FALSE(fixture.owned_shards->may_serve({2, 0}));
     fixture.respond(100.3, requests[0], 200, 31);
     EXPECT_EQ(fixture.migrated_to, (std::vector<int>{3}));
-    EXPECT_EQ(fixture.announced_transfers,
-              (std::vector<std::pair<int, std::uint64_t>>{{3, 5}})); // and its leadership's term
+    EXPECT_EQ(fixture.announced_transfers, (std::vector<std::pair<int, std::uint64_t>>{
+                                               {3, 5}})); // with the term of its leadership
     EXPECT_EQ(fixture.owned_shards->find({2, 0}), nullptr);
     EXPECT_TRUE(fixture.load_map(30, fixture.all_at_home(2), 7)
                     .gained.empty()); // read before it took effect
@@ -390,7 +394,7 @@
         fixture.respond(100.1, fixture.take_requests().at(0), status, 30);
         EXPECT_FALSE(fixture.migration->in_progress());
         EXPECT_TRUE(fixture.owned_shards->may_lend({2, 0}));
-        EXPECT_EQ(fixture.republished_inventories, 1); // listings have left it out
+        EXPECT_EQ(fixture.republished_inventories, 1); // inventories omitted it meanwhile
     }
 }
 
@@ -402,21 +406,21 @@
         auto first = fixture.take_requests().at(0);
         fixture.respond(101, first, 0);
         fixture.migration->tick(101.1);
-        EXPECT_TRUE(fixture.take_requests().empty()); // not at once
+        EXPECT_TRUE(fixture.take_requests().empty()); // not retried immediately
         fixture.migration->tick(102);
         auto second = fixture.take_requests().at(0);
         EXPECT_EQ(std::get<StoreTransaction>(second.body).conditions.back().version,
                   std::get<StoreTransaction>(first.body).conditions.back().version);
-        fixture.respond(102.1, second, 503); // not executed, but the first may be yet
+        fixture.respond(102.1, second, 503); // not executed, but the first may still be
         EXPECT_EQ(fixture.state(), OwnedShards::State::transfer_pending);
         fixture.migration->tick(103);
         fixture.respond(103.1, fixture.take_requests().at(0), 409, 40);
         EXPECT_EQ(fixture.state(),
-                  OwnedShards::State::transfer_pending); // the map as it was read says nothing
+                  OwnedShards::State::transfer_pending); // the last map predates the attempts
         fixture.migration->tick(104);
         EXPECT_TRUE(fixture.take_requests().empty());
         auto holders = fixture.all_at_home(2);
-        holders[took_effect ? 0 : 1] = 3; // else another change refused it
+        holders[took_effect ? 0 : 1] = 3; // otherwise another write caused the 409
         auto changes = fixture.load_map(41, holders, 33);
         for (const auto& [shard, to] : changes.lost) {
             fixture.migration->on_shard_lost(shard);
@@ -430,27 +434,26 @@
 
 TEST(ShardMigration, RefusesShardsOfOthersMissingTargetsAndUnreadableRecords) {
     ShardMigrationFixture fixture;
-    EXPECT_FALSE(fixture.migration->start(100, {1, 0}, 3)); // not ours
-    EXPECT_FALSE(fixture.migration->start(100, {2, 0}, 2)); // to ourselves
+    EXPECT_FALSE(fixture.migration->start(100, {1, 0}, 3)); // not owned
+    EXPECT_FALSE(fixture.migration->start(100, {2, 0}, 2)); // to the owner itself
     OutboundResponse response = fixture.partition_response();
     std::erase_if(response.entries, [](const auto& i) { return i.key == "part/3"; });
     response.revision = 50;
     ASSERT_TRUE(fixture.partition_map.load(response, fixture.requests));
-    EXPECT_FALSE(fixture.migration->start(100, {2, 0}, 3)); // its owner is gone
+    EXPECT_FALSE(fixture.migration->start(100, {2, 0}, 3)); // the target has no leader
     response = fixture.partition_response({{PartitionMap::shards_key(2), UnreadableRecord{}, 51}});
     response.revision = 51;
     ASSERT_TRUE(fixture.partition_map.load(response, fixture.requests));
     EXPECT_FALSE(fixture.migration->start(100, {2, 0}, 3));
 }
 
-// ---- Several machines and failures ----
+// ---- Migrations in a simulated cluster ----
 
 WorldOptions five_controllers(std::uint64_t seed = 1) {
     return {.seed = seed, .nodes = 5, .run_s = 30, .limits = 10, .capacity = 70};
 }
 
-// A world of five controllers and at least `machines` that run the tasks of a large
-// job.
+// Submits a large job and waits until at least `machines` machines run its tasks.
 void run_large_job(World& world, std::size_t machines, const std::string& team = "red") {
     world.run_for(3);
     JobSpec spec = world.job("req-1", static_cast<std::uint32_t>(machines * 4), 2);
@@ -460,7 +463,8 @@
     ASSERT_GE(world.machines_up().size(), machines);
 }
 
-// A share that the part holds and that has machines.
+// Returns the shard with the most machines among those that the partition holds; {-1, -1} if none
+// of them has machines.
 ShardId busiest_shard(const World& world, int partition) {
     std::map<ShardId, int> count;
     for (const auto& machine : world.machines_up()) {
@@ -483,7 +487,7 @@
     }
 }
 
-// The part that holds the share; -1: none that is owned now.
+// Returns the partition that holds the shard; -1 if none does now.
 int current_holder(const World& world, const ShardId& shard) {
     for (int partition = 0; partition < 5; ++partition) {
         for (const auto& held : world.shares(partition)) {
@@ -500,7 +504,7 @@
     options.run_s = 420;
     World world(options);
     run_large_job(world, 24);
-    world.run_for(20); // the parts have settled
+    world.run_for(20); // until failover has finished in all partitions
     int from = 0;
     ShardId shard = busiest_shard(world, from);
     ASSERT_GE(shard.home_partition, 0);
@@ -556,8 +560,8 @@
     EXPECT_EQ(world.logged("event=shard_migrated"), 1u);
 }
 
-// The source, the target or both end right after the source's n-th request since the move began,
-// each n on its own.
+// Crashes the source, the target or both right after the n-th request that the source sends during
+// a migration, for each n in a run of its own: no task may be lost at any step.
 struct CrashCase {
     bool source = false;
     bool target = false;
@@ -594,7 +598,7 @@
         world.run_for(8);
         world.intercept = nullptr;
         if (n == 0) {
-            World baseline(five_controllers(7)); // how many outputs a move has
+            World baseline(five_controllers(7)); // counts the requests of an undisturbed migration
             run_large_job(baseline, 20);
             baseline.run_for(20);
             outputs = 0;
@@ -641,7 +645,7 @@
         ASSERT_TRUE(world.give(0, shard, 3));
         world.run_for(after);
         world.state_down(true);
-        world.run_for(40); // longer than any lease: siblings' promises
+        world.run_for(40); // longer than any lease: peers extend the leaders' leases
         world.state_down(false);
         world.run_for(300);
         EXPECT_TRUE(world.all_done("req-1"));
@@ -685,7 +689,7 @@
     }
 }
 
-// A share moves while a gang is gathered, runs, or is stopped in good order.
+// Shards move while a gang acquires its slots, runs, or saves and stops after a preemption notice.
 TEST(ShardMigrationInCluster, GangFinishesWhenShardsMoveDuringItsLifetime) {
     for (double at : {10.2, 12.0, 14.0, 20.0, 26.0}) {
         World world(five_controllers(8));
@@ -733,12 +737,12 @@
     ASSERT_TRUE(world.stands(PartitionMap::shards_key(shard.home_partition)));
     world.put(PartitionMap::shards_key(shard.home_partition), UnreadableRecord{});
     world.run_for(10);
-    EXPECT_EQ(current_holder(world, shard), 3); // it goes on
+    EXPECT_EQ(current_holder(world, shard), 3); // the holder is unchanged
     EXPECT_FALSE(world.give(3, shard, 0));
-    EXPECT_GE(world.logged("event=record_unreadable"), 5u); // each node has named it
+    EXPECT_GE(world.logged("event=record_unreadable"), 5u); // each controller has logged it
     world.run_for(150);
     EXPECT_TRUE(world.all_done("req-1"));
-    // A new leadership of its part holds none of them, and says so to their machines.
+    // A new leader of the partition owns none of these shards and rejects their machines.
     world.submit(1, world.job("req-2", 10, 2));
     world.crash(3, 60);
     world.run_for(30);
@@ -751,7 +755,7 @@
     world.run_for(20);
     world.crash(2, 100);
     world.put(partition_key(2),
-              PartitionRecord{"n2", false}); // as if an older program had claimed it
+              PartitionRecord{"n2", false}); // as if an older version led the partition
     world.run_for(3);
     EXPECT_FALSE(world.give(0, busiest_shard(world, 0), 3));
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
@@ -772,13 +776,13 @@
         held += world.shares(partition).size();
         most = std::max(most, world.shares(partition).size());
     }
-    EXPECT_NE(world.owner(1), 1); // its teams have an owner ...
+    EXPECT_NE(world.owner(1), 1); // its teams have a new leader ...
     EXPECT_GE(world.owner(1), 0);
-    EXPECT_TRUE(world.shares(1).empty()); // ... who holds no machines for it
+    EXPECT_TRUE(world.shares(1).empty()); // ... that holds none of its shards
     EXPECT_EQ(held, all);
     EXPECT_LE(static_cast<double>(most), 1.25 * static_cast<double>(all) / 4);
     world.run_for(400);
-    EXPECT_EQ(world.owner(1), 1); // it has its teams back
+    EXPECT_EQ(world.owner(1), 1); // it leads its home partition again
     EXPECT_TRUE(world.all_done("req-1"));
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
@@ -809,11 +813,12 @@
         machines +=
             held.contains(shard_of_machine(world.facts(0), machine, world.zone_of(machine)));
     }
-    EXPECT_GE(machines, 8u); // two thirds of an even part
+    EXPECT_GE(machines, 8u); // two thirds of an equal split
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-// A lost controller's machines find their new holders before their leases end.
+// The machines of a lost controller must reach their new holders before their leases end, or their
+// tasks would be lost.
 TEST(ShardFailover, MachinesFindNewHoldersBeforeTheirLeasesEnd) {
     WorldOptions options = five_controllers(14);
     options.run_s = 120;
@@ -829,12 +834,13 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-// Controllers refuse each other's requests while one of them is lost: its older tasks do not wait
-// until the requests go through again, since the listings come by way of the state service.
+// A controller is lost while the others refuse each other's requests. Tasks that were submitted
+// before still start during this time, because the inventories are exchanged through the key-value
+// store.
 TEST(ShardFailover, OlderTasksStartWhilePeersRefuseRequests) {
     WorldOptions options = five_controllers(13);
     options.run_s = 25;
-    options.limits = 4; // so that tasks wait when their owner is lost
+    options.limits = 4; // so that tasks are pending when their leader is lost
     World world(options);
     world.run_for(3);
     JobSpec spec = world.job("req-1", 150, 2);
@@ -851,7 +857,7 @@
         return n;
     };
     world.crash(world.owner(partition), 200);
-    world.run_for(16); // its lease is over, and another has read what there is to read
+    world.run_for(16); // its lease has ended, and its successor has loaded the partition
     int before = started();
     world.run_for(20);
     EXPECT_GT(world.logged("event=inventory_posted"), 2u);
@@ -862,14 +868,14 @@
     world.run_for(300);
     EXPECT_TRUE(world.all_done("req-1"));
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    for (int page = 0; page < 3; ++page) { // read, and of no use any more
+    for (int page = 0; page < 3; ++page) { // deleted once they have been read
         EXPECT_FALSE(
             world.stands("account/" + std::to_string(partition) + "/0/" + std::to_string(page)));
     }
 }
 
-// Moves forced at random all the time, while jobs, gangs and replicas run and things fail. The seed
-// chooses which faults: each alone, and all together.
+// Forces random migrations throughout while jobs, gangs and services run under random faults. The
+// seed selects one kind of fault or all kinds together.
 void run_random_scenario(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     constexpr int kControllers = 5;
@@ -885,7 +891,7 @@
     auto random_below = [&](int n) {
         return static_cast<int>(random() % static_cast<unsigned>(n));
     };
-    int single_fault = seed % 8 == 7 ? -1 : static_cast<int>(seed % 8); // -1: all faults together
+    int single_fault = seed % 8 == 7 ? -1 : static_cast<int>(seed % 8); // -1: all kinds of faults
     std::function<void()> move = [&] {
         int from = random_below(kControllers);
         auto shards = world.shares(from);
@@ -899,7 +905,7 @@
     };
     std::set<std::string> services;
     int jobs = 0;
-    JobSpec base = world.job("req-0", 160, 2); // so that there are sixty machines
+    JobSpec base = world.job("req-0", 160, 2); // keeps about sixty machines running
     base.team = "blue";
     world.run_for(3);
     world.submit(0, base);
@@ -978,7 +984,7 @@
             world.run_for(0.2);
         }
     }
-    for (int k = 0; k < 70; ++k) { // to the end, with moves
+    for (int k = 0; k < 70; ++k) { // until all jobs end, with further migrations
         world.run_for(10);
         move();
     }
