--- a/tests/lease_extension_test.cpp
+++ b/tests/lease_extension_test.cpp
@@ -8,173 +8,188 @@
 namespace scheduler::test {
 namespace {
 
-constexpr double kLongest = 11;
-constexpr double kReportS = 3;
-constexpr double kLeaseS = 17;
+constexpr double kMaxExtensionS = 11;
+constexpr double kHeartbeatIntervalS = 3;
+constexpr double kWorkerLeaseS = 17;
 
-// One node's promises, with its calls in hand.
-struct Node {
-    ClusterSettings facts;
-    StoreRateLimiter budget{100, 20, 3};
-    OutboundRequests calls{budget, 1};
-    LeadershipLease authority{kLongest};
-    JobRecordCache index;
-    std::unique_ptr<QuotaConfig> config;
-    std::unique_ptr<LeaseExtender> promises;
+// One node's extender, with its calls in hand.
+struct ExtenderFixture {
+    ClusterSettings settings;
+    StoreRateLimiter rate_limiter{100, 20, 3};
+    OutboundRequests requests{rate_limiter, 1};
+    LeadershipLease lease{kMaxExtensionS};
+    JobRecordCache job_cache;
+    std::unique_ptr<QuotaConfig> quota_config;
+    std::unique_ptr<LeaseExtender> extender;
     std::vector<std::string> cancelled;
 
-    explicit Node(int home) {
-        facts.home_partition = home;
+    explicit ExtenderFixture(int home) {
+        settings.home_partition = home;
         for (int n = 0; n < 3; ++n) {
-            facts.partitions.push_back({"n" + std::to_string(n), "a"});
+            settings.partitions.push_back({"n" + std::to_string(n), "a"});
         }
-        facts.node = facts.partitions[home].node;
-        facts.heartbeat_interval_s = kReportS;
-        facts.worker_lease_s = kLeaseS;
-        config = std::make_unique<QuotaConfig>(facts, calls, [](Time, const TeamQuota&) {});
-        promises =
-            std::make_unique<LeaseExtender>(facts, kLongest, calls, authority, index, *config);
+        settings.node = settings.partitions[home].node;
+        settings.heartbeat_interval_s = kHeartbeatIntervalS;
+        settings.worker_lease_s = kWorkerLeaseS;
+        quota_config =
+            std::make_unique<QuotaConfig>(settings, requests, [](Time, const TeamQuota&) {});
+        extender = std::make_unique<LeaseExtender>(settings, kMaxExtensionS, requests, lease,
+                                                   job_cache, *quota_config);
     }
-    std::vector<OutboundRequest> tick(Time now, Time contact) {
-        promises->tick(now, contact, contact,
+    std::vector<OutboundRequest> tick(Time now, Time last_response) {
+        extender->tick(now, last_response, last_response,
                        [this](Time, const std::string& job) { cancelled.push_back(job); });
         Outputs out;
-        calls.drain_into(out);
+        requests.drain_into(out);
         return out.requests;
     }
-    void reply(Time now, const OutboundRequest& call,
-               std::optional<LeaseExtensionResponse> promise) {
-        OutboundResponse r;
-        r.request_id = call.id;
-        r.status = promise ? 200 : 0;
-        r.lease_extension = std::move(promise);
-        calls.handle_response(now, r);
+    void respond(Time now, const OutboundRequest& request,
+                 std::optional<LeaseExtensionResponse> extension_response) {
+        OutboundResponse response;
+        response.request_id = request.id;
+        response.status = extension_response ? 200 : 0;
+        response.lease_extension = std::move(extension_response);
+        requests.handle_response(now, response);
     }
 };
 
 // A node whose lease was renewed last at 100 and that holds its home part.
-struct Asking : Node {
-    Asking() : Node(0) {
-        authority.on_granted(1, 100);
-        authority.on_elected(0, 7);
-        authority.on_elected(1, 8); // a sibling's part as well
+struct RequesterFixture : ExtenderFixture {
+    RequesterFixture() : ExtenderFixture(0) {
+        lease.on_granted(1, 100);
+        lease.on_elected(0, 7);
+        lease.on_elected(1, 8); // a sibling's part as well
     }
 };
 
-TEST(Promises, CountFromTheSendingOfTheQuestionAndOnlyWithAllSiblings) {
-    Asking n;
-    EXPECT_TRUE(n.tick(101, 100).empty()); // in contact
-    auto calls = n.tick(104, 100);
-    ASSERT_EQ(calls.size(), 2u);
-    n.reply(105.4, calls[0], LeaseExtensionResponse{false, true, {}});
-    EXPECT_FALSE(n.authority.is_valid(112, 0));
-    n.reply(105.5, calls[1], LeaseExtensionResponse{false, true, {}});
-    EXPECT_TRUE(n.authority.is_valid(112, 0));
-    EXPECT_TRUE(n.authority.is_valid(104 + kLongest * (1 - 2 * kMaxClockDrift), 0));
-    EXPECT_FALSE(n.authority.is_valid(104 + kLongest, 0));
-    EXPECT_FALSE(n.authority.is_valid(112, 1)); // its owner of before may have forgotten a promise
-    EXPECT_FALSE(n.authority.is_valid(112));
+TEST(LeaseExtension, TakesEffectFromTheRequestOnceAllPeersGrantIt) {
+    RequesterFixture requester;
+    EXPECT_TRUE(requester.tick(101, 100).empty()); // in contact
+    auto requests = requester.tick(104, 100);
+    ASSERT_EQ(requests.size(), 2u);
+    requester.respond(105.4, requests[0], LeaseExtensionResponse{false, true, {}});
+    EXPECT_FALSE(requester.lease.is_valid(112, 0));
+    requester.respond(105.5, requests[1], LeaseExtensionResponse{false, true, {}});
+    EXPECT_TRUE(requester.lease.is_valid(112, 0));
+    EXPECT_TRUE(requester.lease.is_valid(104 + kMaxExtensionS * (1 - 2 * kMaxClockDrift), 0));
+    EXPECT_FALSE(requester.lease.is_valid(104 + kMaxExtensionS, 0));
+    EXPECT_FALSE(
+        requester.lease.is_valid(112, 1)); // its owner of before may have forgotten a promise
+    EXPECT_FALSE(requester.lease.is_valid(112));
 }
 
-TEST(Promises, ALostOrLateAnswerLengthensNothing) {
-    Asking n;
-    auto calls = n.tick(104, 100);
-    n.reply(105, calls[0], LeaseExtensionResponse{false, true, {}});
-    n.reply(105.5, calls[1], std::nullopt);
-    EXPECT_FALSE(n.authority.is_valid(112, 0));
-    calls = n.tick(116, 100);
-    ASSERT_EQ(calls.size(), 2u);
-    n.reply(200, calls[0], LeaseExtensionResponse{false, true, {}}); // as old as its question
-    n.reply(200, calls[1], LeaseExtensionResponse{false, true, {}});
-    EXPECT_FALSE(n.authority.is_valid(200, 0));
+TEST(LeaseExtension, LostOrLateResponsesExtendNothing) {
+    RequesterFixture requester;
+    auto requests = requester.tick(104, 100);
+    requester.respond(105, requests[0], LeaseExtensionResponse{false, true, {}});
+    requester.respond(105.5, requests[1], std::nullopt);
+    EXPECT_FALSE(requester.lease.is_valid(112, 0));
+    requests = requester.tick(116, 100);
+    ASSERT_EQ(requests.size(), 2u);
+    requester.respond(200, requests[0],
+                      LeaseExtensionResponse{false, true, {}}); // as old as its question
+    requester.respond(200, requests[1], LeaseExtensionResponse{false, true, {}});
+    EXPECT_FALSE(requester.lease.is_valid(200, 0));
 }
 
-TEST(Promises, ForAnEarlierClaimAreWorthNothing) {
-    Asking n;
-    auto calls = n.tick(104, 100);
-    n.authority.on_lost();
-    n.authority.on_granted(2, 105);
-    n.authority.on_elected(0, 9);
-    n.reply(106, calls[0], LeaseExtensionResponse{false, true, {}});
-    n.reply(106, calls[1], LeaseExtensionResponse{false, true, {}});
-    EXPECT_FALSE(n.authority.is_valid(105 + kLongest, 0));
+TEST(LeaseExtension, GrantsForAnEarlierTermExtendNothing) {
+    RequesterFixture requester;
+    auto requests = requester.tick(104, 100);
+    requester.lease.on_lost();
+    requester.lease.on_granted(2, 105);
+    requester.lease.on_elected(0, 9);
+    requester.respond(106, requests[0], LeaseExtensionResponse{false, true, {}});
+    requester.respond(106, requests[1], LeaseExtensionResponse{false, true, {}});
+    EXPECT_FALSE(requester.lease.is_valid(105 + kMaxExtensionS, 0));
 }
 
-TEST(Promises, TellOfCancelledJobsBeforeTheyCount) {
-    Asking n;
-    auto calls = n.tick(104, 100);
-    n.reply(105, calls[0], LeaseExtensionResponse{false, true, {"req-4"}});
-    EXPECT_EQ(n.cancelled, (std::vector<std::string>{"req-4"}));
+TEST(LeaseExtension, ReportsCancelledJobsBeforeItTakesEffect) {
+    RequesterFixture requester;
+    auto requests = requester.tick(104, 100);
+    requester.respond(105, requests[0], LeaseExtensionResponse{false, true, {"req-4"}});
+    EXPECT_EQ(requester.cancelled, (std::vector<std::string>{"req-4"}));
 }
 
-TEST(Promises, SayWhetherThisNodeAloneIsCutOff) {
-    Asking n;
-    EXPECT_FALSE(n.promises->is_isolated(104));
-    EXPECT_FALSE(n.promises->outage_is_cluster_wide(104)); // nobody has said anything
-    auto calls = n.tick(104, 100);
-    n.reply(104.1, calls[0], LeaseExtensionResponse{false, true, {}});
-    EXPECT_TRUE(n.promises->outage_is_cluster_wide(104.2));
-    n.reply(104.3, calls[1], LeaseExtensionResponse{true, false, {}});
-    EXPECT_TRUE(n.promises->is_isolated(104.4));
-    EXPECT_FALSE(n.promises->outage_is_cluster_wide(104.4));
-    EXPECT_FALSE(n.promises->is_isolated(110)); // that was long ago
+TEST(LeaseExtension, ResponsesTellIsolationFromAClusterWideOutage) {
+    RequesterFixture requester;
+    EXPECT_FALSE(requester.extender->is_isolated(104));
+    EXPECT_FALSE(requester.extender->outage_is_cluster_wide(104)); // nobody has said anything
+    auto requests = requester.tick(104, 100);
+    requester.respond(104.1, requests[0], LeaseExtensionResponse{false, true, {}});
+    EXPECT_TRUE(requester.extender->outage_is_cluster_wide(104.2));
+    requester.respond(104.3, requests[1], LeaseExtensionResponse{true, false, {}});
+    EXPECT_TRUE(requester.extender->is_isolated(104.4));
+    EXPECT_FALSE(requester.extender->outage_is_cluster_wide(104.4));
+    EXPECT_FALSE(requester.extender->is_isolated(110)); // that was long ago
 }
 
-LeaseExtensionRequest ask() { return {0, 7, kLongest, 4}; }
+LeaseExtensionRequest extension_request() { return {0, 7, kMaxExtensionS, 4}; }
 
-TEST(Promises, AreGivenOnlyWithoutTheStateServiceAndKept) {
-    Node s(1);
-    EXPECT_TRUE(s.promises->handle_request(104, ask(), false, 0, 103.5).store_reachable);
-    EXPECT_FALSE(s.promises->handle_request(104, ask(), false, 0, 103.5).granted);
-    EXPECT_FALSE(s.promises->handle_request(104, ask(), true, 0, 100)
+TEST(LeaseExtension, IsGrantedOnlyDuringAStoreOutageAndBlocksCampaigns) {
+    ExtenderFixture granter(1);
+    EXPECT_TRUE(granter.extender->handle_request(104, extension_request(), false, 0, 103.5)
+                    .store_reachable);
+    EXPECT_FALSE(
+        granter.extender->handle_request(104, extension_request(), false, 0, 103.5).granted);
+    EXPECT_FALSE(granter.extender->handle_request(104, extension_request(), true, 0, 100)
                      .granted); // it is after the part itself
-    EXPECT_TRUE(s.promises->may_campaign(104, 0, 0));
-    EXPECT_TRUE(s.promises->handle_request(104, ask(), false, 0, 100).granted);
-    EXPECT_FALSE(s.promises->may_campaign(104 + kLongest, 0, 0)); // its clock may be the faster one
-    EXPECT_TRUE(s.promises->may_campaign(104 + kLongest * (1 + 2 * kMaxClockDrift), 0, 0));
-    EXPECT_TRUE(s.promises->may_campaign(105, 1, 0)); // its own part
-    LeaseExtensionRequest longer = ask();
-    longer.duration_s = kLongest + 1; // longer than it would wait after a start
-    EXPECT_FALSE(s.promises->handle_request(130, longer, false, 0, 100).granted);
+    EXPECT_TRUE(granter.extender->may_campaign(104, 0, 0));
+    EXPECT_TRUE(granter.extender->handle_request(104, extension_request(), false, 0, 100).granted);
+    EXPECT_FALSE(granter.extender->may_campaign(104 + kMaxExtensionS, 0,
+                                                0)); // its clock may be the faster one
+    EXPECT_TRUE(
+        granter.extender->may_campaign(104 + kMaxExtensionS * (1 + 2 * kMaxClockDrift), 0, 0));
+    EXPECT_TRUE(granter.extender->may_campaign(105, 1, 0)); // its own part
+    LeaseExtensionRequest too_long = extension_request();
+    too_long.duration_s = kMaxExtensionS + 1; // longer than it would wait after a start
+    EXPECT_FALSE(granter.extender->handle_request(130, too_long, false, 0, 100).granted);
 }
 
-TEST(Promises, OfAProcessThatEndedAreHonouredByTheNext) {
-    Node s(1); // it may have promised just before its start at 100
-    EXPECT_FALSE(s.promises->may_campaign(100 + kLongest, 0, 100));
-    EXPECT_TRUE(s.promises->may_campaign(100 + kLongest * (1 + 2 * kMaxClockDrift), 0, 100));
-    EXPECT_TRUE(s.promises->may_campaign(100.1, 1, 100));
+TEST(LeaseExtension, RestartedControllerHonorsGrantsOfItsPreviousIncarnation) {
+    ExtenderFixture granter(1); // it may have promised just before its start at 100
+    EXPECT_FALSE(granter.extender->may_campaign(100 + kMaxExtensionS, 0, 100));
+    EXPECT_TRUE(
+        granter.extender->may_campaign(100 + kMaxExtensionS * (1 + 2 * kMaxClockDrift), 0, 100));
+    EXPECT_TRUE(granter.extender->may_campaign(100.1, 1, 100));
     // And what users were told by the process before it does not know, so it promises nothing.
-    EXPECT_FALSE(s.promises->handle_request(104, ask(), false, 104 - 4 - kLeaseS + 1, 100).granted);
-    EXPECT_TRUE(s.promises->handle_request(104, ask(), false, 104 - 4 - kLeaseS - 1, 100).granted);
+    EXPECT_FALSE(
+        granter.extender
+            ->handle_request(104, extension_request(), false, 104 - 4 - kWorkerLeaseS + 1, 100)
+            .granted);
+    EXPECT_TRUE(
+        granter.extender
+            ->handle_request(104, extension_request(), false, 104 - 4 - kWorkerLeaseS - 1, 100)
+            .granted);
 }
 
-TEST(Promises, NameTheJobsThatUsersWereToldAreCancelled) {
-    Node s(1);
-    s.index.observe_outcome(50, "req-1", Outcome::cancelled);
-    s.index.observe_outcome(95, "req-2", Outcome::cancelled);
-    s.index.observe_outcome(96, "req-3", Outcome::done);
-    EXPECT_EQ(s.promises->handle_request(104, ask(), false, 0, 100).cancelled_jobs,
-              (std::vector<std::string>{"req-2"}));
+TEST(LeaseExtension, ResponseNamesTheJobsConfirmedAsCancelled) {
+    ExtenderFixture granter(1);
+    granter.job_cache.observe_outcome(50, "req-1", Outcome::cancelled);
+    granter.job_cache.observe_outcome(95, "req-2", Outcome::cancelled);
+    granter.job_cache.observe_outcome(96, "req-3", Outcome::done);
+    EXPECT_EQ(
+        granter.extender->handle_request(104, extension_request(), false, 0, 100).cancelled_jobs,
+        (std::vector<std::string>{"req-2"}));
     for (int n = 0; n < 2000; ++n) { // more than it remembers
-        s.index.observe_outcome(97, "req-1" + std::to_string(n), Outcome::cancelled);
+        granter.job_cache.observe_outcome(97, "req-1" + std::to_string(n), Outcome::cancelled);
     }
-    EXPECT_FALSE(s.promises->handle_request(104, ask(), false, 0, 100).granted);
+    EXPECT_FALSE(granter.extender->handle_request(104, extension_request(), false, 0, 100).granted);
 }
 
 // ---- Whole nodes ----
 
-int red(const World& world) { return partition_of_team(world.facts(0), "red"); }
+int red_partition(const World& world) { return partition_of_team(world.facts(0), "red"); }
 
-void start(World& world, const std::string& id, std::uint32_t tasks) {
+void start_job(World& world, const std::string& id, std::uint32_t tasks) {
     world.run_for(20); // long enough up to be believed
     world.submit(0, world.job(id, tasks));
     world.run_for(30);
     ASSERT_EQ(world.machines_of({id, 0}).size(), 1u);
 }
 
-TEST(Outage, LongerThanAnyLeaseEndsNoTask) {
+TEST(StoreOutage, NoTaskStopsDuringAnOutageLongerThanAnyLease) {
     World world({.run_s = 200});
-    start(world, "req-1", 8);
+    start_job(world, "req-1", 8);
     world.state_down(true);
     world.run_for(60);
     for (std::uint32_t i = 0; i < 8; ++i) {
@@ -189,10 +204,10 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-TEST(Outage, WithASiblingOutOfReachEndsAuthorityWithTheLease) {
+TEST(StoreOutage, LeadershipEndsWithItsLeaseWhenAPeerIsUnreachable) {
     World world({.run_s = 200});
-    start(world, "req-1", 4);
-    int leader = world.owner(red(world));
+    start_job(world, "req-1", 4);
+    int leader = world.owner(red_partition(world));
     world.cut_peers(leader, (leader + 1) % 3, true);
     world.state_down(true);
     world.run_for(60);
@@ -204,12 +219,12 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-// The owner is refused alone, a user cancels elsewhere, and then nobody has the state service: the
-// siblings' promises tell the owner, or its tasks would run on for as long as the outage lasts.
-TEST(Outage, ACancellationThatTheOwnerMissedReachesItWithThePromises) {
+// The owner is refused alone, a user cancels elsewhere, and then nobody has the state service:
+// the siblings' promises tell the owner, or its tasks would run on for as long as the outage lasts.
+TEST(StoreOutage, LeaderLearnsAMissedCancellationFromExtensions) {
     World world({.run_s = 300});
-    start(world, "req-1", 4);
-    int leader = world.owner(red(world));
+    start_job(world, "req-1", 4);
+    int leader = world.owner(red_partition(world));
     world.state_refuses(leader, true);
     world.run_for(1);
     RequestId id = world.cancel((leader + 1) % 3, "req-1");
@@ -224,25 +239,25 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-TEST(Outage, ThatEndsForTheOthersFirstMovesThePart) {
+TEST(StoreOutage, PartitionMovesWhenTheOutageEndsForTheOthersFirst) {
     World world({.run_s = 300});
-    start(world, "req-1", 4);
-    int leader = world.owner(red(world));
+    start_job(world, "req-1", 4);
+    int leader = world.owner(red_partition(world));
     world.state_down(true);
     world.run_for(20);
     world.state_refuses(leader, true);
     world.state_down(false);
     world.run_for(40);
-    EXPECT_NE(world.owner(red(world)), leader);
+    EXPECT_NE(world.owner(red_partition(world)), leader);
     world.state_refuses(leader, false);
     world.run_for(60);
     EXPECT_EQ(world.machines_of({"req-1", 0}).size(), 1u);
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-TEST(Outage, ANodeStaysReadyInOneThatIsEveryonesAndNotWhenItAloneIsCutOff) {
+TEST(StoreOutage, ReadyInAClusterWideOutageButNotWhenIsolated) {
     World world({.run_s = 300});
-    start(world, "req-1", 4);
+    start_job(world, "req-1", 4);
     world.state_down(true);
     world.run_for(30);
     EXPECT_EQ(world.probe(0), 200);
@@ -260,53 +275,59 @@
 
 // Long outages for all and for single nodes, with crashes, cuts, lost and late messages and
 // cancellations before, in and after them.
-class LongOutages : public testing::TestWithParam<int> {};
+class RandomStoreOutages : public testing::TestWithParam<int> {};
 
-TEST_P(LongOutages, KeepTheRules) {
+TEST_P(RandomStoreOutages, InvariantsHold) {
     auto seed = static_cast<std::uint64_t>(GetParam());
-    int nodes = seed % 2 ? 3 : 5;
+    int controllers = seed % 2 ? 3 : 5;
     World world({.seed = seed,
-                 .nodes = nodes,
+                 .nodes = controllers,
                  .drop = 0.02,
                  .late = 0.02,
                  .run_s = 25,
                  .notices = seed % 4 < 2});
     std::mt19937_64 random(seed * 977);
-    auto any = [&](int n) { return static_cast<int>(random() % n); };
+    auto random_below = [&](int n) { return static_cast<int>(random() % n); };
     world.run_for(20);
     int jobs = 0;
     for (int round = 0; round < 4; ++round) {
         for (int k = 0; k < 4; ++k) {
-            JobSpec spec = world.job("req-" + std::to_string(++jobs), 2 + any(6), 1 + any(3));
-            spec.team = any(2) ? "red" : "blue";
-            world.submit(any(nodes), spec);
+            JobSpec spec = world.job("req-" + std::to_string(++jobs), 2 + random_below(6),
+                                     1 + random_below(3));
+            spec.team = random_below(2) ? "red" : "blue";
+            world.submit(random_below(controllers), spec);
             world.run_for(3);
         }
-        int alone = any(nodes);
-        bool first_alone = any(2) != 0;
-        world.state_refuses(alone, first_alone);
-        world.cancel(any(nodes), "req-" + std::to_string(1 + any(jobs)));
-        world.run_for(0.5 + any(4));
+        int isolated = random_below(controllers);
+        bool isolated_before = random_below(2) != 0;
+        world.state_refuses(isolated, isolated_before);
+        world.cancel(random_below(controllers), "req-" + std::to_string(1 + random_below(jobs)));
+        world.run_for(0.5 + random_below(4));
         world.state_down(true);
-        for (int k = 0; k < 2 + any(5); ++k) {
-            world.run_for(4 + any(8));
-            switch (any(6)) {
-            case 0: world.crash(any(nodes), 1 + any(8)); break;
-            case 1: world.cut_peers(any(nodes), any(nodes), true); break;
-            case 2: world.cut_workers(any(nodes), true); break;
-            case 3: world.cancel(any(nodes), "req-" + std::to_string(1 + any(jobs))); break;
+        for (int k = 0; k < 2 + random_below(5); ++k) {
+            world.run_for(4 + random_below(8));
+            switch (random_below(6)) {
+            case 0: world.crash(random_below(controllers), 1 + random_below(8)); break;
+            case 1:
+                world.cut_peers(random_below(controllers), random_below(controllers), true);
+                break;
+            case 2: world.cut_workers(random_below(controllers), true); break;
+            case 3:
+                world.cancel(random_below(controllers),
+                             "req-" + std::to_string(1 + random_below(jobs)));
+                break;
             default: break;
             }
             ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
         }
-        world.state_refuses(alone, any(2) != 0);
+        world.state_refuses(isolated, random_below(2) != 0);
         world.state_down(false);
-        world.run_for(any(30));
-        world.cancel(any(nodes), "req-" + std::to_string(1 + any(jobs)));
-        world.state_refuses(alone, false);
-        for (int n = 0; n < nodes; ++n) {
+        world.run_for(random_below(30));
+        world.cancel(random_below(controllers), "req-" + std::to_string(1 + random_below(jobs)));
+        world.state_refuses(isolated, false);
+        for (int n = 0; n < controllers; ++n) {
             world.cut_workers(n, false);
-            for (int to = 0; to < nodes; ++to) {
+            for (int to = 0; to < controllers; ++to) {
                 world.cut_peers(n, to, false);
             }
         }
@@ -319,7 +340,7 @@
         EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
     }
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, LongOutages, testing::Range(1, 13));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomStoreOutages, testing::Range(1, 13));
 
 } // namespace
 } // namespace scheduler::test
