--- a/tests/lease_extension_test.cpp
+++ b/tests/lease_extension_test.cpp
@@ -1,4 +1,5 @@
-// Promises between siblings: an outage longer than any lease, and what must end them.
+// Tests of lease extensions between peers, which keep leaders active during a store outage longer
+// than any lease, and of the conditions that end them.
 #include <gtest/gtest.h>
 
 #include "core/leadership/lease_extender.h"
@@ -12,7 +13,7 @@
 constexpr double kHeartbeatIntervalS = 3;
 constexpr double kWorkerLeaseS = 17;
 
-// One node's extender, with its calls in hand.
+// A controller's extender, whose requests to peers the test answers.
 struct ExtenderFixture {
     ClusterSettings settings;
     StoreRateLimiter rate_limiter{100, 20, 3};
@@ -53,18 +54,18 @@
     }
 };
 
-// A node whose lease was renewed last at 100 and that holds its home part.
+// A controller that leads its home partition and whose lease was last renewed at 100.
 struct RequesterFixture : ExtenderFixture {
     RequesterFixture() : ExtenderFixture(0) {
         lease.on_granted(1, 100);
         lease.on_elected(0, 7);
-        lease.on_elected(1, 8); // a sibling's part as well
+        lease.on_elected(1, 8); // also leads a peer's home partition
     }
 };
 
 TEST(LeaseExtension, TakesEffectFromTheRequestOnceAllPeersGrantIt) {
     RequesterFixture requester;
-    EXPECT_TRUE(requester.tick(101, 100).empty()); // in contact
+    EXPECT_TRUE(requester.tick(101, 100).empty()); // the store responded recently
     auto requests = requester.tick(104, 100);
     ASSERT_EQ(requests.size(), 2u);
     requester.respond(105.4, requests[0], LeaseExtensionResponse{false, true, {}});
@@ -74,7 +75,7 @@
     EXPECT_TRUE(requester.lease.is_valid(104 + kMaxExtensionS * (1 - 2 * kMaxClockDrift), 0));
     EXPECT_FALSE(requester.lease.is_valid(104 + kMaxExtensionS, 0));
     EXPECT_FALSE(
-        requester.lease.is_valid(112, 1)); // its owner of before may have forgotten a promise
+        requester.lease.is_valid(112, 1)); // its home controller forgets grants on a restart
     EXPECT_FALSE(requester.lease.is_valid(112));
 }
 
@@ -87,7 +88,7 @@
     requests = requester.tick(116, 100);
     ASSERT_EQ(requests.size(), 2u);
     requester.respond(200, requests[0],
-                      LeaseExtensionResponse{false, true, {}}); // as old as its question
+                      LeaseExtensionResponse{false, true, {}}); // counts from its request
     requester.respond(200, requests[1], LeaseExtensionResponse{false, true, {}});
     EXPECT_FALSE(requester.lease.is_valid(200, 0));
 }
@@ -113,14 +114,14 @@
 TEST(LeaseExtension, ResponsesTellIsolationFromAClusterWideOutage) {
     RequesterFixture requester;
     EXPECT_FALSE(requester.extender->is_isolated(104));
-    EXPECT_FALSE(requester.extender->outage_is_cluster_wide(104)); // nobody has said anything
+    EXPECT_FALSE(requester.extender->outage_is_cluster_wide(104)); // no response yet
     auto requests = requester.tick(104, 100);
     requester.respond(104.1, requests[0], LeaseExtensionResponse{false, true, {}});
     EXPECT_TRUE(requester.extender->outage_is_cluster_wide(104.2));
     requester.respond(104.3, requests[1], LeaseExtensionResponse{true, false, {}});
     EXPECT_TRUE(requester.extender->is_isolated(104.4));
     EXPECT_FALSE(requester.extender->outage_is_cluster_wide(104.4));
-    EXPECT_FALSE(requester.extender->is_isolated(110)); // that was long ago
+    EXPECT_FALSE(requester.extender->is_isolated(110)); // the last response is too old
 }
 
 LeaseExtensionRequest extension_request() { return {0, 7, kMaxExtensionS, 4}; }
@@ -132,26 +133,28 @@
     EXPECT_FALSE(
         granter.extender->handle_request(104, extension_request(), false, 0, 103.5).granted);
     EXPECT_FALSE(granter.extender->handle_request(104, extension_request(), true, 0, 100)
-                     .granted); // it is after the part itself
+                     .granted); // it leads the partition or campaigns for it
     EXPECT_TRUE(granter.extender->may_campaign(104, 0, 0));
     EXPECT_TRUE(granter.extender->handle_request(104, extension_request(), false, 0, 100).granted);
     EXPECT_FALSE(granter.extender->may_campaign(104 + kMaxExtensionS, 0,
-                                                0)); // its clock may be the faster one
+                                                0)); // its clock may run faster
     EXPECT_TRUE(
         granter.extender->may_campaign(104 + kMaxExtensionS * (1 + 2 * kMaxClockDrift), 0, 0));
-    EXPECT_TRUE(granter.extender->may_campaign(105, 1, 0)); // its own part
+    EXPECT_TRUE(granter.extender->may_campaign(105, 1, 0)); // its home partition
     LeaseExtensionRequest too_long = extension_request();
-    too_long.duration_s = kMaxExtensionS + 1; // longer than it would wait after a start
+    too_long.duration_s = kMaxExtensionS + 1; // longer than a new process waits
     EXPECT_FALSE(granter.extender->handle_request(130, too_long, false, 0, 100).granted);
 }
 
 TEST(LeaseExtension, RestartedControllerHonorsGrantsOfItsPreviousIncarnation) {
-    ExtenderFixture granter(1); // it may have promised just before its start at 100
+    ExtenderFixture granter(1); // may have granted just before its restart at 100
     EXPECT_FALSE(granter.extender->may_campaign(100 + kMaxExtensionS, 0, 100));
     EXPECT_TRUE(
         granter.extender->may_campaign(100 + kMaxExtensionS * (1 + 2 * kMaxClockDrift), 0, 100));
     EXPECT_TRUE(granter.extender->may_campaign(100.1, 1, 100));
-    // And what users were told by the process before it does not know, so it promises nothing.
+    // It does not know the cancellations that its previous incarnation confirmed to users. It
+    // grants only if the requester's knowledge, less one worker lease, is more recent than its own
+    // start.
     EXPECT_FALSE(
         granter.extender
             ->handle_request(104, extension_request(), false, 104 - 4 - kWorkerLeaseS + 1, 100)
@@ -170,18 +173,18 @@
     EXPECT_EQ(
         granter.extender->handle_request(104, extension_request(), false, 0, 100).cancelled_jobs,
         (std::vector<std::string>{"req-2"}));
-    for (int n = 0; n < 2000; ++n) { // more than it remembers
+    for (int n = 0; n < 2000; ++n) { // more than the cache holds
         granter.job_cache.observe_outcome(97, "req-1" + std::to_string(n), Outcome::cancelled);
     }
     EXPECT_FALSE(granter.extender->handle_request(104, extension_request(), false, 0, 100).granted);
 }
 
-// ---- Whole nodes ----
+// ---- Store outages in a simulated cluster ----
 
 int red_partition(const World& world) { return partition_of_team(world.facts(0), "red"); }
 
 void start_job(World& world, const std::string& id, std::uint32_t tasks) {
-    world.run_for(20); // long enough up to be believed
+    world.run_for(20); // until controllers have run long enough to grant extensions
     world.submit(0, world.job(id, tasks));
     world.run_for(30);
     ASSERT_EQ(world.machines_of({id, 0}).size(), 1u);
@@ -211,7 +214,7 @@
     world.cut_peers(leader, (leader + 1) % 3, true);
     world.state_down(true);
     world.run_for(60);
-    EXPECT_TRUE(world.machines_of({"req-1", 0}).empty()); // its worker's lease is over
+    EXPECT_TRUE(world.machines_of({"req-1", 0}).empty()); // its worker's lease has ended
     world.state_down(false);
     world.cut_peers(leader, (leader + 1) % 3, false);
     world.run_for(60);
@@ -219,8 +222,9 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-// The owner is refused alone, a user cancels elsewhere, and then nobody has the state service:
-// the siblings' promises tell the owner, or its tasks would run on for as long as the outage lasts.
+// The store refuses only the leader, a user cancels a job at another controller, and then the store
+// is down for all. The leader must learn the cancellation from its peers' responses to extension
+// requests, or the job's tasks would run for as long as the outage lasts.
 TEST(StoreOutage, LeaderLearnsAMissedCancellationFromExtensions) {
     World world({.run_s = 300});
     start_job(world, "req-1", 4);
@@ -263,7 +267,7 @@
     EXPECT_EQ(world.probe(0), 200);
     RequestId id = world.submit(0, world.job("req-2", 1));
     world.run_for(0.5);
-    EXPECT_EQ(world.answers.at(id).status, 503); // at once, with a time to come back
+    EXPECT_EQ(world.answers.at(id).status, 503); // immediately, with a retry delay
     EXPECT_GT(world.answers.at(id).retry_after_s, 0);
     world.state_down(false);
     world.run_for(10);
@@ -273,8 +277,8 @@
     EXPECT_EQ(world.probe(1), 200);
 }
 
-// Long outages for all and for single nodes, with crashes, cuts, lost and late messages and
-// cancellations before, in and after them.
+// Long store outages for all and for single controllers, with crashes, cut connections, lost and
+// late messages, and cancellations before, during and after them.
 class RandomStoreOutages : public testing::TestWithParam<int> {};
 
 TEST_P(RandomStoreOutages, InvariantsHold) {
