--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -1,4 +1,4 @@
-// The roster against a scripted state service.
+// The registry against a scripted state service.
 #include <gtest/gtest.h>
 
 #include "core/machines/machine_registry.h"
@@ -6,92 +6,95 @@
 namespace scheduler::test {
 namespace {
 
-struct Desk {
-    StoreRateLimiter budget{1000, 1000, 1};
-    OutboundRequests calls{budget, 1};
-    std::vector<std::string> stand;
-    MachineRegistry roster{
+struct RegistryFixture {
+    StoreRateLimiter rate_limiter{1000, 1000, 1};
+    OutboundRequests requests{rate_limiter, 1};
+    std::vector<std::string> registered;
+    MachineRegistry registry{
         {"part/0", 7},
-        facts(),
-        calls,
+        make_settings(),
+        requests,
         [this](Time, const OutboundResponse&, const std::vector<std::string>& names) {
-            stand.insert(stand.end(), names.begin(), names.end());
+            registered.insert(registered.end(), names.begin(), names.end());
         }};
-    static ClusterSettings facts() {
+    static ClusterSettings make_settings() {
         ClusterSettings settings;
         settings.store_transaction_limit = 12;
         settings.heartbeat_interval_s = 3;
         return settings;
     }
     // What was sent since the last time.
-    std::vector<OutboundRequest> sent() {
+    std::vector<OutboundRequest> take_requests() {
         Outputs out;
-        calls.drain_into(out);
+        requests.drain_into(out);
         return out.requests;
     }
-    void reply(Time now, const OutboundRequest& call, int status, std::uint64_t at_revision = 0) {
-        OutboundResponse r;
-        r.request_id = call.id;
-        r.status = status;
-        r.revision = at_revision;
-        calls.handle_response(now, r);
+    void respond(Time now, const OutboundRequest& request, int status,
+                 std::uint64_t at_revision = 0) {
+        OutboundResponse response;
+        response.request_id = request.id;
+        response.status = status;
+        response.revision = at_revision;
+        requests.handle_response(now, response);
     }
-    // A state service of a few keys: what it answers to the call, if it is carried out.
-    std::map<std::string, std::uint64_t> keys{{"part/0", 7}};
+    // A state service of a few keys: what it answers to the request, if it is carried out.
+    std::map<std::string, std::uint64_t> versions{{"part/0", 7}};
     std::uint64_t revision = 7;
-    OutboundResponse carry_out(const OutboundRequest& call) {
-        OutboundResponse r;
-        r.request_id = call.id;
-        r.status = 200;
-        if (const auto* get = std::get_if<StoreGet>(&call.body)) {
-            auto it = keys.find(get->key);
-            r.status = it == keys.end() ? 404 : 200;
-            if (r.status == 200) {
-                r.entries.push_back({get->key, MachineRecord{}, it->second});
+    OutboundResponse execute(const OutboundRequest& request) {
+        OutboundResponse response;
+        response.request_id = request.id;
+        response.status = 200;
+        if (const auto* get = std::get_if<StoreGet>(&request.body)) {
+            auto it = versions.find(get->key);
+            response.status = it == versions.end() ? 404 : 200;
+            if (response.status == 200) {
+                response.entries.push_back({get->key, MachineRecord{}, it->second});
             }
-            return r;
+            return response;
         }
-        const auto& txn = std::get<StoreTransaction>(call.body);
+        const auto& txn = std::get<StoreTransaction>(request.body);
         for (const auto& condition : txn.conditions) {
-            if ((keys.contains(condition.key) ? keys[condition.key] : 0) != condition.version) {
-                r.failed_keys.push_back(condition.key);
+            if ((versions.contains(condition.key) ? versions[condition.key] : 0) !=
+                condition.version) {
+                response.failed_keys.push_back(condition.key);
             }
         }
-        r.status = r.failed_keys.empty() ? 200 : 409;
-        r.revision = r.status == 200 ? ++revision : revision;
-        for (const auto& c : txn.writes) {
-            if (r.status == 200 && c.value) {
-                keys[c.key] = revision;
-            } else if (r.status == 200) {
-                keys.erase(c.key);
+        response.status = response.failed_keys.empty() ? 200 : 409;
+        response.revision = response.status == 200 ? ++revision : revision;
+        for (const auto& write : txn.writes) {
+            if (response.status == 200 && write.value) {
+                versions[write.key] = revision;
+            } else if (response.status == 200) {
+                versions.erase(write.key);
             }
         }
-        return r;
+        return response;
     }
     // Everything is carried out and answered until nothing more is sent.
-    void serve(Time now) {
-        roster.flush(now);
-        for (auto calls_sent = sent(); !calls_sent.empty(); calls_sent = sent()) {
-            for (const auto& call : calls_sent) {
-                OutboundResponse r = carry_out(call);
-                calls.handle_response(now, r);
+    void execute_all(Time now) {
+        registry.flush(now);
+        for (auto sent = take_requests(); !sent.empty(); sent = take_requests()) {
+            for (const auto& request : sent) {
+                OutboundResponse response = execute(request);
+                requests.handle_response(now, response);
             }
         }
     }
 };
 
-std::string name(int n) { return "i-" + std::to_string(100 + n); }
+std::string machine_name(int n) { return "i-" + std::to_string(100 + n); }
 
-TEST(Roster, MachinesThatComeTogetherShareTransactions) {
-    Desk d;
+TEST(MachineRegistry, MachinesAddedTogetherShareTransactions) {
+    RegistryFixture fixture;
     for (int n = 0; n < 30; ++n) {
-        d.roster.add(0, 0, name(n), {"10.0.0.1:1", "m8", "a", true});
+        fixture.registry.add(0, 0, machine_name(n), {"10.0.0.1:1", "m8", "a", true});
     }
-    std::size_t requests = 0;
+    std::size_t transactions = 0;
     std::size_t changes = 0;
-    for (auto calls = d.sent(); !calls.empty(); calls = d.sent()) {
-        ASSERT_EQ(calls.size(), 1u); // one at a time
-        const auto& txn = std::get<StoreTransaction>(calls[0].body);
+    for (auto requests = fixture.take_requests(); !requests.empty();
+         requests = fixture.take_requests()) {
+        ASSERT_EQ(requests.size(), 1u); // one at a time
+        const auto& txn = std::get<StoreTransaction>(requests[0].body);
         ASSERT_EQ(txn.conditions.size(), 1 + txn.writes.size());
         EXPECT_EQ(txn.conditions[0].key, "part/0");
         EXPECT_EQ(txn.conditions[0].version, 7u);             // under the claim as it stands
@@ -100,121 +103,121 @@
             EXPECT_EQ(txn.conditions[i + 1].version, 0u);
         }
         EXPECT_LE(txn.writes.size(), 12u);
-        ++requests;
+        ++transactions;
         changes += txn.writes.size();
-        d.reply(0.01, calls[0], 200);
+        fixture.respond(0.01, requests[0], 200);
     }
     EXPECT_EQ(changes, 30u);
-    EXPECT_LE(requests, 4u);
-    EXPECT_EQ(d.stand.size(), 30u);
+    EXPECT_LE(transactions, 4u);
+    EXPECT_EQ(fixture.registered.size(), 30u);
 }
 
-TEST(Roster, GoesInSmallerStepsWhereTheBudgetIsShort) {
-    Desk d;
-    while (d.budget.try_acquire(0, StoreRateLimiter::Use::user, 100)) {
+TEST(MachineRegistry, SendsSmallerTransactionsWhenTheRateLimitIsNearlyExhausted) {
+    RegistryFixture fixture;
+    while (fixture.rate_limiter.try_acquire(0, StoreRateLimiter::Use::user, 100)) {
     }
-    while (d.budget.try_acquire(0, StoreRateLimiter::Use::user,
-                                3)) { // a change or two more is all there is
+    while (fixture.rate_limiter.try_acquire(0, StoreRateLimiter::Use::user,
+                                            3)) { // a change or two more is all there is
     }
     for (int n = 0; n < 12; ++n) {
-        d.roster.add(0, 0, name(n), {});
+        fixture.registry.add(0, 0, machine_name(n), {});
     }
     std::size_t changes = 0;
-    for (Time t = 0.001; t < 1; t += 0.001) { // others take what comes in, but for one change
-        d.roster.flush(t);
-        for (const auto& call : d.sent()) {
-            changes += std::get<StoreTransaction>(call.body).writes.size();
-            d.reply(t, call, 200);
+    for (Time now = 0.001; now < 1; now += 0.001) { // others take what comes in, but for one change
+        fixture.registry.flush(now);
+        for (const auto& request : fixture.take_requests()) {
+            changes += std::get<StoreTransaction>(request.body).writes.size();
+            fixture.respond(now, request, 200);
         }
-        while (d.budget.try_acquire(t, StoreRateLimiter::Use::user, 2)) {
+        while (fixture.rate_limiter.try_acquire(now, StoreRateLimiter::Use::user, 2)) {
         }
     }
     EXPECT_EQ(changes, 12u);
-    EXPECT_EQ(d.stand.size(), 12u);
+    EXPECT_EQ(fixture.registered.size(), 12u);
 }
 
-TEST(Roster, WhatFailedOrHadNoAnswerIsSentAgain) {
-    Desk d;
-    d.roster.on_loaded(name(2), 5);
-    d.roster.add(0, 0, name(1), {});
-    d.roster.remove(0, 0, name(2));
-    d.reply(0.1, d.sent().at(0), 0);
-    EXPECT_TRUE(d.stand.empty());
-    d.roster.flush(0.2);
-    EXPECT_TRUE(d.sent().empty()); // not at once
-    d.roster.flush(1);
-    auto again = d.sent();
-    ASSERT_EQ(again.size(), 1u);
-    EXPECT_EQ(std::get<StoreTransaction>(again[0].body).writes.size(), 2u);
-    d.reply(1.1, again[0], 200);
-    EXPECT_EQ(d.stand, std::vector<std::string>{name(1)});
-    d.roster.flush(3);
-    EXPECT_TRUE(d.sent().empty());
+TEST(MachineRegistry, UnansweredTransactionIsRetriedAfterADelay) {
+    RegistryFixture fixture;
+    fixture.registry.on_loaded(machine_name(2), 5);
+    fixture.registry.add(0, 0, machine_name(1), {});
+    fixture.registry.remove(0, 0, machine_name(2));
+    fixture.respond(0.1, fixture.take_requests().at(0), 0);
+    EXPECT_TRUE(fixture.registered.empty());
+    fixture.registry.flush(0.2);
+    EXPECT_TRUE(fixture.take_requests().empty()); // not at once
+    fixture.registry.flush(1);
+    auto retry = fixture.take_requests();
+    ASSERT_EQ(retry.size(), 1u);
+    EXPECT_EQ(std::get<StoreTransaction>(retry[0].body).writes.size(), 2u);
+    fixture.respond(1.1, retry[0], 200);
+    EXPECT_EQ(fixture.registered, std::vector<std::string>{machine_name(1)});
+    fixture.registry.flush(3);
+    EXPECT_TRUE(fixture.take_requests().empty());
 }
 
 // A drop without an answer was carried out after the machine had been entered anew under the same
-// claim, and took a machine that carried tasks off the roster: the next owner would not have asked
-// it.
-TEST(Roster, ALateDropLeavesAnEntryThatCameAfterIt) {
-    Desk d;
-    const std::string key = "machine/0/" + name(1);
-    d.roster.add(0, 0, name(1), {});
-    d.serve(0);
-    ASSERT_TRUE(d.keys.contains(key));
-    d.roster.remove(1, 0, name(1));
-    OutboundRequest late = d.sent().at(0);
-    d.reply(2, late, 0); // no answer
-    d.roster.add(3, 0, name(1), {});
-    d.serve(4);
-    ASSERT_EQ(d.stand.size(), 2u);
-    EXPECT_EQ(d.carry_out(late).status, 409);
-    EXPECT_TRUE(d.keys.contains(key));
+// claim, and took a machine that carried tasks off the registry: the next owner would not have
+// asked it.
+TEST(MachineRegistry, LateRemovalDoesNotDeleteANewerEntry) {
+    RegistryFixture fixture;
+    const std::string key = "machine/0/" + machine_name(1);
+    fixture.registry.add(0, 0, machine_name(1), {});
+    fixture.execute_all(0);
+    ASSERT_TRUE(fixture.versions.contains(key));
+    fixture.registry.remove(1, 0, machine_name(1));
+    OutboundRequest late = fixture.take_requests().at(0);
+    fixture.respond(2, late, 0); // no answer
+    fixture.registry.add(3, 0, machine_name(1), {});
+    fixture.execute_all(4);
+    ASSERT_EQ(fixture.registered.size(), 2u);
+    EXPECT_EQ(fixture.execute(late).status, 409);
+    EXPECT_TRUE(fixture.versions.contains(key));
     // Carried out before: the entry is found gone, and written.
-    d.roster.remove(10, 0, name(1));
-    late = d.sent().at(0);
-    d.carry_out(late);
-    EXPECT_FALSE(d.keys.contains(key));
-    d.reply(11, late, 0);
-    d.roster.add(12, 0, name(1), {});
-    d.serve(13);
-    EXPECT_TRUE(d.keys.contains(key));
-    EXPECT_EQ(d.stand.size(), 3u);
+    fixture.registry.remove(10, 0, machine_name(1));
+    late = fixture.take_requests().at(0);
+    fixture.execute(late);
+    EXPECT_FALSE(fixture.versions.contains(key));
+    fixture.respond(11, late, 0);
+    fixture.registry.add(12, 0, machine_name(1), {});
+    fixture.execute_all(13);
+    EXPECT_TRUE(fixture.versions.contains(key));
+    EXPECT_EQ(fixture.registered.size(), 3u);
 }
 
-TEST(Roster, ALateEntryNeitherFailsNorIsWrittenOver) {
-    Desk d;
-    const std::string key = "machine/0/" + name(1);
-    d.roster.add(0, 0, name(1), {});
-    OutboundRequest late = d.sent().at(0);
-    d.carry_out(late); // and its answer is lost
-    d.reply(1, late, 0);
-    d.serve(2);
-    EXPECT_EQ(d.stand, std::vector<std::string>{name(1)});
-    EXPECT_TRUE(d.keys.contains(key));
-    d.roster.remove(3, 0, name(1));
-    d.serve(4);
-    EXPECT_FALSE(d.keys.contains(key));
+TEST(MachineRegistry, UnansweredAddThatTookEffectIsConfirmedAndCanBeRemoved) {
+    RegistryFixture fixture;
+    const std::string key = "machine/0/" + machine_name(1);
+    fixture.registry.add(0, 0, machine_name(1), {});
+    OutboundRequest late = fixture.take_requests().at(0);
+    fixture.execute(late); // and its answer is lost
+    fixture.respond(1, late, 0);
+    fixture.execute_all(2);
+    EXPECT_EQ(fixture.registered, std::vector<std::string>{machine_name(1)});
+    EXPECT_TRUE(fixture.versions.contains(key));
+    fixture.registry.remove(3, 0, machine_name(1));
+    fixture.execute_all(4);
+    EXPECT_FALSE(fixture.versions.contains(key));
     // One that an owner before us entered, not read yet, is dropped as well.
-    d.keys["machine/0/" + name(2)] = 3;
-    d.roster.remove(5, 0, name(2));
-    d.serve(6);
-    EXPECT_FALSE(d.keys.contains("machine/0/" + name(2)));
+    fixture.versions["machine/0/" + machine_name(2)] = 3;
+    fixture.registry.remove(5, 0, machine_name(2));
+    fixture.execute_all(6);
+    EXPECT_FALSE(fixture.versions.contains("machine/0/" + machine_name(2)));
 }
 
-TEST(Roster, AMachineThatGoesWhileItsEntryIsUnderWayIsDroppedAfterIt) {
-    Desk d;
-    d.roster.add(0, 0, name(1), {});
-    auto first = d.sent();
-    d.roster.remove(0.01, 0, name(1));
-    EXPECT_TRUE(d.sent().empty());
-    d.reply(0.02, first.at(0), 200);
-    EXPECT_TRUE(d.stand.empty()); // nothing may be started there
-    auto second = d.sent();
+TEST(MachineRegistry, MachineRemovedWhileItsAddIsInFlightIsDeletedAfterwards) {
+    RegistryFixture fixture;
+    fixture.registry.add(0, 0, machine_name(1), {});
+    auto first = fixture.take_requests();
+    fixture.registry.remove(0.01, 0, machine_name(1));
+    EXPECT_TRUE(fixture.take_requests().empty());
+    fixture.respond(0.02, first.at(0), 200);
+    EXPECT_TRUE(fixture.registered.empty()); // nothing may be started there
+    auto second = fixture.take_requests();
     ASSERT_EQ(second.size(), 1u);
-    const auto& then = std::get<StoreTransaction>(second[0].body).writes;
-    ASSERT_EQ(then.size(), 1u);
-    EXPECT_EQ(then[0].key, "machine/0/" + name(1));
-    EXPECT_FALSE(then[0].value);
+    const auto& writes = std::get<StoreTransaction>(second[0].body).writes;
+    ASSERT_EQ(writes.size(), 1u);
+    EXPECT_EQ(writes[0].key, "machine/0/" + machine_name(1));
+    EXPECT_FALSE(writes[0].value);
 }
 
 } // namespace
