--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -1,4 +1,4 @@
-// The registry against a scripted state service.
+// Tests of the machine registry against a scripted key-value store.
 #include <gtest/gtest.h>
 
 #include "core/machines/machine_registry.h"
@@ -6,6 +6,7 @@
 namespace scheduler::test {
 namespace {
 
+// A registry, and a key-value store that executes or drops its requests as the test decides.
 struct RegistryFixture {
     StoreRateLimiter rate_limiter{1000, 1000, 1};
     OutboundRequests requests{rate_limiter, 1};
@@ -23,7 +24,7 @@
         settings.heartbeat_interval_s = 3;
         return settings;
     }
-    // What was sent since the last time.
+    // Returns the requests that were sent since the last call.
     std::vector<OutboundRequest> take_requests() {
         Outputs out;
         requests.drain_into(out);
@@ -37,9 +38,9 @@
         response.revision = at_revision;
         requests.handle_response(now, response);
     }
-    // A state service of a few keys: what it answers to the request, if it is carried out.
-    std::map<std::string, std::uint64_t> versions{{"part/0", 7}};
+    std::map<std::string, std::uint64_t> versions{{"part/0", 7}}; // of the keys in the store
     std::uint64_t revision = 7;
+    // Executes the request in the store and returns the store's response.
     OutboundResponse execute(const OutboundRequest& request) {
         OutboundResponse response;
         response.request_id = request.id;
@@ -70,7 +71,7 @@
         }
         return response;
     }
-    // Everything is carried out and answered until nothing more is sent.
+    // Executes and answers all requests until no more are sent.
     void execute_all(Time now) {
         registry.flush(now);
         for (auto sent = take_requests(); !sent.empty(); sent = take_requests()) {
@@ -93,12 +94,12 @@
     std::size_t changes = 0;
     for (auto requests = fixture.take_requests(); !requests.empty();
          requests = fixture.take_requests()) {
-        ASSERT_EQ(requests.size(), 1u); // one at a time
+        ASSERT_EQ(requests.size(), 1u); // one transaction at a time
         const auto& txn = std::get<StoreTransaction>(requests[0].body);
         ASSERT_EQ(txn.conditions.size(), 1 + txn.writes.size());
         EXPECT_EQ(txn.conditions[0].key, "part/0");
-        EXPECT_EQ(txn.conditions[0].version, 7u);             // under the claim as it stands
-        for (std::size_t i = 0; i < txn.writes.size(); ++i) { // and none of them entered meanwhile
+        EXPECT_EQ(txn.conditions[0].version, 7u); // conditional on the current leadership term
+        for (std::size_t i = 0; i < txn.writes.size(); ++i) { // and on the absence of each entry
             EXPECT_EQ(txn.conditions[i + 1].key, txn.writes[i].key);
             EXPECT_EQ(txn.conditions[i + 1].version, 0u);
         }
@@ -116,14 +117,15 @@
     RegistryFixture fixture;
     while (fixture.rate_limiter.try_acquire(0, StoreRateLimiter::Use::user, 100)) {
     }
-    while (fixture.rate_limiter.try_acquire(0, StoreRateLimiter::Use::user,
-                                            3)) { // a change or two more is all there is
+    // Leaves only a change or two.
+    while (fixture.rate_limiter.try_acquire(0, StoreRateLimiter::Use::user, 3)) {
     }
     for (int n = 0; n < 12; ++n) {
         fixture.registry.add(0, 0, machine_name(n), {});
     }
     std::size_t changes = 0;
-    for (Time now = 0.001; now < 1; now += 0.001) { // others take what comes in, but for one change
+    // Other requests use all but one change of the refill.
+    for (Time now = 0.001; now < 1; now += 0.001) {
         fixture.registry.flush(now);
         for (const auto& request : fixture.take_requests()) {
             changes += std::get<StoreTransaction>(request.body).writes.size();
@@ -144,7 +146,7 @@
     fixture.respond(0.1, fixture.take_requests().at(0), 0);
     EXPECT_TRUE(fixture.registered.empty());
     fixture.registry.flush(0.2);
-    EXPECT_TRUE(fixture.take_requests().empty()); // not at once
+    EXPECT_TRUE(fixture.take_requests().empty()); // not retried immediately
     fixture.registry.flush(1);
     auto retry = fixture.take_requests();
     ASSERT_EQ(retry.size(), 1u);
@@ -155,9 +157,9 @@
     EXPECT_TRUE(fixture.take_requests().empty());
 }
 
-// A drop without an answer was carried out after the machine had been entered anew under the same
-// claim, and took a machine that carried tasks off the registry: the next owner would not have
-// asked it.
+// An unanswered removal was executed after the machine had been registered again in the same
+// leadership term. It deleted the entry of a machine that ran tasks, which the next leader would
+// then not have queried.
 TEST(MachineRegistry, LateRemovalDoesNotDeleteANewerEntry) {
     RegistryFixture fixture;
     const std::string key = "machine/0/" + machine_name(1);
@@ -166,13 +168,13 @@
     ASSERT_TRUE(fixture.versions.contains(key));
     fixture.registry.remove(1, 0, machine_name(1));
     OutboundRequest late = fixture.take_requests().at(0);
-    fixture.respond(2, late, 0); // no answer
+    fixture.respond(2, late, 0); // no response
     fixture.registry.add(3, 0, machine_name(1), {});
     fixture.execute_all(4);
     ASSERT_EQ(fixture.registered.size(), 2u);
     EXPECT_EQ(fixture.execute(late).status, 409);
     EXPECT_TRUE(fixture.versions.contains(key));
-    // Carried out before: the entry is found gone, and written.
+    // If the removal is executed before the new addition, the entry is written again.
     fixture.registry.remove(10, 0, machine_name(1));
     late = fixture.take_requests().at(0);
     fixture.execute(late);
@@ -189,7 +191,7 @@
     const std::string key = "machine/0/" + machine_name(1);
     fixture.registry.add(0, 0, machine_name(1), {});
     OutboundRequest late = fixture.take_requests().at(0);
-    fixture.execute(late); // and its answer is lost
+    fixture.execute(late); // its response is lost
     fixture.respond(1, late, 0);
     fixture.execute_all(2);
     EXPECT_EQ(fixture.registered, std::vector<std::string>{machine_name(1)});
@@ -197,7 +199,7 @@
     fixture.registry.remove(3, 0, machine_name(1));
     fixture.execute_all(4);
     EXPECT_FALSE(fixture.versions.contains(key));
-    // One that an owner before us entered, not read yet, is dropped as well.
+    // An entry of an earlier leader is removed as well, though it has not been read yet.
     fixture.versions["machine/0/" + machine_name(2)] = 3;
     fixture.registry.remove(5, 0, machine_name(2));
     fixture.execute_all(6);
@@ -211,7 +213,7 @@
     fixture.registry.remove(0.01, 0, machine_name(1));
     EXPECT_TRUE(fixture.take_requests().empty());
     fixture.respond(0.02, first.at(0), 200);
-    EXPECT_TRUE(fixture.registered.empty()); // nothing may be started there
+    EXPECT_TRUE(fixture.registered.empty()); // no task may be started on it
     auto second = fixture.take_requests();
     ASSERT_EQ(second.size(), 1u);
     const auto& writes = std::get<StoreTransaction>(second[0].body).writes;
