--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -10,123 +10,127 @@
 namespace {
 
 // The notices against scripted siblings.
-struct Notices {
-    static ClusterSettings facts() {
+struct BroadcastFixture {
+    static ClusterSettings make_settings() {
         ClusterSettings settings;
         settings.node = "n0";
         settings.partitions = {{"n0", "a"}, {"n1", "a"}, {"n2", "b"}};
         settings.heartbeat_interval_s = 6;
         return settings;
     }
-    StoreRateLimiter budget{100, 20, 3};
-    OutboundRequests calls{budget, 1};
-    CancellationBroadcast notices{facts(), calls};
+    StoreRateLimiter rate_limiter{100, 20, 3};
+    OutboundRequests requests{rate_limiter, 1};
+    CancellationBroadcast broadcaster{make_settings(), requests};
     std::map<std::string, Time> confirmed;
-    std::map<std::string, OutboundRequestId> out; // by node
-    std::map<std::string, std::vector<std::string>> last;
+    std::map<std::string, OutboundRequestId> in_flight; // by node
+    std::map<std::string, std::vector<std::string>> last_jobs;
 
-    void tell(Time now, const std::string& job) {
-        notices.broadcast(now, job, [this, job](Time at) { confirmed[job] = at; });
-        collect();
+    void broadcast(Time now, const std::string& job) {
+        broadcaster.broadcast(now, job, [this, job](Time at) { confirmed[job] = at; });
+        collect_requests();
     }
-    void answer(Time now, const std::string& node, int status = 200) {
+    void respond(Time now, const std::string& node, int status = 200) {
         OutboundResponse response;
-        response.request_id = out.at(node);
+        response.request_id = in_flight.at(node);
         response.status = status;
-        out.erase(node);
-        calls.handle_response(now, response);
-        collect();
+        in_flight.erase(node);
+        requests.handle_response(now, response);
+        collect_requests();
     }
     void flush(Time now) {
-        notices.flush(now);
-        collect();
+        broadcaster.flush(now);
+        collect_requests();
     }
-    void collect() {
-        Outputs o;
-        calls.drain_into(o);
-        for (const auto& c : o.requests) {
-            const auto& call = std::get<CancellationCall>(c.body);
-            EXPECT_FALSE(out.contains(call.node)) << "one at a time";
-            out[call.node] = c.id;
-            last[call.node] = call.jobs;
+    void collect_requests() {
+        Outputs outputs;
+        requests.drain_into(outputs);
+        for (const auto& request : outputs.requests) {
+            const auto& call = std::get<CancellationCall>(request.body);
+            EXPECT_FALSE(in_flight.contains(call.node)) << "one at a time";
+            in_flight[call.node] = request.id;
+            last_jobs[call.node] = call.jobs;
         }
     }
 };
 
-TEST(CancelNotices, TheUserIsToldOnceAllSiblingsHaveAnswered) {
-    Notices n;
-    n.tell(0, "req-1");
-    n.answer(0.01, "n1");
-    EXPECT_TRUE(n.confirmed.empty());
-    n.answer(0.02, "n2");
-    EXPECT_EQ(n.confirmed.at("req-1"), 0.02);
+TEST(CancellationBroadcast, ConfirmsOnceAllPeersHaveResponded) {
+    BroadcastFixture fixture;
+    fixture.broadcast(0, "req-1");
+    fixture.respond(0.01, "n1");
+    EXPECT_TRUE(fixture.confirmed.empty());
+    fixture.respond(0.02, "n2");
+    EXPECT_EQ(fixture.confirmed.at("req-1"), 0.02);
 }
 
-TEST(CancelNotices, AreGatheredWhileACallIsUnderWay) {
-    Notices n;
-    n.tell(0, "req-1");
-    n.tell(0.01, "req-2");
-    n.tell(0.02, "req-3");
-    n.answer(0.03, "n1");
-    EXPECT_EQ(n.last.at("n1"), (std::vector<std::string>{"req-2", "req-3"}));
-    n.answer(0.03, "n2");
-    EXPECT_EQ(n.confirmed.size(), 1u);
-    n.answer(0.04, "n1");
-    n.answer(0.05, "n2");
-    EXPECT_EQ(n.confirmed.size(), 3u);
-    EXPECT_TRUE(n.out.empty());
+TEST(CancellationBroadcast, BatchesCancellationsWhileARequestIsInFlight) {
+    BroadcastFixture fixture;
+    fixture.broadcast(0, "req-1");
+    fixture.broadcast(0.01, "req-2");
+    fixture.broadcast(0.02, "req-3");
+    fixture.respond(0.03, "n1");
+    EXPECT_EQ(fixture.last_jobs.at("n1"), (std::vector<std::string>{"req-2", "req-3"}));
+    fixture.respond(0.03, "n2");
+    EXPECT_EQ(fixture.confirmed.size(), 1u);
+    fixture.respond(0.04, "n1");
+    fixture.respond(0.05, "n2");
+    EXPECT_EQ(fixture.confirmed.size(), 3u);
+    EXPECT_TRUE(fixture.in_flight.empty());
 }
 
-TEST(CancelNotices, ASiblingThatIsSilentIsWaitedForOnceAndStillTold) {
-    Notices n;
-    n.tell(0, "req-1");
-    n.answer(0.01, "n1");
-    n.flush(0.49);
-    EXPECT_TRUE(n.confirmed.empty());
-    n.flush(0.5); // a twelfth of a report time
-    EXPECT_EQ(n.confirmed.at("req-1"), 0.5);
-    n.tell(1, "req-2");
-    n.answer(1.01, "n1");
-    EXPECT_EQ(n.confirmed.at("req-2"), 1.01);
-    n.answer(3, "n2", 0); // given up
-    EXPECT_EQ(n.last.at("n2"), std::vector<std::string>{"req-2"});
-    n.answer(3.1, "n2");
-    n.tell(3.2, "req-3"); // it is heard again
-    n.answer(3.21, "n1");
-    EXPECT_FALSE(n.confirmed.contains("req-3"));
-    n.answer(3.25, "n2");
-    EXPECT_EQ(n.confirmed.at("req-3"), 3.25);
+TEST(CancellationBroadcast, WaitsForAnUnresponsivePeerOnceAndKeepsSendingToIt) {
+    BroadcastFixture fixture;
+    fixture.broadcast(0, "req-1");
+    fixture.respond(0.01, "n1");
+    fixture.flush(0.49);
+    EXPECT_TRUE(fixture.confirmed.empty());
+    fixture.flush(0.5); // a twelfth of a report time
+    EXPECT_EQ(fixture.confirmed.at("req-1"), 0.5);
+    fixture.broadcast(1, "req-2");
+    fixture.respond(1.01, "n1");
+    EXPECT_EQ(fixture.confirmed.at("req-2"), 1.01);
+    fixture.respond(3, "n2", 0); // given up
+    EXPECT_EQ(fixture.last_jobs.at("n2"), std::vector<std::string>{"req-2"});
+    fixture.respond(3.1, "n2");
+    fixture.broadcast(3.2, "req-3"); // it is heard again
+    fixture.respond(3.21, "n1");
+    EXPECT_FALSE(fixture.confirmed.contains("req-3"));
+    fixture.respond(3.25, "n2");
+    EXPECT_EQ(fixture.confirmed.at("req-3"), 3.25);
 }
 
-TEST(CancelNotices, ANodeThatRefusesCallsIsNotWaitedFor) {
-    Notices n;
-    n.tell(0, "req-1");
-    n.answer(0.001, "n1", 0);
-    n.answer(0.002, "n2", 404); // of an earlier version
-    EXPECT_EQ(n.confirmed.at("req-1"), 0.002);
-    n.tell(1, "req-2");
-    EXPECT_EQ(n.confirmed.at("req-2"), 1);
+TEST(CancellationBroadcast, DoesNotWaitForAPeerThatRefusesRequests) {
+    BroadcastFixture fixture;
+    fixture.broadcast(0, "req-1");
+    fixture.respond(0.001, "n1", 0);
+    fixture.respond(0.002, "n2", 404); // of an earlier version
+    EXPECT_EQ(fixture.confirmed.at("req-1"), 0.002);
+    fixture.broadcast(1, "req-2");
+    EXPECT_EQ(fixture.confirmed.at("req-2"), 1);
 }
 
 // What stands between the cancellation and the owner.
-enum class Owner {
-    reached,
-    watch_is_slow, // the owner's watch hears seconds later
-    refused,       // by the state service, alone
-    has_just_ended,
-    cut_off_from_peers,
-    notices_lost,
+enum class Fault {
+    none,
+    slow_watch,           // the owner's watch hears seconds later
+    store_refuses_leader, // by the state service, alone
+    leader_crashed,
+    leader_cut_off_from_peers,
+    broadcasts_lost,
     count
 };
-constexpr const char* kOwner[] = {"reached",        "watch_is_slow",      "refused",
-                                  "has_just_ended", "cut_off_from_peers", "notices_lost"};
+constexpr const char* kFaultNames[] = {"none",
+                                       "slow_watch",
+                                       "store_refuses_leader",
+                                       "leader_crashed",
+                                       "leader_cut_off_from_peers",
+                                       "broadcasts_lost"};
 
-class CancelStarts : public testing::TestWithParam<int> {};
+class StartsAfterCancellation : public testing::TestWithParam<int> {};
 
 // Jobs that wait are cancelled while slots fall free all the time: whatever the owner starts after
 // the confirmation is counted.
-TEST_P(CancelStarts, NoneAfterTheConfirmationWhereTheOwnerCanBeReached) {
-    auto trouble = static_cast<Owner>(GetParam());
+TEST_P(StartsAfterCancellation, NoneIfTheLeaderIsReachable) {
+    auto fault = static_cast<Fault>(GetParam());
     World world({.seed = 3,
                  .nodes = 5,
                  .run_s = 2,
@@ -134,18 +138,18 @@
                  .capacity = 20,
                  .state_rps = 600,
                  .state_write_rps = 200,
-                 .notices = trouble != Owner::notices_lost});
+                 .notices = fault != Fault::broadcasts_lost});
     world.run_for(30);
     int leader = world.owner(partition_of_team(world.facts(0), "red"));
-    if (trouble == Owner::watch_is_slow) { // of `job/`: it hears of no change by itself
-        world.intercept = [&](int node, const OutboundBody& call) {
-            const auto* watch = std::get_if<StoreWatch>(&call);
-            return node == leader && watch && watch->prefix == kJobPrefix && world.now() > 40;
+    if (fault == Fault::slow_watch) { // of `job/`: it hears of no change by itself
+        world.intercept = [&](int controller, const OutboundBody& request) {
+            const auto* watch = std::get_if<StoreWatch>(&request);
+            return controller == leader && watch && watch->prefix == kJobPrefix && world.now() > 40;
         };
     }
     int jobs = 0;
-    int told = 0;
-    double longest = 0;
+    int confirmed = 0;
+    double longest_wait_s = 0;
     for (int round = 0; round < 30; ++round) {
         for (int k = 0; k < 6; ++k) {
             JobSpec spec = world.job("req-" + std::to_string(++jobs), 6);
@@ -153,32 +157,32 @@
             world.submit((leader + 1) % 5, spec);
         }
         world.run_for(0.7);
-        if (trouble == Owner::refused) {
+        if (fault == Fault::store_refuses_leader) {
             world.state_refuses(leader, true);
         }
-        if (trouble == Owner::cut_off_from_peers) {
+        if (fault == Fault::leader_cut_off_from_peers) {
             for (int n = 0; n < 5; ++n) {
                 world.cut_peers(leader, n, true);
             }
         }
-        if (trouble == Owner::has_just_ended && round % 10 == 0) {
+        if (fault == Fault::leader_crashed && round % 10 == 0) {
             leader = world.owner(partition_of_team(world.facts(0), "red"));
             world.crash(leader, round % 20 ? 0.02 : 20);
             world.run_for(1);
         }
-        std::vector<RequestId> asked;
+        std::vector<RequestId> cancellations;
         Time from = world.now();
         for (int k = 0; k < 5; ++k) {
-            asked.push_back(
+            cancellations.push_back(
                 world.cancel((leader + 1 + k % 4) % 5, "req-" + std::to_string(jobs - k)));
         }
-        for (int k = 0; k < 100 && !world.answers.contains(asked.back()); ++k) {
+        for (int k = 0; k < 100 && !world.answers.contains(cancellations.back()); ++k) {
             world.run_for(0.01);
         }
-        longest = std::max(longest, world.now() - from);
+        longest_wait_s = std::max(longest_wait_s, world.now() - from);
         world.run_for(1);
-        for (RequestId id : asked) {
-            told += world.answers.contains(id) && world.answers.at(id).status == 200;
+        for (RequestId id : cancellations) {
+            confirmed += world.answers.contains(id) && world.answers.at(id).status == 200;
         }
         world.state_refuses(leader, false);
         for (int n = 0; n < 5; ++n) {
@@ -187,21 +191,22 @@
     }
     world.run_for(30);
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_GT(told, 100);
+    EXPECT_GT(confirmed, 100);
     const Judge::LateStarts& late = world.judge().late_starts();
     std::printf("starts after a confirmed cancellation: %d that left before, %d after, the last "
                 "%.3f s later; confirmed within %.2f s\n",
-                late.left_before, late.left_after, late.longest_s, longest);
-    if (trouble != Owner::cut_off_from_peers && trouble != Owner::notices_lost) {
+                late.left_before, late.left_after, late.longest_s, longest_wait_s);
+    if (fault != Fault::leader_cut_off_from_peers && fault != Fault::broadcasts_lost) {
         EXPECT_EQ(late.left_after, 0);
     } else { // its watch tells it
         EXPECT_LT(late.longest_left, 1);
     }
-    EXPECT_LT(longest, 0.8); // a bounded part of what users wait
+    EXPECT_LT(longest_wait_s, 0.8); // a bounded part of what users wait
     EXPECT_LT(late.longest_s, 2);
 }
-INSTANTIATE_TEST_SUITE_P(Of, CancelStarts, testing::Range(0, static_cast<int>(Owner::count)),
-                         [](const auto& p) { return kOwner[p.param]; });
+INSTANTIATE_TEST_SUITE_P(Faults, StartsAfterCancellation,
+                         testing::Range(0, static_cast<int>(Fault::count)),
+                         [](const auto& p) { return kFaultNames[p.param]; });
 
 } // namespace
 } // namespace scheduler::test
