--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -1,5 +1,5 @@
-// Starts after a confirmed cancellation: none wherever the owner can be reached. See "Starts after
-// a cancellation" in docs/meetings.md.
+// Tests that no task of a job starts after its cancellation has been confirmed to the user, as long
+// as the partition leader is reachable. See "Starts after a cancellation" in docs/meetings.md.
 #include <gtest/gtest.h>
 
 #include "core/jobs/cancellation_broadcast.h"
@@ -9,7 +9,7 @@
 namespace scheduler::test {
 namespace {
 
-// The notices against scripted siblings.
+// A broadcaster whose requests to the peers n1 and n2 the test answers.
 struct BroadcastFixture {
     static ClusterSettings make_settings() {
         ClusterSettings settings;
@@ -22,8 +22,8 @@
     OutboundRequests requests{rate_limiter, 1};
     CancellationBroadcast broadcaster{make_settings(), requests};
     std::map<std::string, Time> confirmed;
-    std::map<std::string, OutboundRequestId> in_flight; // by node
-    std::map<std::string, std::vector<std::string>> last_jobs;
+    std::map<std::string, OutboundRequestId> in_flight;        // by node
+    std::map<std::string, std::vector<std::string>> last_jobs; // of the last request, by node
 
     void broadcast(Time now, const std::string& job) {
         broadcaster.broadcast(now, job, [this, job](Time at) { confirmed[job] = at; });
@@ -46,7 +46,8 @@
         requests.drain_into(outputs);
         for (const auto& request : outputs.requests) {
             const auto& call = std::get<CancellationCall>(request.body);
-            EXPECT_FALSE(in_flight.contains(call.node)) << "one at a time";
+            EXPECT_FALSE(in_flight.contains(call.node))
+                << "more than one request to a peer in flight";
             in_flight[call.node] = request.id;
             last_jobs[call.node] = call.jobs;
         }
@@ -83,15 +84,15 @@
     fixture.respond(0.01, "n1");
     fixture.flush(0.49);
     EXPECT_TRUE(fixture.confirmed.empty());
-    fixture.flush(0.5); // a twelfth of a report time
+    fixture.flush(0.5); // a twelfth of the heartbeat interval
     EXPECT_EQ(fixture.confirmed.at("req-1"), 0.5);
     fixture.broadcast(1, "req-2");
     fixture.respond(1.01, "n1");
     EXPECT_EQ(fixture.confirmed.at("req-2"), 1.01);
-    fixture.respond(3, "n2", 0); // given up
+    fixture.respond(3, "n2", 0); // timed out
     EXPECT_EQ(fixture.last_jobs.at("n2"), std::vector<std::string>{"req-2"});
     fixture.respond(3.1, "n2");
-    fixture.broadcast(3.2, "req-3"); // it is heard again
+    fixture.broadcast(3.2, "req-3"); // n2 is responsive again
     fixture.respond(3.21, "n1");
     EXPECT_FALSE(fixture.confirmed.contains("req-3"));
     fixture.respond(3.25, "n2");
@@ -102,17 +103,17 @@
     BroadcastFixture fixture;
     fixture.broadcast(0, "req-1");
     fixture.respond(0.001, "n1", 0);
-    fixture.respond(0.002, "n2", 404); // of an earlier version
+    fixture.respond(0.002, "n2", 404); // runs an earlier version
     EXPECT_EQ(fixture.confirmed.at("req-1"), 0.002);
     fixture.broadcast(1, "req-2");
     EXPECT_EQ(fixture.confirmed.at("req-2"), 1);
 }
 
-// What stands between the cancellation and the owner.
+// What delays or prevents the cancellation from reaching the partition leader.
 enum class Fault {
     none,
-    slow_watch,           // the owner's watch hears seconds later
-    store_refuses_leader, // by the state service, alone
+    slow_watch,           // the leader's watch reports changes seconds late
+    store_refuses_leader, // and no other controller
     leader_crashed,
     leader_cut_off_from_peers,
     broadcasts_lost,
@@ -127,8 +128,8 @@
 
 class StartsAfterCancellation : public testing::TestWithParam<int> {};
 
-// Jobs that wait are cancelled while slots fall free all the time: whatever the owner starts after
-// the confirmation is counted.
+// Pending jobs are cancelled while slots become free continuously. Counts the tasks that the leader
+// starts after the confirmation.
 TEST_P(StartsAfterCancellation, NoneIfTheLeaderIsReachable) {
     auto fault = static_cast<Fault>(GetParam());
     World world({.seed = 3,
@@ -141,7 +142,7 @@
                  .notices = fault != Fault::broadcasts_lost});
     world.run_for(30);
     int leader = world.owner(partition_of_team(world.facts(0), "red"));
-    if (fault == Fault::slow_watch) { // of `job/`: it hears of no change by itself
+    if (fault == Fault::slow_watch) { // of `job/`: reports no change to the leader
         world.intercept = [&](int controller, const OutboundBody& request) {
             const auto* watch = std::get_if<StoreWatch>(&request);
             return controller == leader && watch && watch->prefix == kJobPrefix && world.now() > 40;
@@ -193,15 +194,15 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
     EXPECT_GT(confirmed, 100);
     const Judge::LateStarts& late = world.judge().late_starts();
-    std::printf("starts after a confirmed cancellation: %d that left before, %d after, the last "
+    std::printf("starts after a confirmed cancellation: %d sent before it, %d sent after, the last "
                 "%.3f s later; confirmed within %.2f s\n",
                 late.left_before, late.left_after, late.longest_s, longest_wait_s);
     if (fault != Fault::leader_cut_off_from_peers && fault != Fault::broadcasts_lost) {
         EXPECT_EQ(late.left_after, 0);
-    } else { // its watch tells it
+    } else { // the leader learns it from its store watch
         EXPECT_LT(late.longest_left, 1);
     }
-    EXPECT_LT(longest_wait_s, 0.8); // a bounded part of what users wait
+    EXPECT_LT(longest_wait_s, 0.8); // a bounded part of the users' waiting time
     EXPECT_LT(late.longest_s, 2);
 }
 INSTANTIATE_TEST_SUITE_P(Faults, StartsAfterCancellation,
