--- a/tests/concurrent_status_reads_test.cpp
+++ b/tests/concurrent_status_reads_test.cpp
@@ -1,5 +1,6 @@
-// Users ask at all nodes within milliseconds, repeat the submission, cancel at once: nobody hears
-// anything older than he was told. See "Close looks" in docs/meetings.md.
+// Concurrent status reads: users poll a job at different controllers within milliseconds, repeat
+// its submission and cancel it. No user may get an older state than one already returned. See
+// "Close looks" in docs/meetings.md.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -10,7 +11,7 @@
 namespace scheduler::test {
 namespace {
 
-// Status and stage of the answer; 0 and empty: none yet.
+// Returns the status of the response and the job's stage in it; 0 and "" before there is one.
 std::pair<int, std::string> status_and_stage(const World& world, RequestId request_id) {
     auto it = world.answers.find(request_id);
     if (it == world.answers.end()) {
@@ -20,7 +21,7 @@
     return {it->second.status, job ? job->stage : ""};
 }
 
-// Jobs that were accepted under earlier settings, and that would be refused today.
+// Returns jobs that could have been accepted under earlier settings and would be rejected now.
 std::vector<JobSpec> jobs_now_invalid(const World& world) {
     std::vector<JobSpec> jobs(4, world.job("", 2));
     jobs[0].team = "nobody";
@@ -39,14 +40,14 @@
     for (auto [outcome, stage] : kOutcomes) {
         for (JobSpec spec : jobs_now_invalid(world)) {
             spec.id = "req-" + std::to_string(++n);
-            // No node has seen its record: it is answered at once, before any watch has told.
+            // No controller has seen its record. The response does not wait for a store watch.
             world.accepted_before(spec, outcome);
             RequestId request_id = world.submit(n % 3, spec);
             world.run_for(0.5);
             EXPECT_EQ(status_and_stage(world, request_id), std::pair(200, std::string(stage))) << n;
         }
     }
-    for (JobSpec spec : jobs_now_invalid(world)) { // those that nobody accepted are refused
+    for (JobSpec spec : jobs_now_invalid(world)) { // rejected if not accepted before
         spec.id = "req-" + std::to_string(++n);
         RequestId request_id = world.submit(n % 3, spec);
         world.run_for(0.5);
@@ -60,7 +61,7 @@
     world.run_for(5);
     int n = 0;
     std::vector<JobSpec> jobs = jobs_now_invalid(world);
-    jobs.push_back(world.job("", 2)); // and one that fits
+    jobs.push_back(world.job("", 2)); // and one that is valid
     for (JobSpec spec : jobs) {
         spec.id = "req-" + std::to_string(++n);
         world.put(kJobPrefix + spec.id, UnreadableRecord{});
@@ -85,15 +86,17 @@
     EXPECT_EQ(status_and_stage(world, repeated), std::pair(200, std::string("running")));
 }
 
-// An answer under way when another node tells something newer: the read is sent, and its answer
-// comes only after the job has been accepted, cancelled or done elsewhere and its user told.
+// A controller reads a job's record, and the response arrives only after the job has been accepted
+// or cancelled at another controller and the user has been told. Later requests must not get the
+// state of the earlier read.
 class ConcurrentStatusReadsSlowStore : public testing::TestWithParam<std::tuple<int, double>> {};
 
 TEST_P(ConcurrentStatusReadsSlowStore, LaterRequestsDoNotGetStateReadEarlier) {
-    auto [change, delay_s] = GetParam(); // the newer answer's request is sent that much later
+    // The change is a submission (0) or a cancellation (1), requested `delay_s` after the reads.
+    auto [change, delay_s] = GetParam();
     World world({.nodes = 5, .run_s = 300, .state_rps = 300, .state_write_rps = 100});
     world.run_for(30);
-    world.troubles.state_slow_s = 0.4; // half of all that is asked
+    world.troubles.state_slow_s = 0.4; // delays half of the requests to the store
     int n = 0;
     int answered = 0;
     for (int round = 0; round < 12; ++round) {
@@ -106,7 +109,7 @@
             }
             ASSERT_EQ(status_and_stage(world, accepted).first, 201);
         }
-        // Questions whose answers are under way at every node, known there or not.
+        // Reads in flight at every controller, whether it knows the job or not.
         for (int controller = 0; controller < 5; ++controller) {
             requests.push_back(world.poll(controller, spec.id));
         }
@@ -120,7 +123,7 @@
                                                : world.submit(controller, spec));
             }
         }
-        for (int k = 0; k < 20; ++k) { // from here on it is known to the user
+        for (int k = 0; k < 20; ++k) { // the user knows the change from here on
             for (int controller = 0; controller < 5; ++controller) {
                 requests.push_back(world.poll(controller, spec.id));
                 requests.push_back(world.submit(controller, spec));
@@ -142,11 +145,11 @@
 INSTANTIATE_TEST_SUITE_P(Cancelled, ConcurrentStatusReadsSlowStore,
                          testing::Combine(testing::Values(1), testing::Values(0.0, 0.01, 0.1)));
 
-// What meets the close looks.
+// The fault that occurs during the concurrent status reads.
 enum class Fault {
     none,
-    cancel_at_job_end, // at the moment at which the last task ends
-    responder_crashes, // right after its answer, back after 0, 0.02, 0.3, 6 s in turn
+    cancel_at_job_end, // at the moment when the last task ends
+    responder_crashes, // right after its response, for 0, 0.02, 0.3 and 6 s in turn
     leaders_crash,
     all_controllers_crash,
     lost_responses,
