--- a/tests/job_status_test.cpp
+++ b/tests/job_status_test.cpp
@@ -1,4 +1,4 @@
-// The poll reader against a scripted state service: what it asks, what it answers, and when.
+// Tests of the job status reader against a scripted key-value store.
 #include <gtest/gtest.h>
 
 #include "core/jobs/job_status_reader.h"
@@ -18,7 +18,7 @@
 
 std::string job_id(int n) { return "req-" + std::to_string(n); }
 
-// A reader with what it sent and answered, and the versions that the state service holds.
+// A reader, its requests and responses, and the job records in the store.
 struct ReaderFixture {
     StoreRateLimiter rate_limiter{350, 150, 5};
     OutboundRequests requests{rate_limiter, 1};
@@ -52,7 +52,7 @@
             sent.push_back(std::move(request));
         }
     }
-    // The state service answers the request as it stands now.
+    // Answers the request from the current content of the store.
     void respond(Time now, const OutboundRequest& request) {
         OutboundResponse response;
         response.request_id = request.id;
@@ -86,7 +86,7 @@
     }
 };
 
-// A fifth of 5,000 open jobs, each asked for every 5 s, at one of five nodes.
+// The load on one of five controllers if each of 5,000 open jobs is polled every 5 s.
 TEST(JobStatusReader, PollsOfManyOpenJobsAreBatched) {
     ReaderFixture fixture;
     for (int n = 0; n < 1000; ++n) {
@@ -94,7 +94,7 @@
         fixture.job_cache.observe(0, job_id(n), 7 + n, JobRecord{});
     }
     constexpr double kPollIntervalS = 0.005;
-    for (int n = 0; n < 4000; ++n) { // four rounds
+    for (int n = 0; n < 4000; ++n) { // four polls of each job
         fixture.poll(n * kPollIntervalS, n + 1, job_id(n % 1000));
         fixture.respond_to_all(n * kPollIntervalS + 0.002);
     }
@@ -117,20 +117,20 @@
     ASSERT_EQ(fixture.sent.size(), 1u);
     OutboundRequest first = fixture.sent[0];
     fixture.sent.clear();
-    fixture.respond(0.01, first); // was read while open ...
+    fixture.respond(0.01, first); // read while the job is open
     fixture.put("req-1", 9, Outcome::done);
-    fixture.poll(0.02, 2, "req-1"); // ... and is over when the second comes
+    fixture.poll(0.02, 2, "req-1"); // received after the job is done
     fixture.flush(1);
     EXPECT_EQ(fixture.responses.at(1).second, "pending");
     EXPECT_FALSE(fixture.responses.contains(2));
-    fixture.respond_to_all(1.01); // compared: the version has changed
-    fixture.respond_to_all(1.02); // read
+    fixture.respond_to_all(1.01); // confirmation fails: the version has changed
+    fixture.respond_to_all(1.02); // the job is read
     EXPECT_EQ(fixture.responses.at(2).second, "done");
 }
 
 TEST(JobStatusReader, PollsDuringAReadShareTheNextRead) {
     ReaderFixture fixture;
-    fixture.poll(0, 1, "req-1"); // nobody has submitted it yet
+    fixture.poll(0, 1, "req-1"); // not submitted yet
     OutboundRequest first = fixture.sent[0];
     fixture.sent.clear();
     fixture.poll(0.01, 2, "req-1");
@@ -153,7 +153,7 @@
         fixture.job_cache.observe(0, job_id(n), 3, JobRecord{});
     }
     fixture.put(job_id(4), 8, Outcome::cancelled);
-    fixture.poll(0, 100, job_id(0)); // goes alone
+    fixture.poll(0, 100, job_id(0)); // sent alone
     for (int n = 1; n < 10; ++n) {
         fixture.poll(0.001, 100 + n, job_id(n));
     }
@@ -185,7 +185,7 @@
         }
         fixture.flush(now);
     }
-    EXPECT_EQ(fixture.responses.at(2).first, 503); // at once when it is given up, not never
+    EXPECT_EQ(fixture.responses.at(2).first, 503); // rejected once the reader gives up
 }
 
 } // namespace
