--- a/tests/concurrent_status_reads_test.cpp
+++ b/tests/concurrent_status_reads_test.cpp
@@ -157,7 +157,7 @@
     slow_store,
     store_refuses_one,
     store_refuses_one_then_outage,
-    unusual_requests,
+    edge_case_requests,
     count
 };
 constexpr const char* kFaultNames[] = {"none",
@@ -170,7 +170,7 @@
                                        "slow_store",
                                        "store_refuses_one",
                                        "store_refuses_one_then_outage",
-                                       "unusual_requests"};
+                                       "edge_case_requests"};
 
 class ConcurrentStatusReadsFaults : public testing::TestWithParam<int> {};
 
@@ -246,7 +246,7 @@
             }
             world.state_refuses(controller, false);
             break;
-        case Fault::unusual_requests:
+        case Fault::edge_case_requests:
             for (int k = 0; k < 3; ++k) {
                 world.odd_requests("req-" + std::to_string(1 + random_below(jobs)));
             }
--- a/tests/sharding_test.cpp
+++ b/tests/sharding_test.cpp
@@ -533,7 +533,7 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-TEST(ShardMigrationInCluster, TargetLendsSlotsOfTheShardAfterTheMove) {
+TEST(ShardMigrationInCluster, JobsOfBothTeamsFinishAfterAMove) {
     World world(five_controllers());
     run_large_job(world, 24);
     world.run_for(20);
@@ -541,7 +541,7 @@
     ASSERT_TRUE(world.give(0, shard, 3));
     world.run_for(8);
     ASSERT_EQ(current_holder(world, shard), 3);
-    std::size_t on = 0;
+    std::size_t tasks_on_shard = 0;
     JobSpec spec = world.job("req-2", 60, 2);
     spec.team = "blue";
     world.submit(0, spec);
@@ -549,7 +549,7 @@
     for (const auto& machine : world.machines_up()) {
         if (shard_of_machine(world.facts(0), machine, world.zone_of(machine)) == shard) {
             for (std::uint32_t i = 0; i < 60; ++i) {
-                on += world.machines_of({"req-2", i}).contains(machine);
+                tasks_on_shard += world.machines_of({"req-2", i}).contains(machine);
             }
         }
     }
@@ -569,8 +569,8 @@
 class ShardMigrationCrash : public testing::TestWithParam<CrashCase> {};
 
 TEST_P(ShardMigrationCrash, CrashAfterAnyRequestLosesNoTask) {
-    int outputs = 1;
-    for (int n = 0; n < outputs; ++n) {
+    int request_count = 1;
+    for (int n = 0; n < request_count; ++n) {
         World world(five_controllers(7));
         run_large_job(world, 20);
         world.run_for(20);
@@ -580,9 +580,9 @@
         ASSERT_GE(shard.home_partition, 0);
         int requests = 0;
         bool moving = true;
-        world.intercept = [&](int node, const OutboundBody&) {
+        world.intercept = [&](int controller, const OutboundBody&) {
             moving = moving && current_holder(world, shard) != to;
-            if (node == from && (moving || requests <= n) && requests++ == n) {
+            if (controller == from && (moving || requests <= n) && requests++ == n) {
                 world.at(world.now(), [&world, from, to] {
                     if (GetParam().source) {
                         world.crash(from, 15);
@@ -601,18 +601,18 @@
             World baseline(five_controllers(7)); // counts the requests of an undisturbed migration
             run_large_job(baseline, 20);
             baseline.run_for(20);
-            outputs = 0;
-            baseline.intercept = [&](int node, const OutboundBody&) {
-                outputs += node == from && current_holder(baseline, shard) != to;
+            request_count = 0;
+            baseline.intercept = [&](int controller, const OutboundBody&) {
+                request_count += controller == from && current_holder(baseline, shard) != to;
                 return false;
             };
             ASSERT_TRUE(baseline.give(from, shard, to));
             baseline.run_for(8);
-            ASSERT_GT(outputs, 3);
+            ASSERT_GT(request_count, 3);
         }
         world.run_for(240);
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " after output " << n;
-        ASSERT_TRUE(world.all_done("req-1")) << "after output " << n;
+        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " after request " << n;
+        ASSERT_TRUE(world.all_done("req-1")) << "after request " << n;
     }
 }
 INSTANTIATE_TEST_SUITE_P(SourceTargetBoth, ShardMigrationCrash,
