--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -20,7 +20,7 @@
 constexpr double kReportS = 6;
 constexpr std::uint32_t kTasksOfJob = 10000;
 
-ClusterSettings facts(const char* node, int home, int partitions) {
+ClusterSettings cluster_settings(const char* node, int home, int partitions) {
     ClusterSettings settings;
     settings.node = node;
     settings.home_partition = home;
@@ -64,7 +64,7 @@
     explicit Region(int nodes) {
         for (int n = 0; n < nodes; ++n) {
             std::string name = "n" + std::to_string(n);
-            ClusterSettings settings = facts(name.c_str(), n, nodes);
+            ClusterSettings settings = cluster_settings(name.c_str(), n, nodes);
             cores_.push_back(std::make_unique<Controller>(settings, policy::defaults(settings)));
         }
     }
@@ -194,7 +194,7 @@
 // Workers as far as the core sees them.
 struct Workers {
     explicit Workers(int count, int nodes) : reports(static_cast<std::size_t>(count)) {
-        ClusterSettings settings = facts("n0", 0, nodes);
+        ClusterSettings settings = cluster_settings("n0", 0, nodes);
         for (int i = 0; i < count; ++i) {
             Heartbeat& heartbeat = reports[static_cast<std::size_t>(i)];
             heartbeat.machine = name_of(i);
--- a/bench/share_bench.cpp
+++ b/bench/share_bench.cpp
@@ -1,13 +1,13 @@
-// Moves of shares and the loss of a controller at the size of a fleet, on the tests' world with its
-// fake clock: how long, how many messages, state changes and listed entries, and how long machines
-// give no slots. Simulated machines; delays of 1 to 20 ms a message.
+// Moves of shares and the loss of a controller at the size of a fleet, on the tests' cluster with
+// its fake clock: how long, how many messages, state changes and listed entries, and how long
+// machines give no slots. Simulated machines; delays of 1 to 20 ms a message.
 //
 //   share_bench [machines]
 #include <cstdio>
 #include <cstdlib>
 
 #include "core/model/partition_assignment.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 using namespace scheduler;
 using namespace scheduler::test;
@@ -31,10 +31,10 @@
     return text.substr(at, text.find(' ', at) - at);
 }
 
-std::size_t messages(const World& world) {
+std::size_t messages(const SimulatedCluster& cluster) {
     std::size_t sum = 0;
     for (const char* kind : {"get", "range", "txn", "watch", "orders", "peer"}) {
-        sum += world.calls_of(kind);
+        sum += cluster.request_count(kind);
     }
     return sum;
 }
@@ -42,42 +42,42 @@
 
 int main(int argc, char** argv) {
     int machines = argc > 1 ? std::atoi(argv[1]) : 1000;
-    WorldOptions options{.seed = 1, .nodes = 5, .run_s = 2000, .boot_s = 5};
+    SimulationOptions options{.seed = 1, .nodes = 5, .run_s = 2000, .boot_s = 5};
     options.limits = 1e6;
     options.capacity = static_cast<std::size_t>(machines);
     options.one_zone = true;
     options.state_rps = 350; // as at the larger of the two fleets
     options.state_write_rps = 150;
-    World world(options);
+    SimulatedCluster cluster(options);
     std::vector<Line> log;
-    world.on_log = [&](Time at, int, const std::string& text) { log.push_back({at, text}); };
-    world.run_for(3);
-    JobSpec spec = world.job("req-1", static_cast<std::uint32_t>(machines * 2), 4);
-    world.submit(0, spec);
-    for (int k = 0; k < 100 && world.machines_up().size() < static_cast<std::size_t>(machines);
+    cluster.on_log = [&](Time at, int, const std::string& text) { log.push_back({at, text}); };
+    cluster.run_for(3);
+    JobSpec spec = cluster.job("req-1", static_cast<std::uint32_t>(machines * 2), 4);
+    cluster.submit(0, spec);
+    for (int k = 0; k < 100 && cluster.machines_up().size() < static_cast<std::size_t>(machines);
          ++k) {
-        world.run_for(5);
+        cluster.run_for(5);
     }
-    world.run_for(60);
-    std::printf("machines %zu, shares %zu\n", world.machines_up().size(),
-                all_shards(world.facts(0)).size());
+    cluster.run_for(60);
+    std::printf("machines %zu, shares %zu\n", cluster.machines_up().size(),
+                all_shards(cluster.cluster_settings(0)).size());
 
     // Moves: against the same time without.
     auto count = [&](double seconds) {
-        std::size_t m = messages(world);
-        std::size_t t = world.calls_of("txn");
-        double l = world.counts().listed;
-        world.run_for(seconds);
-        return std::array<double, 3>{static_cast<double>(messages(world) - m),
-                                     static_cast<double>(world.calls_of("txn") - t),
-                                     world.counts().listed - l};
+        std::size_t m = messages(cluster);
+        std::size_t t = cluster.request_count("txn");
+        double l = cluster.counts().listed;
+        cluster.run_for(seconds);
+        return std::array<double, 3>{static_cast<double>(messages(cluster) - m),
+                                     static_cast<double>(cluster.request_count("txn") - t),
+                                     cluster.counts().listed - l};
     };
     auto calm = count(20);
     log.clear();
     int moves = 0;
     for (int k = 0; k < 5; ++k) {
-        auto shards = world.shares(k);
-        moves += !shards.empty() && world.give(k, shards[0], (k + 1) % 5);
+        auto shards = cluster.shares(k);
+        moves += !shards.empty() && cluster.give(k, shards[0], (k + 1) % 5);
     }
     auto moved = count(20);
     std::map<std::string, Time> passing;
@@ -102,9 +102,9 @@
 
     // The loss of a controller.
     log.clear();
-    Time lost = world.now();
-    world.crash(1, 1e6);
-    world.run_for(60);
+    Time lost = cluster.now();
+    cluster.crash(1, 1e6);
+    cluster.run_for(60);
     Time claimed = 0;
     Time last = 0;
     for (const auto& line : log) {
@@ -116,8 +116,8 @@
         }
     }
     std::map<int, double> load; // machines, by the node that answers for them
-    for (const auto& name : world.machines_up()) {
-        load[world.node_of(name)] += 1;
+    for (const auto& name : cluster.machines_up()) {
+        load[cluster.node_of(name)] += 1;
     }
     double most = 0;
     double all = 0;
@@ -128,8 +128,8 @@
     std::printf("loss of one of five: claimed after %.1f s, all machines give slots %.2f s later; "
                 "largest load of a survivor over the mean %.2f\n",
                 claimed - lost, last - claimed, most / (all / 4));
-    if (!world.broken.empty()) {
-        std::printf("broken: %s\n", world.broken.front().c_str());
+    if (!cluster.broken.empty()) {
+        std::printf("broken: %s\n", cluster.broken.front().c_str());
         return 1;
     }
     return 0;
--- a/src/scale/checker.cpp
+++ b/src/scale/checker.cpp
@@ -10,8 +10,9 @@
 
 Checker::Checker(Settings settings)
     : settings_(std::move(settings)),
-      judge_(settings_.cancel_s, settings_.teams, {settings_.type}) {
-    judge_.troubles_over(0); // it judges from the first moment how long a job is unanswered
+      history_checker_(settings_.cancel_s, settings_.teams, {settings_.type}) {
+    history_checker_.faults_ended(
+        0); // it judges from the first moment how long a job is unanswered
     for (const auto& team : settings_.teams) {
         limits_[team.name] = {team.max_cpus, team.max_cpus, 0};
     }
@@ -19,19 +20,23 @@
 
 void Checker::on_event(const Event& event) {
     using Kind = Event::Kind;
-    using Ask = test::Judge::Ask;
+    using RequestKind = test::HistoryChecker::RequestKind;
     switch (event.kind) {
     case Kind::task_started: task_started(event); break;
     case Kind::task_stopped:
     case Kind::task_completed: task_stopped(event); break;
     case Kind::submit:
         if (auto spec = settings_.job(event.task.job)) {
-            judge_.submitted(event.time, *spec);
+            history_checker_.submitted(event.time, *spec);
         }
-        judge_.asked(event.time, event.request, Ask::submit, event.task.job);
+        history_checker_.asked(event.time, event.request, RequestKind::submit, event.task.job);
+        break;
+    case Kind::poll:
+        history_checker_.asked(event.time, event.request, RequestKind::poll, event.task.job);
+        break;
+    case Kind::cancel:
+        history_checker_.asked(event.time, event.request, RequestKind::cancel, event.task.job);
         break;
-    case Kind::poll: judge_.asked(event.time, event.request, Ask::poll, event.task.job); break;
-    case Kind::cancel: judge_.asked(event.time, event.request, Ask::cancel, event.task.job); break;
     case Kind::response: response(event); break;
     case Kind::quota_written: quota_written(event); break;
     case Kind::quota_applied: break;
@@ -45,7 +50,7 @@
     if (!event.stage.empty()) {
         answer.body = JobStatusBody{event.task.job, event.stage, {}, {}};
     }
-    judge_.answered(event.time, answer);
+    history_checker_.answered(event.time, answer);
 }
 
 // The limits before it may be used for a while.
@@ -61,7 +66,7 @@
 void Checker::task_started(const Event& event) {
     const std::string task = event.task.job + "/" + std::to_string(event.task.index);
     auto spec = settings_.job(event.task.job);
-    if (!spec || !judge_.knows(event.task.job)) {
+    if (!spec || !history_checker_.knows(event.task.job)) {
         add_violation("invented " + task + " runs, nobody submitted it");
         return;
     }
@@ -83,8 +88,8 @@
     }
     used_[spec->team] += spec->cpus;
     check_quota(event.time, spec->team, task);
-    judge_.started(event.time, event.task, event.time);
-    judge_.there(event.time, event.task);
+    history_checker_.started(event.time, event.task, event.time);
+    history_checker_.there(event.time, event.task);
 }
 
 void Checker::task_stopped(const Event& event) {
@@ -92,14 +97,14 @@
     if (it == placements_.end() || it->second.machine != event.machine) {
         return; // the second of two, named before
     }
-    judge_.there(event.time, event.task);
+    history_checker_.there(event.time, event.task);
     auto spec = settings_.job(event.task.job);
     --zones_[event.task.job][it->second.zone];
     check_quota(event.time, spec->team, "still there");
     used_[spec->team] -= spec->cpus;
     placements_.erase(it);
     if (event.kind == Event::Kind::task_completed) {
-        judge_.completed(event.task);
+        history_checker_.completed(event.task);
     }
 }
 
@@ -114,7 +119,7 @@
 
 void Checker::finish(Time now) {
     for (const auto& [task, place] : placements_) {
-        judge_.there(now, task);
+        history_checker_.there(now, task);
     }
     for (const auto& [team, limit] : limits_) {
         check_quota(now, team, "at the end");
--- a/src/scale/checker.h
+++ b/src/scale/checker.h
@@ -1,5 +1,6 @@
-// Checks the rules against the history of a region: `test::Judge` (tests/simulation/judge.h, the
-// same that the tests use) what users were told, `Checker` what ran where.
+// Checks the rules against the history of a region: `test::HistoryChecker`
+// (tests/simulation/history_checker.h, the same that the tests use) what users were told, `Checker`
+// what ran where.
 #pragma once
 
 #include <functional>
@@ -30,9 +31,9 @@
     // The history is over at this time: checks what runs then.
     void finish(Time now);
     // Broken rules, in words.
-    const std::vector<std::string>& violations() const { return judge_.broken; }
+    const std::vector<std::string>& violations() const { return history_checker_.broken; }
     // The rules on what users were told.
-    const test::Judge& judge() const { return judge_; }
+    const test::HistoryChecker& history_checker() const { return history_checker_; }
     // Tasks on machines.
     std::size_t running() const { return placements_.size(); }
 
@@ -55,10 +56,10 @@
     void task_started(const Event& event);
     void task_stopped(const Event& event);
     void check_quota(Time now, const std::string& team, const std::string& when);
-    void add_violation(const std::string& what) { judge_.broken.push_back(what); }
+    void add_violation(const std::string& what) { history_checker_.broken.push_back(what); }
 
     Settings settings_;
-    test::Judge judge_;
+    test::HistoryChecker history_checker_;
     std::map<TaskId, Placement> placements_;
     std::map<std::string, std::map<std::string, std::uint32_t>> zones_; // running tasks, by job
     std::map<std::string, double> used_;                                // CPUs, by team
--- a/src/scale/history_analysis.cpp
+++ b/src/scale/history_analysis.cpp
@@ -44,10 +44,11 @@
         findings.violations.push_back("region " + std::to_string(plan.region()) + ": " + violation);
     }
     findings.changes_never_applied += collector.changes_never_applied();
-    findings.longest_unanswered_s = std::max(
-        findings.longest_unanswered_s, checker.judge().longest_unanswered(window.history_end));
+    findings.longest_unanswered_s =
+        std::max(findings.longest_unanswered_s,
+                 checker.history_checker().longest_unanswered(window.history_end));
     findings.longest_cancelled_s =
-        std::max(findings.longest_cancelled_s, checker.judge().longest_cancelled());
+        std::max(findings.longest_cancelled_s, checker.history_checker().longest_cancelled());
 }
 
 } // namespace scheduler::scale
--- a/src/scale/history_analysis.h
+++ b/src/scale/history_analysis.h
@@ -12,7 +12,7 @@
 struct HistoryFindings {
     std::vector<std::string> violations; // of rules, in words
     int changes_never_applied = 0;       // see LatencyCollector
-    double longest_unanswered_s = 0;     // see test::Judge, as the next one
+    double longest_unanswered_s = 0;     // see test::HistoryChecker, as the next one
     double longest_cancelled_s = 0;
     Latencies latencies;
 };
--- a/tests/borrowing_test.cpp
+++ b/tests/borrowing_test.cpp
@@ -6,22 +6,22 @@
 #include "core/stealing/slot_borrower.h"
 #include "core/stealing/slot_lender.h"
 #include "policy/default_policy.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
 
 // The owner of part 0 with a job of ten tasks; parts 1 and 2 hold the share of the machine `there`.
 struct Owner : SlotBorrower::Delegate {
-    ClusterSettings facts = World({.nodes = 3}).facts(0);
-    SchedulingPolicy policy = policy::defaults(facts);
+    ClusterSettings cluster_settings = SimulatedCluster({.nodes = 3}).cluster_settings(0);
+    SchedulingPolicy policy = policy::defaults(cluster_settings);
     StoreRateLimiter budget{1000, 1000, 1};
     OutboundRequests calls{budget, 1};
     LeadershipLease authority{11};
-    PartitionMap table{facts};
+    PartitionMap table{cluster_settings};
     JobStore jobs{1000};
-    MachineTable machines{facts.worker_lease_s, 1};
-    QuotaLedger teams{facts.teams};
+    MachineTable machines{cluster_settings.worker_lease_s, 1};
+    QuotaLedger teams{cluster_settings.teams};
     GangTracker gangs{30};
     InstanceTypeCatalog types{{{"m8", 8, 0, 32, 20, 1, 1, 0.4, 10, {"a", "b"}}}};
     std::unique_ptr<Leadership> claim;
@@ -48,20 +48,21 @@
         claim = std::make_unique<Leadership>(0, 0, authority);
         holdings = std::make_unique<OwnedShards>(*claim, table);
         holdings->update(0);
-        fleet = std::make_unique<CapacityPlanner>(facts, policy, 5);
+        fleet = std::make_unique<CapacityPlanner>(cluster_settings, policy, 5);
         order = std::make_unique<PendingQueue>(
-            facts, policy, jobs, teams,
+            cluster_settings, policy, jobs, teams,
             [this](Time at, const Job& job) { return has_schedulable_tasks(at, job); },
             [] { return std::vector<PeerSlotRequests>{}; });
-        demand = std::make_unique<DemandTracker>(*claim, facts, policy, types, jobs, teams,
-                                                 machines, *fleet);
-        borrowing = std::make_unique<SlotBorrower>(*claim, facts, policy, table, *holdings, jobs,
-                                                   teams, gangs, *order, *demand, calls, *this);
-        JobSpec spec = World({}).job("req-1", 10, 2);
+        demand = std::make_unique<DemandTracker>(*claim, cluster_settings, policy, types, jobs,
+                                                 teams, machines, *fleet);
+        borrowing =
+            std::make_unique<SlotBorrower>(*claim, cluster_settings, policy, table, *holdings, jobs,
+                                           teams, gangs, *order, *demand, calls, *this);
+        JobSpec spec = SimulatedCluster({}).job("req-1", 10, 2);
         jobs.add(0, spec, 7);
         for (int i = 0; there.empty(); ++i) {
             std::string name = "i-" + std::to_string(i);
-            share = shard_of_machine(facts, name, "b");
+            share = shard_of_machine(cluster_settings, name, "b");
             there = share.home_partition == 1 ? name : "";
         }
     }
@@ -278,7 +279,7 @@
     response.reconciled = response.complete = true;
     o.reply(2, 1, all, response);
     EXPECT_EQ(o.ended.size(), 1u);
-    for (int number = 0; number < shards_per_home(o.facts, 1); ++number) {
+    for (int number = 0; number < shards_per_home(o.cluster_settings, 1); ++number) {
         EXPECT_TRUE(o.borrowing->has_complete_inventory({1, number}));
     }
     EXPECT_FALSE(o.borrowing->has_complete_inventory({2, 0}));
@@ -286,20 +287,20 @@
 
 // The owner of part 1 with one machine that a gang of part 0 has been handed a slot of.
 struct Lender : SlotLender::Delegate {
-    ClusterSettings facts = World({.nodes = 3}).facts(1);
-    SchedulingPolicy policy = policy::defaults(facts);
+    ClusterSettings cluster_settings = SimulatedCluster({.nodes = 3}).cluster_settings(1);
+    SchedulingPolicy policy = policy::defaults(cluster_settings);
     StoreRateLimiter budget{1000, 1000, 1};
     OutboundRequests calls{budget, 1};
     LeadershipLease authority{11};
-    PartitionMap table{facts};
+    PartitionMap table{cluster_settings};
     JobStore jobs{1000};
-    MachineTable machines{facts.worker_lease_s, 1};
-    QuotaLedger teams{facts.teams};
+    MachineTable machines{cluster_settings.worker_lease_s, 1};
+    QuotaLedger teams{cluster_settings.teams};
     InstanceTypeCatalog types{{{"m8", 8, 0, 32, 20, 1, 1, 0.4, 10, {"a", "b"}}}};
     std::unique_ptr<Leadership> claim;
     std::unique_ptr<OwnedShards> holdings;
-    CapacityPlanner fleet{facts, policy, 5};
-    PendingQueue order{facts,
+    CapacityPlanner fleet{cluster_settings, policy, 5};
+    PendingQueue order{cluster_settings,
                        policy,
                        jobs,
                        teams,
@@ -316,10 +317,10 @@
         authority.on_elected(1, 6);
         claim = std::make_unique<Leadership>(0, 1, authority);
         holdings = std::make_unique<OwnedShards>(*claim, table);
-        demand = std::make_unique<DemandTracker>(*claim, facts, policy, types, jobs, teams,
-                                                 machines, fleet);
-        lending = std::make_unique<SlotLender>(*claim, facts, *holdings, machines, order, *demand,
-                                               calls, *this);
+        demand = std::make_unique<DemandTracker>(*claim, cluster_settings, policy, types, jobs,
+                                                 teams, machines, fleet);
+        lending = std::make_unique<SlotLender>(*claim, cluster_settings, *holdings, machines, order,
+                                               *demand, calls, *this);
         m = &machines.add(0, "i-1", types.all()[0], "b", true, {1, 0}, 6);
         want.job = "req-1";
         want.kind = JobKind::gang;
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -4,7 +4,7 @@
 
 #include "core/jobs/cancellation_broadcast.h"
 #include "core/model/partition_assignment.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
@@ -132,20 +132,21 @@
 // starts after the confirmation.
 TEST_P(StartsAfterCancellation, NoneIfTheLeaderIsReachable) {
     auto fault = static_cast<Fault>(GetParam());
-    World world({.seed = 3,
-                 .nodes = 5,
-                 .run_s = 2,
-                 .limits = 3,
-                 .capacity = 20,
-                 .state_rps = 600,
-                 .state_write_rps = 200,
-                 .notices = fault != Fault::broadcasts_lost});
-    world.run_for(30);
-    int leader = world.owner(partition_of_team(world.facts(0), "red"));
+    SimulatedCluster cluster({.seed = 3,
+                              .nodes = 5,
+                              .run_s = 2,
+                              .limits = 3,
+                              .capacity = 20,
+                              .state_rps = 600,
+                              .state_write_rps = 200,
+                              .cancellation_broadcasts = fault != Fault::broadcasts_lost});
+    cluster.run_for(30);
+    int leader = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red"));
     if (fault == Fault::slow_watch) { // of `job/`: reports no change to the leader
-        world.intercept = [&](int controller, const OutboundBody& request) {
+        cluster.intercept = [&](int controller, const OutboundBody& request) {
             const auto* watch = std::get_if<StoreWatch>(&request);
-            return controller == leader && watch && watch->prefix == kJobPrefix && world.now() > 40;
+            return controller == leader && watch && watch->prefix == kJobPrefix &&
+                   cluster.now() > 40;
         };
     }
     int jobs = 0;
@@ -153,54 +154,55 @@
     double longest_wait_s = 0;
     for (int round = 0; round < 30; ++round) {
         for (int k = 0; k < 6; ++k) {
-            JobSpec spec = world.job("req-" + std::to_string(++jobs), 6);
+            JobSpec spec = cluster.job("req-" + std::to_string(++jobs), 6);
             spec.kind = k == 0 ? JobKind::gang : k == 1 ? JobKind::service : JobKind::array;
-            world.submit((leader + 1) % 5, spec);
+            cluster.submit((leader + 1) % 5, spec);
         }
-        world.run_for(0.7);
+        cluster.run_for(0.7);
         if (fault == Fault::store_refuses_leader) {
-            world.state_refuses(leader, true);
+            cluster.set_store_refusing(leader, true);
         }
         if (fault == Fault::leader_cut_off_from_peers) {
             for (int n = 0; n < 5; ++n) {
-                world.cut_peers(leader, n, true);
+                cluster.cut_peers(leader, n, true);
             }
         }
         if (fault == Fault::leader_crashed && round % 10 == 0) {
-            leader = world.owner(partition_of_team(world.facts(0), "red"));
-            world.crash(leader, round % 20 ? 0.02 : 20);
-            world.run_for(1);
+            leader = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red"));
+            cluster.crash(leader, round % 20 ? 0.02 : 20);
+            cluster.run_for(1);
         }
         std::vector<RequestId> cancellations;
-        Time from = world.now();
+        Time from = cluster.now();
         for (int k = 0; k < 5; ++k) {
             cancellations.push_back(
-                world.cancel((leader + 1 + k % 4) % 5, "req-" + std::to_string(jobs - k)));
+                cluster.cancel((leader + 1 + k % 4) % 5, "req-" + std::to_string(jobs - k)));
         }
-        for (int k = 0; k < 100 && !world.answers.contains(cancellations.back()); ++k) {
-            world.run_for(0.01);
+        for (int k = 0; k < 100 && !cluster.answers.contains(cancellations.back()); ++k) {
+            cluster.run_for(0.01);
         }
-        longest_wait_s = std::max(longest_wait_s, world.now() - from);
-        world.run_for(1);
+        longest_wait_s = std::max(longest_wait_s, cluster.now() - from);
+        cluster.run_for(1);
         for (RequestId id : cancellations) {
-            confirmed += world.answers.contains(id) && world.answers.at(id).status == 200;
+            confirmed += cluster.answers.contains(id) && cluster.answers.at(id).status == 200;
         }
-        world.state_refuses(leader, false);
+        cluster.set_store_refusing(leader, false);
         for (int n = 0; n < 5; ++n) {
-            world.cut_peers(leader, n, false);
+            cluster.cut_peers(leader, n, false);
         }
     }
-    world.run_for(30);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(30);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     EXPECT_GT(confirmed, 100);
-    const Judge::LateStarts& late = world.judge().late_starts();
+    const HistoryChecker::LateStarts& late = cluster.history_checker().late_starts();
     std::printf("starts after a confirmed cancellation: %d sent before it, %d sent after, the last "
                 "%.3f s later; confirmed within %.2f s\n",
-                late.left_before, late.left_after, late.longest_s, longest_wait_s);
+                late.sent_before_response, late.sent_after_response, late.longest_s,
+                longest_wait_s);
     if (fault != Fault::leader_cut_off_from_peers && fault != Fault::broadcasts_lost) {
-        EXPECT_EQ(late.left_after, 0);
+        EXPECT_EQ(late.sent_after_response, 0);
     } else { // the leader learns it from its store watch
-        EXPECT_LT(late.longest_left, 1);
+        EXPECT_LT(late.longest_sent_s, 1);
     }
     EXPECT_LT(longest_wait_s, 0.8); // a bounded part of the users' waiting time
     EXPECT_LT(late.longest_s, 2);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,6 +1,6 @@
 // Guarantees and limits of teams that change while the service runs: five controllers, sixty
-// machines, 280 teams, and troubles. Quota is judged against the limit in force, see
-// World::judge_quota. The argument of each rule is in docs/configuration.md.
+// machines, 280 teams, and random_faults. Quota is judged against the limit in force, see
+// SimulatedCluster::judge_quota. The argument of each rule is in docs/configuration.md.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -8,7 +8,7 @@
 #include "core/model/partition_assignment.h"
 #include "core/quotas/quota_config.h"
 #include "policy/default_policy.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
@@ -16,16 +16,16 @@
 constexpr double kForce_s = 9; // where any road reaches
 constexpr double kRun_s = 400;
 
-WorldOptions options(std::uint64_t seed = 1) {
+SimulationOptions options(std::uint64_t seed = 1) {
     return {.seed = seed,
             .nodes = 5,
             .run_s = kRun_s,
             .limits = 10,
-            .more_teams = 278,
+            .extra_teams = 278,
             .capacity = 60,
             .state_rps = 250,
             .state_write_rps = 50,
-            .notices = true};
+            .cancellation_broadcasts = true};
 }
 
 class ConfigTest : public testing::Test {
@@ -43,7 +43,7 @@
             small.team = "t" + std::to_string(t);
             w.submit(t, small);
         }
-        w.ask_often();
+        w.start_polling_open_jobs();
         w.run_for(60);
         ASSERT_EQ(w.used("red"), 220);
     }
@@ -59,16 +59,16 @@
         }
         return w.broken.empty();
     }
-    int owner_of_red() const { return w.owner(partition_of_team(w.facts(0), "red")); }
+    int owner_of_red() const { return w.owner(partition_of_team(w.cluster_settings(0), "red")); }
 
-    World w;
+    SimulatedCluster w;
 };
 
 TEST_F(ConfigTest, ALoweredLimitIsInForceAtOnceAndWhatIsOverGoes) {
     fill();
     w.configure(red(100));
     w.run_for(2);
-    EXPECT_EQ(w.in_force_after().size(), 5U);
+    EXPECT_EQ(w.quota_delays_s().size(), 5U);
     w.run_for(10);
     EXPECT_LE(w.used("red"), 100);
     EXPECT_GE(w.used("red"), 98) << "no more goes than is over";
@@ -91,7 +91,7 @@
 
 TEST_F(ConfigTest, AMovedGuaranteeMovesNoTeam) {
     fill();
-    auto partitions = partitions_of_teams(w.facts(0));
+    auto partitions = partitions_of_teams(w.cluster_settings(0));
     int leader = owner_of_red();
     TeamQuota quota = w.team("red");
     quota.guaranteed_cpus = 1;
@@ -101,7 +101,7 @@
     w.configure(blue);
     w.run_for(60);
     EXPECT_EQ(owner_of_red(), leader);
-    EXPECT_EQ(partitions_of_teams(w.facts(0)), partitions);
+    EXPECT_EQ(partitions_of_teams(w.cluster_settings(0)), partitions);
     EXPECT_EQ(w.used("red"), 220);
     EXPECT_TRUE(kept());
 }
@@ -130,16 +130,16 @@
     }
     w.run_for(60);
     EXPECT_LE(w.used("red"), w.team("red").max_cpus);
-    EXPECT_EQ(w.in_force_after().size(), 5U * 200U);
-    EXPECT_LE(*std::max_element(w.in_force_after().begin(), w.in_force_after().end()), kForce_s);
+    EXPECT_EQ(w.quota_delays_s().size(), 5U * 200U);
+    EXPECT_LE(*std::max_element(w.quota_delays_s().begin(), w.quota_delays_s().end()), kForce_s);
     EXPECT_TRUE(kept());
 }
 
 TEST_F(ConfigTest, OfTwoWritersAtOnceOneIsRefused) {
     fill();
     std::uint64_t seen = w.version_of("config/team/red");
-    EXPECT_EQ(w.configure_over(red(120), seen), 200);
-    EXPECT_EQ(w.configure_over(red(200), seen), 409);
+    EXPECT_EQ(w.configure_if_version(red(120), seen), 200);
+    EXPECT_EQ(w.configure_if_version(red(200), seen), 409);
     w.run_for(60);
     EXPECT_EQ(w.used("red"), 120);
     EXPECT_TRUE(kept());
@@ -163,7 +163,7 @@
     gang.checkpoint_interval_s = 5;
     gang.save_duration_s = 2;
     w.submit(0, gang);
-    w.ask_often();
+    w.start_polling_open_jobs();
     w.run_for(60);
     ASSERT_EQ(w.gang_runs("req-1"), 1);
     TeamQuota before = w.team("red");
@@ -172,7 +172,7 @@
     EXPECT_EQ(w.used("red"), 0);
     EXPECT_EQ(w.gang_saves("req-1"), 1);
     w.run_for(100);
-    EXPECT_LT(w.judge().longest_unanswered(w.now()), 75);
+    EXPECT_LT(w.history_checker().longest_unanswered(w.now()), 75);
     EXPECT_EQ(w.outcomes().at("req-1"), Outcome::none);
     w.configure(before);
     w.run_for(kRun_s + 120);
@@ -296,7 +296,7 @@
     w.run_for(30);
     w.put("config/team/red", UnreadableRecord{});
     w.run_for(10);
-    EXPECT_GE(w.logged("event=record_unreadable"), 5U);
+    EXPECT_GE(w.log_count("event=record_unreadable"), 5U);
     TeamQuota impossible = red(0);
     impossible.guaranteed_cpus = -1;
     w.put("config/team/red", QuotaRecord{impossible});
@@ -354,19 +354,19 @@
 TEST_F(ConfigTest, ANodeRefusedByTheStateServiceHearsOfItFromItsSiblings) {
     fill();
     int leader = owner_of_red();
-    w.state_refuses(leader, true);
+    w.set_store_refusing(leader, true);
     w.run_for(2);
     w.configure(red(100));
     w.run_for(kForce_s);
-    EXPECT_EQ(w.in_force_after().size(), 5U);
+    EXPECT_EQ(w.quota_delays_s().size(), 5U);
     w.run_for(60);
-    w.state_refuses(leader, false);
+    w.set_store_refusing(leader, false);
     w.run_for(30);
     EXPECT_LE(w.used("red"), 100);
     EXPECT_TRUE(kept());
 }
 
-// ---- Crossed with troubles ----
+// ---- Crossed with random_faults ----
 
 enum class Change { lowered, raised, guarantee };
 constexpr const char* kChange[] = {"lowered", "raised", "guarantee"};
@@ -396,7 +396,7 @@
   protected:
     ConfigMeets() : ConfigTest(3 + static_cast<std::uint64_t>(std::get<0>(GetParam()))) {}
     void cut_off(int node, bool cut) {
-        w.state_silent(node, cut);
+        w.set_store_silent(node, cut);
         for (int to = 0; to < 5; ++to) {
             w.cut_peers(node, to, cut);
         }
@@ -413,7 +413,7 @@
     auto silent = w.machines_up();
     silent.resize(silent.size() / 3);
     switch (with) {
-    case owner_refused: w.state_refuses(leader, true); break;
+    case owner_refused: w.set_store_refusing(leader, true); break;
     case owner_cut_off: cut_off(leader, true); break;
     case owner_frozen: w.freeze(leader, 25); break;
     case peers_refuse:
@@ -428,8 +428,8 @@
             w.cut_machine(machine, true);
         }
         break;
-    case answers_lost: w.troubles.lost_answers = 0.4; break;
-    case late_writes: w.troubles.late_writes = 0.4; break;
+    case answers_lost: w.random_faults.lost_responses = 0.4; break;
+    case late_writes: w.random_faults.late_writes = 0.4; break;
     case watches_lost:
         w.intercept = [](int, const OutboundBody& call) {
             const auto* watch = std::get_if<StoreWatch>(&call);
@@ -450,10 +450,10 @@
     }
     ASSERT_TRUE(w.configure(quota));
     switch (with) {
-    case outage_right_after: w.state_down(true); break;
+    case outage_right_after: w.set_store_down(true); break;
     case outage:
         w.run_for(3);
-        w.state_down(true);
+        w.set_store_down(true);
         break;
     case owner_ends: w.crash(leader, 8); break;
     case owner_ends_twice:
@@ -467,9 +467,9 @@
         }
         break;
     case moves: {
-        int partition = partition_of_team(w.facts(0), "red");
-        for (const auto& shard : w.shares(partition)) {
-            w.give(partition, shard, (partition + 1) % 5);
+        int partition = partition_of_team(w.cluster_settings(0), "red");
+        for (const auto& shard : w.held_shards(partition)) {
+            w.migrate_shard(partition, shard, (partition + 1) % 5);
             w.run_for(0.2);
         }
         break;
@@ -477,8 +477,8 @@
     default: break;
     }
     w.run_for(60);
-    w.state_down(false);
-    w.state_refuses(leader, false);
+    w.set_store_down(false);
+    w.set_store_refusing(leader, false);
     cut_off(leader, false);
     for (int a = 0; a < 5; ++a) {
         for (int b = 0; b < 5; ++b) {
@@ -488,14 +488,14 @@
     for (const auto& machine : w.machines_up()) { // but those that were given back meanwhile
         w.cut_machine(machine, false);
     }
-    w.troubles = {};
+    w.random_faults = {};
     w.intercept = nullptr;
     w.run_for(75);
     EXPECT_LE(w.used("red"), limit);
     EXPECT_GE(w.used("red"), limit - 4) << "what may run does";
-    EXPECT_LT(w.judge().longest_unanswered(w.now()), 75);
+    EXPECT_LT(w.history_checker().longest_unanswered(w.now()), 75);
     EXPECT_TRUE(kept());
-    const auto& forced = w.in_force_after();
+    const auto& forced = w.quota_delays_s();
     ASSERT_GE(forced.size(), 5U);
     double longest = *std::max_element(forced.begin(), forced.end());
     std::printf("%s: in force at the last of %zu after %.2f s\n", kWith[with], forced.size(),
@@ -505,7 +505,7 @@
         EXPECT_LE(longest, kForce_s);
     }
 }
-INSTANTIATE_TEST_SUITE_P(Troubles, ConfigMeets,
+INSTANTIATE_TEST_SUITE_P(RandomFaults, ConfigMeets,
                          testing::Combine(testing::Range(0, int(kWiths)), testing::Range(0, 3)),
                          [](const auto& p) {
                              return std::string(kWith[std::get<0>(p.param)]) + "_" +
@@ -544,14 +544,14 @@
 class TeamConfigTest : public testing::Test {
   protected:
     TeamConfigTest() {
-        facts.teams = {{"red", 4, 8, 0, 0}, {"blue", 0, 0, 2, 4}};
-        facts.heartbeat_interval_s = 3;
-        facts.worker_lease_s = 17;
-        facts.cancel_s = 42;
-        config.emplace(facts, calls,
+        cluster_settings.teams = {{"red", 4, 8, 0, 0}, {"blue", 0, 0, 2, 4}};
+        cluster_settings.heartbeat_interval_s = 3;
+        cluster_settings.worker_lease_s = 17;
+        cluster_settings.cancel_s = 42;
+        config.emplace(cluster_settings, calls,
                        [this](Time, const TeamQuota& quota) { told.push_back(quota); });
     }
-    ClusterSettings facts;
+    ClusterSettings cluster_settings;
     StoreRateLimiter budget{100, 20, 1};
     OutboundRequests calls{budget, 1};
     std::vector<TeamQuota> told;
@@ -586,7 +586,7 @@
     config->advance(10);
     EXPECT_TRUE(config->is_current(11, 10));
     EXPECT_FALSE(config->is_current(11, 10.5)) << "asked before the claim";
-    EXPECT_FALSE(config->is_current(10 + facts.cancel_s, 10));
+    EXPECT_FALSE(config->is_current(10 + cluster_settings.cancel_s, 10));
 }
 
 TEST_F(TeamConfigTest, FaultsAreNamedByTheirKey) {
--- a/tests/lease_extension_test.cpp
+++ b/tests/lease_extension_test.cpp
@@ -4,7 +4,7 @@
 
 #include "core/leadership/lease_extender.h"
 #include "core/model/partition_assignment.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
@@ -181,100 +181,102 @@
 
 // ---- Store outages in a simulated cluster ----
 
-int red_partition(const World& world) { return partition_of_team(world.facts(0), "red"); }
+int red_partition(const SimulatedCluster& cluster) {
+    return partition_of_team(cluster.cluster_settings(0), "red");
+}
 
-void start_job(World& world, const std::string& id, std::uint32_t tasks) {
-    world.run_for(20); // until controllers have run long enough to grant extensions
-    world.submit(0, world.job(id, tasks));
-    world.run_for(30);
-    ASSERT_EQ(world.machines_of({id, 0}).size(), 1u);
+void start_job(SimulatedCluster& cluster, const std::string& id, std::uint32_t tasks) {
+    cluster.run_for(20); // until controllers have run long enough to grant extensions
+    cluster.submit(0, cluster.job(id, tasks));
+    cluster.run_for(30);
+    ASSERT_EQ(cluster.machines_of({id, 0}).size(), 1u);
 }
 
 TEST(StoreOutage, NoTaskStopsDuringAnOutageLongerThanAnyLease) {
-    World world({.run_s = 200});
-    start_job(world, "req-1", 8);
-    world.state_down(true);
-    world.run_for(60);
+    SimulatedCluster cluster({.run_s = 200});
+    start_job(cluster, "req-1", 8);
+    cluster.set_store_down(true);
+    cluster.run_for(60);
     for (std::uint32_t i = 0; i < 8; ++i) {
-        EXPECT_EQ(world.machines_of({"req-1", i}).size(), 1u);
+        EXPECT_EQ(cluster.machines_of({"req-1", i}).size(), 1u);
     }
-    world.state_down(false);
-    world.run_for(300);
-    EXPECT_TRUE(world.all_done("req-1"));
+    cluster.set_store_down(false);
+    cluster.run_for(300);
+    EXPECT_TRUE(cluster.all_done("req-1"));
     for (std::uint32_t i = 0; i < 8; ++i) {
-        EXPECT_EQ(world.starts({"req-1", i}), 1);
+        EXPECT_EQ(cluster.starts({"req-1", i}), 1);
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(StoreOutage, LeadershipEndsWithItsLeaseWhenAPeerIsUnreachable) {
-    World world({.run_s = 200});
-    start_job(world, "req-1", 4);
-    int leader = world.owner(red_partition(world));
-    world.cut_peers(leader, (leader + 1) % 3, true);
-    world.state_down(true);
-    world.run_for(60);
-    EXPECT_TRUE(world.machines_of({"req-1", 0}).empty()); // its worker's lease has ended
-    world.state_down(false);
-    world.cut_peers(leader, (leader + 1) % 3, false);
-    world.run_for(60);
-    EXPECT_EQ(world.machines_of({"req-1", 0}).size(), 1u);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    SimulatedCluster cluster({.run_s = 200});
+    start_job(cluster, "req-1", 4);
+    int leader = cluster.owner(red_partition(cluster));
+    cluster.cut_peers(leader, (leader + 1) % 3, true);
+    cluster.set_store_down(true);
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.machines_of({"req-1", 0}).empty()); // its worker's lease has ended
+    cluster.set_store_down(false);
+    cluster.cut_peers(leader, (leader + 1) % 3, false);
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // The store refuses only the leader, a user cancels a job at another controller, and then the store
 // is down for all. The leader must learn the cancellation from its peers' responses to extension
 // requests, or the job's tasks would run for as long as the outage lasts.
 TEST(StoreOutage, LeaderLearnsAMissedCancellationFromExtensions) {
-    World world({.run_s = 300});
-    start_job(world, "req-1", 4);
-    int leader = world.owner(red_partition(world));
-    world.state_refuses(leader, true);
-    world.run_for(1);
-    RequestId id = world.cancel((leader + 1) % 3, "req-1");
-    world.run_for(0.2);
-    ASSERT_EQ(world.answers.at(id).status, 200);
-    world.state_down(true);
-    world.run_for(20);
+    SimulatedCluster cluster({.run_s = 300});
+    start_job(cluster, "req-1", 4);
+    int leader = cluster.owner(red_partition(cluster));
+    cluster.set_store_refusing(leader, true);
+    cluster.run_for(1);
+    RequestId id = cluster.cancel((leader + 1) % 3, "req-1");
+    cluster.run_for(0.2);
+    ASSERT_EQ(cluster.answers.at(id).status, 200);
+    cluster.set_store_down(true);
+    cluster.run_for(20);
     for (std::uint32_t i = 0; i < 4; ++i) {
-        EXPECT_TRUE(world.machines_of({"req-1", i}).empty());
+        EXPECT_TRUE(cluster.machines_of({"req-1", i}).empty());
     }
-    world.run_for(60);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(StoreOutage, PartitionMovesWhenTheOutageEndsForTheOthersFirst) {
-    World world({.run_s = 300});
-    start_job(world, "req-1", 4);
-    int leader = world.owner(red_partition(world));
-    world.state_down(true);
-    world.run_for(20);
-    world.state_refuses(leader, true);
-    world.state_down(false);
-    world.run_for(40);
-    EXPECT_NE(world.owner(red_partition(world)), leader);
-    world.state_refuses(leader, false);
-    world.run_for(60);
-    EXPECT_EQ(world.machines_of({"req-1", 0}).size(), 1u);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    SimulatedCluster cluster({.run_s = 300});
+    start_job(cluster, "req-1", 4);
+    int leader = cluster.owner(red_partition(cluster));
+    cluster.set_store_down(true);
+    cluster.run_for(20);
+    cluster.set_store_refusing(leader, true);
+    cluster.set_store_down(false);
+    cluster.run_for(40);
+    EXPECT_NE(cluster.owner(red_partition(cluster)), leader);
+    cluster.set_store_refusing(leader, false);
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(StoreOutage, ReadyInAClusterWideOutageButNotWhenIsolated) {
-    World world({.run_s = 300});
-    start_job(world, "req-1", 4);
-    world.state_down(true);
-    world.run_for(30);
-    EXPECT_EQ(world.probe(0), 200);
-    RequestId id = world.submit(0, world.job("req-2", 1));
-    world.run_for(0.5);
-    EXPECT_EQ(world.answers.at(id).status, 503); // immediately, with a retry delay
-    EXPECT_GT(world.answers.at(id).retry_after_s, 0);
-    world.state_down(false);
-    world.run_for(10);
-    world.state_refuses(0, true);
-    world.run_for(4);
-    EXPECT_EQ(world.probe(0), 503);
-    EXPECT_EQ(world.probe(1), 200);
+    SimulatedCluster cluster({.run_s = 300});
+    start_job(cluster, "req-1", 4);
+    cluster.set_store_down(true);
+    cluster.run_for(30);
+    EXPECT_EQ(cluster.probe_readiness(0), 200);
+    RequestId id = cluster.submit(0, cluster.job("req-2", 1));
+    cluster.run_for(0.5);
+    EXPECT_EQ(cluster.answers.at(id).status, 503); // immediately, with a retry delay
+    EXPECT_GT(cluster.answers.at(id).retry_after_s, 0);
+    cluster.set_store_down(false);
+    cluster.run_for(10);
+    cluster.set_store_refusing(0, true);
+    cluster.run_for(4);
+    EXPECT_EQ(cluster.probe_readiness(0), 503);
+    EXPECT_EQ(cluster.probe_readiness(1), 200);
 }
 
 // Long store outages for all and for single controllers, with crashes, cut connections, lost and
@@ -284,64 +286,65 @@
 TEST_P(RandomStoreOutages, InvariantsHold) {
     auto seed = static_cast<std::uint64_t>(GetParam());
     int controllers = seed % 2 ? 3 : 5;
-    World world({.seed = seed,
-                 .nodes = controllers,
-                 .drop = 0.02,
-                 .late = 0.02,
-                 .run_s = 25,
-                 .notices = seed % 4 < 2});
+    SimulatedCluster cluster({.seed = seed,
+                              .nodes = controllers,
+                              .drop = 0.02,
+                              .late = 0.02,
+                              .run_s = 25,
+                              .cancellation_broadcasts = seed % 4 < 2});
     std::mt19937_64 random(seed * 977);
     auto random_below = [&](int n) { return static_cast<int>(random() % n); };
-    world.run_for(20);
+    cluster.run_for(20);
     int jobs = 0;
     for (int round = 0; round < 4; ++round) {
         for (int k = 0; k < 4; ++k) {
-            JobSpec spec = world.job("req-" + std::to_string(++jobs), 2 + random_below(6),
-                                     1 + random_below(3));
+            JobSpec spec = cluster.job("req-" + std::to_string(++jobs), 2 + random_below(6),
+                                       1 + random_below(3));
             spec.team = random_below(2) ? "red" : "blue";
-            world.submit(random_below(controllers), spec);
-            world.run_for(3);
+            cluster.submit(random_below(controllers), spec);
+            cluster.run_for(3);
         }
         int isolated = random_below(controllers);
         bool isolated_before = random_below(2) != 0;
-        world.state_refuses(isolated, isolated_before);
-        world.cancel(random_below(controllers), "req-" + std::to_string(1 + random_below(jobs)));
-        world.run_for(0.5 + random_below(4));
-        world.state_down(true);
+        cluster.set_store_refusing(isolated, isolated_before);
+        cluster.cancel(random_below(controllers), "req-" + std::to_string(1 + random_below(jobs)));
+        cluster.run_for(0.5 + random_below(4));
+        cluster.set_store_down(true);
         for (int k = 0; k < 2 + random_below(5); ++k) {
-            world.run_for(4 + random_below(8));
+            cluster.run_for(4 + random_below(8));
             switch (random_below(6)) {
-            case 0: world.crash(random_below(controllers), 1 + random_below(8)); break;
+            case 0: cluster.crash(random_below(controllers), 1 + random_below(8)); break;
             case 1:
-                world.cut_peers(random_below(controllers), random_below(controllers), true);
+                cluster.cut_peers(random_below(controllers), random_below(controllers), true);
                 break;
-            case 2: world.cut_workers(random_below(controllers), true); break;
+            case 2: cluster.cut_workers(random_below(controllers), true); break;
             case 3:
-                world.cancel(random_below(controllers),
-                             "req-" + std::to_string(1 + random_below(jobs)));
+                cluster.cancel(random_below(controllers),
+                               "req-" + std::to_string(1 + random_below(jobs)));
                 break;
             default: break;
             }
-            ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
+            ASSERT_TRUE(cluster.broken.empty())
+                << cluster.broken.front() << " at " << cluster.now();
         }
-        world.state_refuses(isolated, random_below(2) != 0);
-        world.state_down(false);
-        world.run_for(random_below(30));
-        world.cancel(random_below(controllers), "req-" + std::to_string(1 + random_below(jobs)));
-        world.state_refuses(isolated, false);
+        cluster.set_store_refusing(isolated, random_below(2) != 0);
+        cluster.set_store_down(false);
+        cluster.run_for(random_below(30));
+        cluster.cancel(random_below(controllers), "req-" + std::to_string(1 + random_below(jobs)));
+        cluster.set_store_refusing(isolated, false);
         for (int n = 0; n < controllers; ++n) {
-            world.cut_workers(n, false);
+            cluster.cut_workers(n, false);
             for (int to = 0; to < controllers; ++to) {
-                world.cut_peers(n, to, false);
+                cluster.cut_peers(n, to, false);
             }
         }
-        world.run_for(30);
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
+        cluster.run_for(30);
+        ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
     }
-    world.run_for(400);
-    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
-    for (const auto& [id, outcome] : world.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
+    cluster.run_for(400);
+    ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    for (const auto& [id, outcome] : cluster.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomStoreOutages, testing::Range(1, 13));
--- a/tests/meeting_rows_test.cpp
+++ b/tests/meeting_rows_test.cpp
@@ -8,18 +8,18 @@
 
 #include "core/model/partition_assignment.h"
 #include "seeds.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
 
-int part_of(const World& world, const char* team) {
-    return partition_of_team(world.facts(0), team);
+int part_of(const SimulatedCluster& cluster, const char* team) {
+    return partition_of_team(cluster.cluster_settings(0), team);
 }
 
 // A fleet at work, and what a row does with it.
 struct Scene {
-    explicit Scene(std::uint64_t seed, WorldOptions options = usual())
+    explicit Scene(std::uint64_t seed, SimulationOptions options = usual())
         : w(with_seed(options, seed)), random(seed) {
         w.run_for(40);
         for (const char* team : {"red", "blue"}) {
@@ -34,18 +34,18 @@
         leader = w.owner(part_of(w, "red"));
         confirming = (leader + 1) % 5;
     }
-    static WorldOptions usual() {
+    static SimulationOptions usual() {
         return {.nodes = 5,
                 .run_s = 60,
                 .limits = 10,
                 .capacity = 60,
                 .state_rps = 400,
                 .state_write_rps = 100,
-                .notices = true};
+                .cancellation_broadcasts = true};
     }
-    static WorldOptions with_seed(WorldOptions o, std::uint64_t seed) {
+    static SimulationOptions with_seed(SimulationOptions o, std::uint64_t seed) {
         o.seed = seed;
-        o.notices = seed % 2 != 0;
+        o.cancellation_broadcasts = seed % 2 != 0;
         return o;
     }
     int any(int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); }
@@ -92,9 +92,9 @@
             w.cut_peers(node, n, cut);
         }
     }
-    double lease() const { return w.facts(0).worker_lease_s; }
+    double lease() const { return w.cluster_settings(0).worker_lease_s; }
 
-    World w;
+    SimulatedCluster w;
     std::mt19937_64 random;
     int jobs = 0;
     int leader = -1;
@@ -111,14 +111,14 @@
     // The trouble; `end` ends who is to end, once, and may be called at any instant. `instant`: 0,
     // 1 or 2, early to late.
     std::function<void(Scene&, int instant, const std::function<void()>& end)> play;
-    WorldOptions options = Scene::usual();
+    SimulationOptions options = Scene::usual();
 };
 
-WorldOptions quick(WorldOptions o = Scene::usual()) {
+SimulationOptions quick(SimulationOptions o = Scene::usual()) {
     o.run_s = 15;
     return o;
 }
-WorldOptions narrow(WorldOptions o = Scene::usual()) {
+SimulationOptions narrow(SimulationOptions o = Scene::usual()) {
     o.limits = 2; // every team is at its limit
     return o;
 }
@@ -127,7 +127,7 @@
     static const std::vector<Row> all = {
         {"LeaderCutFromStateAndPeersWhileJobsAreCancelledElsewhere",
          [](Scene& s, int instant, const auto& end) {
-             s.w.state_silent(s.leader, true);
+             s.w.set_store_silent(s.leader, true);
              s.all_peers(s.leader, true);
              s.w.run_for(std::array{0.1, 5.0, 14.0}[instant]);
              s.cancel_some(s.confirming);
@@ -135,7 +135,7 @@
              end();
              s.cancel_some(s.leader); // users reach it too: 503
              s.w.run_for(2 * s.lease());
-             s.w.state_silent(s.leader, false);
+             s.w.set_store_silent(s.leader, false);
              s.all_peers(s.leader, false);
          }},
         {"SmallJobsWhoseTasksEndFarApartAcrossAChangeOfLeader",
@@ -152,9 +152,9 @@
          }},
         {"MuteWorkers",
          [](Scene& s, int instant, const auto& end) {
-             s.w.troubles.mute_boots = 0.5; // also from their boot on
+             s.w.random_faults.outbound_cut_boots = 0.5; // also from their boot on
              for (const auto& machine : s.some_machines(4)) {
-                 s.w.mute(machine, true);
+                 s.w.cut_outbound(machine, true);
              }
              for (int k = 0; k < 8; ++k) {
                  s.submit(JobKind::array, 12, "red", 2);
@@ -163,14 +163,14 @@
              s.cancel_some(s.confirming);
              end();
              s.w.run_for(2 * s.lease());
-             s.w.troubles.mute_boots = 0;
+             s.w.random_faults.outbound_cut_boots = 0;
              for (const auto& machine : s.w.machines_up()) {
-                 s.w.mute(machine, false);
+                 s.w.cut_outbound(machine, false);
              }
          }},
         {"AHeldCommandOrItsAnswerAndTheMachineGoesOn",
          [](Scene& s, int instant, const auto& end) {
-             s.w.troubles.held_orders = 0.7;
+             s.w.random_faults.delayed_commands = 0.7;
              for (int k = 0; k < 8; ++k) {
                  s.submit(k % 3 ? JobKind::array : JobKind::gang, 6, k % 2 ? "red" : "blue", 2);
                  s.w.run_for(0.3);
@@ -223,14 +223,14 @@
          [](Scene& s, int instant, const auto& end) {
              s.cancel_some(s.confirming);
              s.w.run_for(0.5);
-             s.w.state_down(true);
+             s.w.set_store_down(true);
              for (int k = 0; k < 10; ++k) {
                  s.w.crash((s.leader + k) % 5, std::array{0.02, 4.0, 9.0}[instant]);
                  s.w.run_for(12);
              }
              end();
              s.w.run_for(3);
-             s.w.state_down(false);
+             s.w.set_store_down(false);
          }},
         {"JobsBoundToOneZoneAndArraysLoseMachines",
          [](Scene& s, int instant, const auto& end) {
@@ -244,7 +244,7 @@
                  }
              }
              for (const auto& machine : s.some_machines(5)) {
-                 s.w.take_machine(machine, 5);
+                 s.w.preempt_machine(machine, 5);
              }
              end();
              s.w.run_for(10);
@@ -253,8 +253,8 @@
          }},
         {"MoreWorkThanRoomUrgentAndNotOverSlowLinks",
          [](Scene& s, int instant, const auto& end) {
-             s.w.limit_cloud(20);
-             s.w.troubles.slow_links_s = 0.4;
+             s.w.set_cloud_capacity(20);
+             s.w.random_faults.link_delay_s = 0.4;
              for (int k = 0; k < 20; ++k) {
                  JobSpec j = s.w.job("req-" + std::to_string(++s.jobs), 4 + 10 * (k % 3), 2);
                  j.priority = k % 3 == 0 ? Priority::high : Priority::normal;
@@ -266,7 +266,7 @@
              s.cancel_some(s.confirming);
              end();
              s.w.run_for(20);
-             s.w.limit_cloud(60);
+             s.w.set_cloud_capacity(60);
          },
          quick()},
         {"EveryTeamAtItsLimitJobsCancelledOnMachinesCutOffOrHungAndANewLeader",
@@ -304,9 +304,9 @@
          narrow()},
         {"NewMachinesUpInTwoSecondsWritesLagAndTheLeaderEnds",
          [](Scene& s, int instant, const auto& end) {
-             s.w.troubles.quick_boots = 1;
-             s.w.troubles.late_writes = 0.5;
-             s.w.troubles.lost_answers = instant == 2 ? 0.5 : 0;
+             s.w.random_faults.quick_boots = 1;
+             s.w.random_faults.late_writes = 0.5;
+             s.w.random_faults.lost_responses = instant == 2 ? 0.5 : 0;
              for (int k = 0; k < 6; ++k) {
                  s.submit(JobKind::array, 20, "red", 2);
                  s.submit(JobKind::gang, 4, "blue", 2);
@@ -321,7 +321,7 @@
          }},
         {"AnOldReportReachesEveryControllerAsANewLeaderBegins",
          [](Scene& s, int instant, const auto& end) {
-             s.w.troubles.reports_for_next = 0.6;
+             s.w.random_faults.heartbeats_for_next_leader = 0.6;
              for (int k = 0; k < 4; ++k) {
                  s.submit(JobKind::array, 8, "red", 1);
                  s.w.run_for(5);
@@ -340,7 +340,7 @@
          quick()},
         {"ATransactionCarriedOutLateAfterNewerOnes",
          [](Scene& s, int instant, const auto& end) {
-             s.w.troubles.late_writes = 0.4;
+             s.w.random_faults.late_writes = 0.4;
              for (int k = 0; k < 10; ++k) {
                  s.submit(k % 3 ? JobKind::array : JobKind::gang, 3, k % 2 ? "red" : "blue", 1);
                  s.w.run_for(1 + instant);
@@ -354,9 +354,9 @@
          quick()},
         {"ControllersHandOverAndBackAllEndAndOneReturnsWithinASecond",
          [](Scene& s, int instant, const auto& end) {
-             auto shards = s.w.shares(part_of(s.w, "red"));
+             auto shards = s.w.held_shards(part_of(s.w, "red"));
              for (std::size_t k = 0; k < shards.size() / 2; ++k) {
-                 s.w.give(part_of(s.w, "red"), shards[k], part_of(s.w, "blue"));
+                 s.w.migrate_shard(part_of(s.w, "red"), shards[k], part_of(s.w, "blue"));
              }
              s.w.crash(s.leader, 8);
              s.w.run_for(std::array{9.0, 14.0, 32.0}[instant]); // about when it is handed back
@@ -396,7 +396,7 @@
          [](Scene& s, int instant, const auto& end) {
              std::vector<std::string> machines = s.some_machines(3);
              for (const auto& machine : machines) {
-                 instant == 1 ? s.w.cut_machine(machine, true) : s.w.deafen(machine, true);
+                 instant == 1 ? s.w.cut_machine(machine, true) : s.w.cut_inbound(machine, true);
              }
              s.w.run_for(std::array{0.5, 3.0, 12.0}[instant]);
              s.w.crash(s.leader, instant ? 25 : 0.02);
@@ -408,15 +408,15 @@
              for (const auto& machine : machines) {
                  if (std::find(up.begin(), up.end(), machine) != up.end()) {
                      s.w.cut_machine(machine, false);
-                     s.w.deafen(machine, false);
+                     s.w.cut_inbound(machine, false);
                  }
              }
              s.w.run_for(10);
          }},
         {"TheStateServiceIsSlowOrRefusesTheLeaderThenAllWhileUsersCancelAndAsk",
          [](Scene& s, int instant, const auto& end) {
-             s.w.troubles.state_slow_s = instant == 0 ? 2 : 0.3;
-             s.w.state_refuses(s.leader, instant != 0);
+             s.w.random_faults.store_delay_s = instant == 0 ? 2 : 0.3;
+             s.w.set_store_refusing(s.leader, instant != 0);
              for (int k = 0; k < 12; ++k) {
                  s.submit(JobKind::array, 2, "red", 1);
                  s.w.poll(s.any(5), "req-" + std::to_string(1 + s.any(s.jobs)));
@@ -424,19 +424,19 @@
              }
              s.cancel_some(s.confirming);
              s.w.run_for(1);
-             s.w.state_down(true);
+             s.w.set_store_down(true);
              s.w.run_for(std::array{5.0, 20.0, 50.0}[instant]);
              s.cancel_some(s.confirming);
              end();
              s.w.run_for(10);
-             s.w.state_down(false);
-             s.w.state_refuses(s.leader, false);
+             s.w.set_store_down(false);
+             s.w.set_store_refusing(s.leader, false);
              s.w.run_for(5);
          }},
         {"ACancellationAQuestionOrARepeatMeetsTheEndOfTheLastTask",
          [](Scene& s, int instant, const auto& end) {
-             s.w.troubles.cancel_at_end = 1;
-             s.w.troubles.close_looks = 0.5;
+             s.w.random_faults.cancel_at_end = 1;
+             s.w.random_faults.concurrent_status_reads = 0.5;
              for (int k = 0; k < 16; ++k) {
                  s.submit(k % 4 ? JobKind::array : JobKind::gang, 1 + k % 3, k % 2 ? "red" : "blue",
                           1);
@@ -453,40 +453,41 @@
 
 void play(const Row& row, int instant, Ends ends, double back, std::uint64_t seed) {
     Scene s(seed, row.options);
-    World& world = s.w;
-    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
+    SimulatedCluster& cluster = s.w;
+    ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     auto end = [&] {
         if (ends == Ends::owner || ends == Ends::both) {
-            int leader = world.owner(part_of(world, "red"));
-            world.crash(leader < 0 ? s.leader : leader, back);
+            int leader = cluster.owner(part_of(cluster, "red"));
+            cluster.crash(leader < 0 ? s.leader : leader, back);
         }
         if (ends == Ends::confirming || ends == Ends::both) {
-            world.crash(s.confirming, back);
+            cluster.crash(s.confirming, back);
         }
     };
     row.play(s, instant, end);
-    world.troubles = {};
+    cluster.random_faults = {};
     for (const auto& f : s.undo) {
         f();
     }
-    ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
-    world.run_for(world.facts(0).cancel_s);
-    world.ask_often(); // the troubles are over
-    world.run_for(260);
-    for (const auto& [id, outcome] : world.outcomes()) {
-        if (world.spec_of(id).kind == JobKind::service && outcome == Outcome::none) {
-            EXPECT_EQ(world.machines_of({id, 0}).size(), 1u) << id;
-            world.cancel(0, id);
+    ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
+    cluster.run_for(cluster.cluster_settings(0).cancel_s);
+    cluster.start_polling_open_jobs(); // the random_faults are over
+    cluster.run_for(260);
+    for (const auto& [id, outcome] : cluster.outcomes()) {
+        if (cluster.spec_of(id).kind == JobKind::service && outcome == Outcome::none) {
+            EXPECT_EQ(cluster.machines_of({id, 0}).size(), 1u) << id;
+            cluster.cancel(0, id);
         }
     }
-    world.run_for(100);
-    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_LT(world.longest_unanswered(), 75);
-    EXPECT_LT(world.judge().longest_idle(), 90) << world.judge().idlest();
-    for (const auto& [id, outcome] : world.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
+    cluster.run_for(100);
+    ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_LT(cluster.longest_unanswered(), 75);
+    EXPECT_LT(cluster.history_checker().longest_idle(), 90)
+        << cluster.history_checker().longest_idle_job();
+    for (const auto& [id, outcome] : cluster.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
-    EXPECT_EQ(world.served_under(0.5), std::vector<std::string>{});
+    EXPECT_EQ(cluster.groups_served_below(0.5), std::vector<std::string>{});
 }
 
 class MeetingRows : public testing::TestWithParam<int> {};
@@ -495,7 +496,7 @@
 // with SCHEDULER_SEEDS.
 TEST_P(MeetingRows, KeepTheRulesAndForgetNobody) {
     const Row& row = rows().at(static_cast<std::size_t>(GetParam()));
-    bool all = seeds_asked() > 0;
+    bool all = extra_seed_count() > 0;
     int played = 0;
     for (int instant = 0; instant < 3; ++instant) {
         for (int k = 0; k < 16; ++k) {
@@ -575,21 +576,22 @@
             SCOPED_TRACE(std::string(kind.name) + " " + std::to_string(which) + " back " +
                          std::to_string(back));
             Scene s(17, quick());
-            World& world = s.w;
+            SimulatedCluster& cluster = s.w;
             int seen = 0;
             int lost = 0;
-            Time from = world.now();
-            world.troubles.close_looks = 1;
-            world.lose_answer = [&](int node, const StoreTransaction& transaction) {
+            Time from = cluster.now();
+            cluster.random_faults.concurrent_status_reads = 1;
+            cluster.lose_response = [&](int node, const StoreTransaction& transaction) {
                 bool is = std::any_of(transaction.writes.begin(), transaction.writes.end(),
                                       [&](const StoreWrite& c) { return kind.is(nullptr, c); });
-                if (!is || world.now() > from + 60) {
+                if (!is || cluster.now() > from + 60) {
                     return false;
                 }
                 int n = seen++;
                 bool lose = which == 3 ? true : which == 2 ? n % 2 == 0 : n == which;
                 if (lose && ++lost == 1 && back >= 0) {
-                    world.at(world.now() + 0.1, [&world, node, back] { world.crash(node, back); });
+                    cluster.at(cluster.now() + 0.1,
+                               [&cluster, node, back] { cluster.crash(node, back); });
                 }
                 return lose;
             };
@@ -601,42 +603,43 @@
             for (int n = 0; n < 5; ++n) {
                 s.all_peers(n, true);
             }
-            world.crash(s.leader, 14);
-            world.run_for(20);
+            cluster.crash(s.leader, 14);
+            cluster.run_for(20);
             for (int n = 0; n < 5; ++n) {
                 s.all_peers(n, false);
             }
             s.cancel_some((s.leader + 2) % 5);
-            for (const auto& shard : world.shares(part_of(world, "blue"))) {
-                world.give(part_of(world, "blue"), shard, s.any(5));
+            for (const auto& shard : cluster.held_shards(part_of(cluster, "blue"))) {
+                cluster.migrate_shard(part_of(cluster, "blue"), shard, s.any(5));
             }
             for (const auto& machine : s.some_machines(8)) {
-                world.kill_machine(machine);
+                cluster.kill_machine(machine);
             }
-            world.crash((s.leader + 3) % 5, 0.02); // it fetches the types again
+            cluster.crash((s.leader + 3) % 5, 0.02); // it fetches the types again
             for (int k = 0; k < 6; ++k) {
                 s.submit(JobKind::array, 40, k % 2 ? "red" : "blue", 2);
-                world.run_for(6);
+                cluster.run_for(6);
                 s.cancel_some((s.leader + 2) % 5);
             }
-            world.troubles = {};
-            world.run_for(world.facts(0).cancel_s);
-            world.lose_answer = nullptr;
-            world.ask_often();
+            cluster.random_faults = {};
+            cluster.run_for(cluster.cluster_settings(0).cancel_s);
+            cluster.lose_response = nullptr;
+            cluster.start_polling_open_jobs();
             for (int k = 0; k < 10; ++k) {
-                world.run_for(30);
-                for (const auto& [id, outcome] : world.outcomes()) {
-                    if (world.spec_of(id).kind == JobKind::service && outcome == Outcome::none) {
-                        world.cancel(0, id);
+                cluster.run_for(30);
+                for (const auto& [id, outcome] : cluster.outcomes()) {
+                    if (cluster.spec_of(id).kind == JobKind::service && outcome == Outcome::none) {
+                        cluster.cancel(0, id);
                     }
                 }
             }
             EXPECT_GT(seen, 0);
             EXPECT_TRUE(lost > 0 || which == 1) << seen;
-            ASSERT_TRUE(world.broken.empty()) << world.broken.front();
-            EXPECT_LT(world.longest_unanswered(), 75);
-            EXPECT_LT(world.judge().longest_idle(), 90) << world.judge().idlest();
-            for (const auto& [id, outcome] : world.outcomes()) {
+            ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+            EXPECT_LT(cluster.longest_unanswered(), 75);
+            EXPECT_LT(cluster.history_checker().longest_idle(), 90)
+                << cluster.history_checker().longest_idle_job();
+            for (const auto& [id, outcome] : cluster.outcomes()) {
                 EXPECT_NE(outcome, Outcome::none) << id;
             }
         }
@@ -652,53 +655,59 @@
 // Four a second for ten minutes, a quarter cancelled, with an outage and an end in it, at the
 // limits of the smallest deployment: 100 requests and 20 changes a second for all.
 TEST(OneTaskJobs, FourASecondForTenMinutesAQuarterCancelled) {
-    World world({.seed = 5, .nodes = 3, .run_s = 6, .limits = 4, .capacity = 14, .notices = true});
+    SimulatedCluster cluster({.seed = 5,
+                              .nodes = 3,
+                              .run_s = 6,
+                              .limits = 4,
+                              .capacity = 14,
+                              .cancellation_broadcasts = true});
     std::mt19937_64 random(5);
     auto any = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
-    world.run_for(30);
+    cluster.run_for(30);
     std::map<std::string, std::pair<RequestId, int>> open; // submissions without a 20x, tries
-    world.ask_often();
+    cluster.start_polling_open_jobs();
     int jobs = 0;
-    Time from = world.now();
+    Time from = cluster.now();
     int claims = 0;
-    world.on_log = [&](Time, int, const std::string& text) {
+    cluster.on_log = [&](Time, int, const std::string& text) {
         claims += text.starts_with("event=leadership_acquired");
     };
     int node = 0;
-    while (world.now() < from + 600) {
-        JobSpec spec = world.job("req-" + std::to_string(++jobs), 1, 1);
+    while (cluster.now() < from + 600) {
+        JobSpec spec = cluster.job("req-" + std::to_string(++jobs), 1, 1);
         spec.team = any(2) ? "red" : "blue";
-        open[spec.id] = {world.submit(any(3), spec), 0};
+        open[spec.id] = {cluster.submit(any(3), spec), 0};
         if (jobs % 4 == 0) {
             std::string id = "req-" + std::to_string(std::max(1, jobs - any(16)));
-            world.at(world.now() + 1, [&world, id, n = any(3)] { world.cancel(n, id); });
+            cluster.at(cluster.now() + 1, [&cluster, id, n = any(3)] { cluster.cancel(n, id); });
         }
         if (jobs == 800) {
-            world.state_down(true);
-            world.at(world.now() + 25, [&world] { world.state_down(false); });
+            cluster.set_store_down(true);
+            cluster.at(cluster.now() + 25, [&cluster] { cluster.set_store_down(false); });
         }
         if (jobs == 1600) {
-            world.crash(node = world.owner(partition_of_team(world.facts(0), "red")), 0.3);
+            cluster.crash(
+                node = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red")), 0.3);
         }
-        world.run_for(0.25);
+        cluster.run_for(0.25);
         for (auto it = open.begin(); it != open.end();) { // again after a second or two
-            auto a = world.answers.find(it->second.first);
-            bool taken = a != world.answers.end() && a->second.status < 500;
+            auto a = cluster.answers.find(it->second.first);
+            bool taken = a != cluster.answers.end() && a->second.status < 500;
             if (!taken && ++it->second.second % 8 == 0) {
-                it->second.first = world.submit(any(3), world.spec_of(it->first));
+                it->second.first = cluster.submit(any(3), cluster.spec_of(it->first));
             }
             it = taken ? open.erase(it) : std::next(it);
         }
     }
-    world.run_for(90);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(90);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     EXPECT_TRUE(open.empty()) << open.size() << " not accepted, " << open.begin()->first;
     EXPECT_EQ(jobs, 2400);
-    EXPECT_LT(world.longest_unanswered(), 75);
-    EXPECT_LT(world.longest_cancelled(), 42);
-    EXPECT_EQ(world.judge().late_starts().left_after, 0);
+    EXPECT_LT(cluster.longest_unanswered(), 75);
+    EXPECT_LT(cluster.longest_cancelled(), 42);
+    EXPECT_EQ(cluster.history_checker().late_starts().sent_after_response, 0);
     std::size_t left = 0;
-    for (const auto& [id, outcome] : world.outcomes()) {
+    for (const auto& [id, outcome] : cluster.outcomes()) {
         left += outcome == Outcome::none;
     }
     EXPECT_EQ(left, 0u);
@@ -706,8 +715,9 @@
     std::printf("%zu transactions, %zu reads, %zu compared or watched; last task of a cancelled "
                 "job after %.1f s; "
                 "longest unanswered %.1f s\n",
-                world.calls_of("txn"), world.calls_of("get"), world.calls_of("watch"),
-                world.longest_cancelled(), world.longest_unanswered());
+                cluster.request_count("txn"), cluster.request_count("get"),
+                cluster.request_count("watch"), cluster.longest_cancelled(),
+                cluster.longest_unanswered());
 }
 
 } // namespace
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -1,5 +1,5 @@
-// Two troubles at once: from a cancellation that users were told of to the last task. See "From a
-// cancellation to the last task" in docs/meetings.md.
+// Two random_faults at once: from a cancellation that users were told of to the last task. See
+// "From a cancellation to the last task" in docs/meetings.md.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,12 +9,14 @@
 #include "core/leadership/staleness_bound.h"
 #include "core/model/partition_assignment.h"
 #include "seeds.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
 
-int red(const World& world) { return partition_of_team(world.facts(0), "red"); }
+int red(const SimulatedCluster& cluster) {
+    return partition_of_team(cluster.cluster_settings(0), "red");
+}
 
 // What meets the refusal of the leader, the cancellations and the outage.
 enum class With {
@@ -27,9 +29,9 @@
     leader_frozen,
     many_cancellations,
     deaf_machines,
-    late_reports,
+    late_heartbeats,
     late_writes,
-    held_orders,
+    delayed_commands,
     share_moves,
     leader_ends,
     confirmed_in_the_outage_too, // by the nodes that reach the state service at its end
@@ -74,23 +76,23 @@
 double play(const Day& day) {
     const Times& t = kTimes[day.times];
     bool many = day.with == With::many_cancellations;
-    World world({.seed = 1 + static_cast<std::uint64_t>(day.with),
-                 .nodes = 5,
-                 .run_s = 3000,
-                 .limits = 30,
-                 .capacity = 60,
-                 .report_s = t.report_s,
-                 .lease_s = t.lease_s,
-                 .cancel_s = t.cancel_s,
-                 .state_rps = many ? 4000.0 : 300.0,
-                 .state_write_rps = many ? 2000.0 : 100.0});
-    world.run_for(t.lease_s + 3);
+    SimulatedCluster cluster({.seed = 1 + static_cast<std::uint64_t>(day.with),
+                              .nodes = 5,
+                              .run_s = 3000,
+                              .limits = 30,
+                              .capacity = 60,
+                              .report_s = t.report_s,
+                              .lease_s = t.lease_s,
+                              .cancel_s = t.cancel_s,
+                              .state_rps = many ? 4000.0 : 300.0,
+                              .state_write_rps = many ? 2000.0 : 100.0});
+    cluster.run_for(t.lease_s + 3);
     std::vector<std::string> to_cancel;
     auto submit = [&](const std::string& id, JobKind kind, std::uint32_t tasks, const char* team) {
-        JobSpec spec = world.job(id, tasks);
+        JobSpec spec = cluster.job(id, tasks);
         spec.kind = kind;
         spec.team = team;
-        world.submit(static_cast<int>(to_cancel.size()) % 5, spec);
+        cluster.submit(static_cast<int>(to_cancel.size()) % 5, spec);
         to_cancel.push_back(id);
     };
     for (const char* team : {"red", "blue"}) {
@@ -101,51 +103,52 @@
         submit("stay-" + n, JobKind::array, 20, team);
         to_cancel.pop_back(); // that one is not cancelled
     }
-    world.run_for(6 * t.report_s + 40);
+    cluster.run_for(6 * t.report_s + 40);
     for (int i = 0; many && i < 1100; ++i) {
         submit("more-" + std::to_string(i), JobKind::array, 1, "red");
-        world.run_for(0.02);
+        cluster.run_for(0.02);
     }
-    int leader = world.owner(red(world));
+    int leader = cluster.owner(red(cluster));
     auto other = [&](int n) { return (leader + 1 + n % 4) % 5; };
     EXPECT_GE(leader, 0);
     for (const auto& id : to_cancel) {
         if (!id.starts_with("more-")) {
-            EXPECT_EQ(world.machines_of({id, 0}).size(), 1u) << id;
+            EXPECT_EQ(cluster.machines_of({id, 0}).size(), 1u) << id;
         }
     }
 
     if (day.with == With::share_moves) {
-        auto shards = world.shares(red(world));
+        auto shards = cluster.held_shards(red(cluster));
         for (std::size_t i = 0; i < shards.size() / 2; ++i) {
-            world.give(red(world), shards[i], partition_of_team(world.facts(0), "blue"));
+            cluster.migrate_shard(red(cluster), shards[i],
+                                  partition_of_team(cluster.cluster_settings(0), "blue"));
         }
     }
-    if (day.with == With::late_reports) {
-        world.troubles.late_reports = 0.3;
+    if (day.with == With::late_heartbeats) {
+        cluster.random_faults.late_heartbeats = 0.3;
     }
     if (day.with == With::late_writes) {
-        world.troubles.late_writes = 0.2;
+        cluster.random_faults.late_writes = 0.2;
     }
-    if (day.with == With::held_orders) {
-        world.troubles.held_orders = 0.5;
+    if (day.with == With::delayed_commands) {
+        cluster.random_faults.delayed_commands = 0.5;
     }
     if (day.with == With::deaf_machines) {
         int n = 0;
-        for (const auto& machine : world.machines_up()) {
+        for (const auto& machine : cluster.machines_up()) {
             if (++n % 4 == 0) {
-                world.deafen(machine, true);
+                cluster.cut_inbound(machine, true);
             }
         }
     }
     bool silent = day.with == With::silent_state;
-    silent ? world.state_silent(leader, true) : world.state_refuses(leader, true);
-    Time refused = world.now();
-    world.run_for(day.refused_s * day.told_at);
+    silent ? cluster.set_store_silent(leader, true) : cluster.set_store_refusing(leader, true);
+    Time refused = cluster.now();
+    cluster.run_for(day.refused_s * day.told_at);
     int n = 0;
     std::vector<std::pair<std::string, RequestId>> asked;
     for (const auto& id : to_cancel) {
-        asked.emplace_back(id, world.cancel(other(day.by_several ? n++ : 0), id));
+        asked.emplace_back(id, cluster.cancel(other(day.by_several ? n++ : 0), id));
     }
     std::optional<double> back;
     switch (day.with) {
@@ -155,20 +158,20 @@
     default: break;
     }
     if (back) {
-        world.after_output = [&, back](int node, const OutboundRequest*,
-                                       const Response* a) -> std::optional<double> {
+        cluster.after_output = [&, back](int node, const OutboundRequest*,
+                                         const Response* a) -> std::optional<double> {
             const auto* body = a ? std::get_if<JobStatusBody>(&a->body) : nullptr;
             return body && body->stage == "cancelled" && node == other(0) ? back : std::nullopt;
         };
     }
     // An answer takes a moment, and there may be many.
-    world.run_for(std::max(0.3, refused + day.refused_s - world.now()));
-    world.after_output = nullptr;
-    world.state_down(true);
+    cluster.run_for(std::max(0.3, refused + day.refused_s - cluster.now()));
+    cluster.after_output = nullptr;
+    cluster.set_store_down(true);
     std::size_t told = 0;
     for (const auto& [id, request] : asked) {
-        auto answer = world.answers.find(request);
-        told += answer != world.answers.end() && answer->second.status == 200;
+        auto answer = cluster.answers.find(request);
+        told += answer != cluster.answers.end() && answer->second.status == 200;
     }
     EXPECT_GE(told, 1u);
     switch (day.with) {
@@ -176,59 +179,59 @@
     case With::sibling_cut_off:
         for (int a = 0; a < 5; ++a) {
             for (int b = 0; b < (day.with == With::peers_refuse ? 5 : 1); ++b) {
-                world.cut_peers(a, day.with == With::peers_refuse ? b : other(1), true);
+                cluster.cut_peers(a, day.with == With::peers_refuse ? b : other(1), true);
             }
         }
         break;
-    case With::leader_frozen: world.freeze(leader, t.lease_s); break;
-    case With::leader_ends: world.crash(leader, 0.3); break;
+    case With::leader_frozen: cluster.freeze(leader, t.lease_s); break;
+    case With::leader_ends: cluster.crash(leader, 0.3); break;
     default: break;
     }
-    world.run_for(t.cancel_s + 30);
+    cluster.run_for(t.cancel_s + 30);
     if (day.with == With::confirmed_in_the_outage_too) {
         // Back for the others and not for the leader, for as long as it takes to tell a user; the
         // promises that the leader had have not ended.
-        world.state_down(false);
-        world.run_for(0.4);
-        world.cancel(other(1), "stay-red");
-        world.cancel(other(2), "stay-blue");
-        world.run_for(0.4);
-        world.state_down(true);
-        world.run_for(t.cancel_s + 30);
+        cluster.set_store_down(false);
+        cluster.run_for(0.4);
+        cluster.cancel(other(1), "stay-red");
+        cluster.cancel(other(2), "stay-blue");
+        cluster.run_for(0.4);
+        cluster.set_store_down(true);
+        cluster.run_for(t.cancel_s + 30);
     }
-    world.state_down(false);
-    world.state_silent(leader, false);
-    world.state_refuses(leader, false);
-    world.troubles = {};
-    for (const auto& machine : world.machines_up()) {
-        world.deafen(machine, false);
+    cluster.set_store_down(false);
+    cluster.set_store_silent(leader, false);
+    cluster.set_store_refusing(leader, false);
+    cluster.random_faults = {};
+    for (const auto& machine : cluster.machines_up()) {
+        cluster.cut_inbound(machine, false);
     }
     for (int a = 0; a < 5; ++a) {
         for (int b = 0; b < 5; ++b) {
-            world.cut_peers(a, b, false);
+            cluster.cut_peers(a, b, false);
         }
     }
-    world.run_for(t.cancel_s + 3 * t.lease_s);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(t.cancel_s + 3 * t.lease_s);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     for (const auto& [id, request] : asked) {
-        auto answer = world.answers.find(request);
-        if (answer != world.answers.end() && answer->second.status == 200) {
-            EXPECT_EQ(world.outcomes().at(id), Outcome::cancelled) << id;
+        auto answer = cluster.answers.find(request);
+        if (answer != cluster.answers.end() && answer->second.status == 200) {
+            EXPECT_EQ(cluster.outcomes().at(id), Outcome::cancelled) << id;
         }
     }
     if (day.with != With::confirmed_in_the_outage_too) {
         for (const char* id : {"stay-red", "stay-blue"}) { // not lost with the others
-            EXPECT_EQ(world.machines_of({id, 0}).size(), 1u) << id << world.describe(id);
+            EXPECT_EQ(cluster.machines_of({id, 0}).size(), 1u) << id << cluster.describe(id);
         }
     }
-    return world.longest_cancelled() / t.cancel_s;
+    return cluster.longest_cancelled() / t.cancel_s;
 }
 
 class Meetings : public testing::TestWithParam<int> {};
 
 TEST_P(Meetings, OfARefusalOfOneAndAnOutageOfAllKeepNoCancelledTask) {
     int with = GetParam();
-    int rounds = seeds_asked() > 0 ? 27 : 3;
+    int rounds = extra_seed_count() > 0 ? 27 : 3;
     double longest = 0;
     int round = 0;
     for (int times = 0; times < 3; ++times) {
@@ -254,234 +257,235 @@
     std::printf("last task of a cancelled job gone after %.2f of cancel_s\n", longest);
     RecordProperty("longest_of_cancel_s", std::to_string(longest));
 }
-INSTANTIATE_TEST_SUITE_P(Troubles, Meetings, testing::Range(0, kWiths),
+INSTANTIATE_TEST_SUITE_P(RandomFaults, Meetings, testing::Range(0, kWiths),
                          [](const auto& p) { return kWith[p.param]; });
 
 // ---- At random ----
 
 // An operator changes both teams' limits and guarantees again and again, within a second at times,
 // until `end`; then they are as at first.
-void change_limits(World& world, std::shared_ptr<std::mt19937_64> random, Time end) {
+void change_limits(SimulatedCluster& cluster, std::shared_ptr<std::mt19937_64> random, Time end) {
     auto between = [&](double from, double to) {
         return std::uniform_real_distribution<>(from, to)(*random);
     };
-    for (TeamQuota quota : world.facts(0).teams) {
-        if (world.now() < end) {
+    for (TeamQuota quota : cluster.cluster_settings(0).teams) {
+        if (cluster.now() < end) {
             quota.max_cpus *= between(0.15, 1.3);
             quota.guaranteed_cpus = between(0, quota.max_cpus);
         }
-        world.configure(quota); // refused in an outage, as its writer is
+        cluster.configure(quota); // refused in an outage, as its writer is
     }
-    if (world.now() < end) {
-        world.at(world.now() + between(0, 1) * between(0, 20),
-                 [&world, random, end] { change_limits(world, random, end); });
+    if (cluster.now() < end) {
+        cluster.at(cluster.now() + between(0, 1) * between(0, 20),
+                   [&cluster, random, end] { change_limits(cluster, random, end); });
     }
 }
 
-// Three troubles at once, again and again, with users who submit, ask and cancel; then none.
+// Three random_faults at once, again and again, with users who submit, ask and cancel; then none.
 void play_at_random(std::uint64_t seed, bool limits_change = false) {
     const Times& t = kTimes[seed % 3];
-    World world({.seed = seed,
-                 .nodes = 5,
-                 .drop = seed % 2 ? 0.01 : 0.0,
-                 .run_s = 30,
-                 .limits = 12,
-                 .capacity = 60,
-                 .report_s = t.report_s,
-                 .lease_s = t.lease_s,
-                 .cancel_s = t.cancel_s,
-                 .state_rps = 250,
-                 .state_write_rps = 50,
-                 .notices = seed % 4 < 2});
+    SimulatedCluster cluster({.seed = seed,
+                              .nodes = 5,
+                              .drop = seed % 2 ? 0.01 : 0.0,
+                              .run_s = 30,
+                              .limits = 12,
+                              .capacity = 60,
+                              .report_s = t.report_s,
+                              .lease_s = t.lease_s,
+                              .cancel_s = t.cancel_s,
+                              .state_rps = 250,
+                              .state_write_rps = 50,
+                              .cancellation_broadcasts = seed % 4 < 2});
     std::mt19937_64 random(seed * 7919);
     auto any = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
     auto up = [&] {
-        auto all = world.machines_up();
+        auto all = cluster.machines_up();
         std::shuffle(all.begin(), all.end(), random);
         all.resize(all.size() / 4);
         return all;
     };
-    world.run_for(t.lease_s + 3);
-    world.ask_often();
+    cluster.run_for(t.lease_s + 3);
+    cluster.start_polling_open_jobs();
     if (limits_change) {
-        change_limits(world, std::make_shared<std::mt19937_64>(seed), 300);
+        change_limits(cluster, std::make_shared<std::mt19937_64>(seed), 300);
     }
     int jobs = 0;
     auto submit = [&] {
         JobSpec spec =
-            world.job("req-" + std::to_string(++jobs), 2 + any(any(3) ? 2 : 20), 1 + any(3));
+            cluster.job("req-" + std::to_string(++jobs), 2 + any(any(3) ? 2 : 20), 1 + any(3));
         spec.team = any(2) ? "red" : "blue";
         spec.kind = any(5) ? JobKind::array : any(2) ? JobKind::gang : JobKind::service;
         spec.one_zone = spec.kind == JobKind::gang && any(2) != 0;
-        world.submit(any(5), spec);
+        cluster.submit(any(5), spec);
     };
-    auto cancel = [&] { world.cancel(any(5), "req-" + std::to_string(1 + any(jobs))); };
+    auto cancel = [&] { cluster.cancel(any(5), "req-" + std::to_string(1 + any(jobs))); };
     for (int round = 0; round < 4; ++round) {
         for (int k = 0; k < 5; ++k) {
             submit();
-            world.run_for(2);
+            cluster.run_for(2);
         }
         std::vector<std::function<void()>> undo;
         std::set<std::string> cut;
-        int node = any(5); // most troubles are this one's
+        int node = any(5); // most random_faults are this one's
         for (int k = 2 + any(3); k > 0; --k) {
             switch (any(26)) {
             case 0:
-                world.state_refuses(node, true);
-                undo.emplace_back([&world, node] { world.state_refuses(node, false); });
+                cluster.set_store_refusing(node, true);
+                undo.emplace_back([&cluster, node] { cluster.set_store_refusing(node, false); });
                 break;
             case 1: // from state service and peers, not from workers and users
-                world.state_silent(node, true);
+                cluster.set_store_silent(node, true);
                 for (int to = 0; to < 5; ++to) {
-                    world.cut_peers(node, to, true);
+                    cluster.cut_peers(node, to, true);
                 }
-                undo.emplace_back([&world, node] {
-                    world.state_silent(node, false);
+                undo.emplace_back([&cluster, node] {
+                    cluster.set_store_silent(node, false);
                     for (int to = 0; to < 5; ++to) {
-                        world.cut_peers(node, to, false);
+                        cluster.cut_peers(node, to, false);
                     }
                 });
                 break;
-            case 2: world.troubles.late_writes = 0.2; break;
-            case 3: world.troubles.late_reports = 0.3; break;
-            case 4: world.troubles.held_orders = 0.4; break;
-            case 5: world.troubles.state_slow_s = 0.2 * t.report_s * (1 + any(4)); break;
+            case 2: cluster.random_faults.late_writes = 0.2; break;
+            case 3: cluster.random_faults.late_heartbeats = 0.3; break;
+            case 4: cluster.random_faults.delayed_commands = 0.4; break;
+            case 5: cluster.random_faults.store_delay_s = 0.2 * t.report_s * (1 + any(4)); break;
             case 6:
                 for (const auto& machine : up()) {
-                    world.deafen(machine, true);
+                    cluster.cut_inbound(machine, true);
                     cut.insert(machine);
                 }
                 break;
             case 7:
                 for (const auto& machine : up()) {
-                    world.cut_machine(machine, true);
+                    cluster.cut_machine(machine, true);
                     cut.insert(machine);
                 }
                 break;
-            case 8: world.crash(node, any(2) ? 0.02 : any(8)); break;
+            case 8: cluster.crash(node, any(2) ? 0.02 : any(8)); break;
             case 9:
                 for (int n = 0; n < 5; ++n) { // all end, one is back within a second
-                    world.crash(n, n == node ? 0.2 : 2 + any(10));
+                    cluster.crash(n, n == node ? 0.2 : 2 + any(10));
                 }
                 break;
-            case 10: world.freeze(node, 2 + any(30)); break;
+            case 10: cluster.freeze(node, 2 + any(30)); break;
             case 11:
-                world.cut_workers(node, true);
-                undo.emplace_back([&world, node] { world.cut_workers(node, false); });
+                cluster.cut_workers(node, true);
+                undo.emplace_back([&cluster, node] { cluster.cut_workers(node, false); });
                 break;
             case 12:
                 for (int a = 0; a < 5; ++a) {
                     for (int b = 0; b < 5; ++b) {
-                        world.cut_peers(a, b, true);
+                        cluster.cut_peers(a, b, true);
                     }
                 }
-                undo.emplace_back([&world] {
+                undo.emplace_back([&cluster] {
                     for (int a = 0; a < 5; ++a) {
                         for (int b = 0; b < 5; ++b) {
-                            world.cut_peers(a, b, false);
+                            cluster.cut_peers(a, b, false);
                         }
                     }
                 });
                 break;
-            case 14: world.troubles.lost_answers = 0.3; break;
-            case 15: world.troubles.reports_for_next = 0.3; break;
-            case 16: world.troubles.quick_boots = 0.8; break;
-            case 17: world.troubles.mute_boots = 0.2; break;
-            case 18: world.troubles.slow_links_s = 0.1 * t.report_s; break;
-            case 19: world.troubles.close_looks = 0.5; break;
-            case 20: world.troubles.cancel_at_end = 0.5; break;
+            case 14: cluster.random_faults.lost_responses = 0.3; break;
+            case 15: cluster.random_faults.heartbeats_for_next_leader = 0.3; break;
+            case 16: cluster.random_faults.quick_boots = 0.8; break;
+            case 17: cluster.random_faults.outbound_cut_boots = 0.2; break;
+            case 18: cluster.random_faults.link_delay_s = 0.1 * t.report_s; break;
+            case 19: cluster.random_faults.concurrent_status_reads = 0.5; break;
+            case 20: cluster.random_faults.cancel_at_end = 0.5; break;
             case 21: // up to a quarter hangs within the lease or beyond it
                 for (const auto& machine : up()) {
-                    world.hang(machine, t.lease_s * (1 + any(15)) / 10);
+                    cluster.hang(machine, t.lease_s * (1 + any(15)) / 10);
                 }
                 break;
             case 22:
                 for (const auto& machine : up()) {
-                    world.mute(machine, true);
+                    cluster.cut_outbound(machine, true);
                     cut.insert(machine);
                 }
                 break;
             case 23: // many called off at once that run and have long to go; their machines hang
                 for (int n = 0; n < 6 && jobs > 0; ++n) {
                     std::string id = "req-" + std::to_string(1 + any(jobs));
-                    for (const auto& machine : world.machines_of({id, 0})) {
-                        world.hang(machine, t.lease_s * (1 + any(15)) / 10);
+                    for (const auto& machine : cluster.machines_of({id, 0})) {
+                        cluster.hang(machine, t.lease_s * (1 + any(15)) / 10);
                     }
-                    world.cancel(any(5), id);
+                    cluster.cancel(any(5), id);
                 }
                 break;
             case 24:
                 for (int n = 0; n < 5; ++n) {
-                    world.odd_requests("req-" + std::to_string(1 + any(jobs)));
+                    cluster.send_edge_case_requests("req-" + std::to_string(1 + any(jobs)));
                 }
                 break;
             case 25: // leaders change again and again
                 for (int n = 0; n < 10; ++n) {
-                    world.at(world.now() + n * 12, [&world, n, node] {
-                        world.crash((node + n) % 5, n % 3 == 0 ? 0.02 : 6);
+                    cluster.at(cluster.now() + n * 12, [&cluster, n, node] {
+                        cluster.crash((node + n) % 5, n % 3 == 0 ? 0.02 : 6);
                     });
                 }
                 break;
             case 13: {
-                auto shards = world.shares(node);
+                auto shards = cluster.held_shards(node);
                 for (std::size_t i = 0; i < shards.size() / 2; ++i) {
-                    world.give(node, shards[i], any(5));
+                    cluster.migrate_shard(node, shards[i], any(5));
                 }
                 break;
             }
             }
-            world.run_for(any(4));
+            cluster.run_for(any(4));
             cancel();
         }
-        world.run_for(any(static_cast<int>(t.lease_s)));
+        cluster.run_for(any(static_cast<int>(t.lease_s)));
         if (any(2)) {
-            world.state_down(true);
-            world.run_for(5 + any(static_cast<int>(t.cancel_s + 20)));
+            cluster.set_store_down(true);
+            cluster.run_for(5 + any(static_cast<int>(t.cancel_s + 20)));
             cancel();
-            world.state_down(false);
+            cluster.set_store_down(false);
         }
-        world.run_for(any(10));
+        cluster.run_for(any(10));
         cancel();
         for (const auto& back : undo) {
             back();
         }
-        world.troubles = {};
+        cluster.random_faults = {};
         for (const auto& machine : cut) {
-            auto all = world.machines_up();
+            auto all = cluster.machines_up();
             if (std::find(all.begin(), all.end(), machine) != all.end()) {
-                world.deafen(machine, false);
-                world.cut_machine(machine, false);
+                cluster.cut_inbound(machine, false);
+                cluster.cut_machine(machine, false);
             }
         }
-        for (const auto& machine : world.machines_up()) {
-            world.mute(machine, false);
+        for (const auto& machine : cluster.machines_up()) {
+            cluster.cut_outbound(machine, false);
         }
-        world.run_for(any(40));
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
+        cluster.run_for(any(40));
+        ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
     }
-    world.run_for(t.cancel_s + 120); // the last changes of leaders
-    for (const TeamQuota& quota : world.facts(0).teams) {
+    cluster.run_for(t.cancel_s + 120); // the last changes of leaders
+    for (const TeamQuota& quota : cluster.cluster_settings(0).teams) {
         if (limits_change) {
-            world.configure(quota);
+            cluster.configure(quota);
         }
     }
-    world.ask_often(); // all troubles are over
+    cluster.start_polling_open_jobs(); // all random_faults are over
     for (int k = 0; k < 100; ++k) {
-        world.run_for(10);
-        for (const auto& [id, outcome] : world.outcomes()) {
-            if (world.spec_of(id).kind == JobKind::service) {
-                world.cancel(k % 5, id);
+        cluster.run_for(10);
+        for (const auto& [id, outcome] : cluster.outcomes()) {
+            if (cluster.spec_of(id).kind == JobKind::service) {
+                cluster.cancel(k % 5, id);
             }
         }
     }
-    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_LT(world.longest_unanswered(), 75);
-    EXPECT_LT(world.judge().longest_idle(), 90)
-        << world.judge().idlest() << world.describe(world.judge().idlest());
-    for (const auto& [id, outcome] : world.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
+    ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_LT(cluster.longest_unanswered(), 75);
+    EXPECT_LT(cluster.history_checker().longest_idle(), 90)
+        << cluster.history_checker().longest_idle_job()
+        << cluster.describe(cluster.history_checker().longest_idle_job());
+    for (const auto& [id, outcome] : cluster.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
-    EXPECT_LT(world.longest_cancelled(), t.cancel_s);
+    EXPECT_LT(cluster.longest_cancelled(), t.cancel_s);
 }
 
 class MeetingsRandom : public testing::TestWithParam<int> {};
@@ -491,7 +495,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, MeetingsRandom, testing::Range(1, 13));
 
 TEST(MeetingsSeeds, AsManyAsAreAskedFor) {
-    play_seeds_asked(1000, [](std::uint64_t seed) { play_at_random(seed); });
+    run_extra_seeds(1000, [](std::uint64_t seed) { play_at_random(seed); });
 }
 
 // The same while an operator changes the teams' limits: quota by the limit in force.
@@ -502,7 +506,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, ConfigRandom, testing::Range(1, 7));
 
 TEST(ConfigSeeds, AsManyAsAreAskedFor) {
-    play_seeds_asked(1000, [](std::uint64_t seed) { play_at_random(seed, true); });
+    run_extra_seeds(1000, [](std::uint64_t seed) { play_at_random(seed, true); });
 }
 
 // ---- One by one ----
@@ -511,105 +515,105 @@
 // stands and all siblings promise, but it could not read the jobs. It answered its workers for as
 // long as the outage lasted, while another node had told users of a cancellation.
 TEST(MeetingsAlone, AnOwnerThatCouldNotReadTheJobsKeepsNoTask) {
-    World world({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
-    world.run_for(40);
-    world.submit(0, world.job("req-1", 20));
-    world.submit(1, world.job("req-2", 20));
-    world.run_for(40);
-    int leader = world.owner(red(world));
-    ASSERT_EQ(world.machines_of({"req-1", 0}).size(), 1u);
-    world.crash(leader, 0.02);
+    SimulatedCluster cluster({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
+    cluster.run_for(40);
+    cluster.submit(0, cluster.job("req-1", 20));
+    cluster.submit(1, cluster.job("req-2", 20));
+    cluster.run_for(40);
+    int leader = cluster.owner(red(cluster));
+    ASSERT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u);
+    cluster.crash(leader, 0.02);
     int life = 0; // the jobs do not come in time
-    world.intercept = [&](int node, const OutboundBody& call) {
+    cluster.intercept = [&](int node, const OutboundBody& call) {
         const auto* range = std::get_if<StoreRange>(&call);
         return node == leader && range && range->prefix == kJobPrefix && ++life > 0;
     };
-    RequestId id = world.cancel((leader + 1) % 5, "req-1");
-    world.run_for(2);
-    ASSERT_EQ(world.answers.at(id).status, 200);
+    RequestId id = cluster.cancel((leader + 1) % 5, "req-1");
+    cluster.run_for(2);
+    ASSERT_EQ(cluster.answers.at(id).status, 200);
     ASSERT_GT(life, 0);
-    world.state_down(true);
-    world.run_for(80);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_LT(world.longest_cancelled(), world.facts(0).cancel_s);
-    world.intercept = nullptr;
-    world.state_down(false);
-    world.run_for(60);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_EQ(world.machines_of({"req-2", 0}).size(), 1u);
+    cluster.set_store_down(true);
+    cluster.run_for(80);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_LT(cluster.longest_cancelled(), cluster.cluster_settings(0).cancel_s);
+    cluster.intercept = nullptr;
+    cluster.set_store_down(false);
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_EQ(cluster.machines_of({"req-2", 0}).size(), 1u);
 }
 
 // Guests of a cancelled job on the machines of the node that alone is refused: their own owner told
 // users and cannot reach this one with its words, only promises get through.
 TEST(MeetingsAlone, APromiseStopsGuestsOfTheCancelledJobToo) {
-    World world({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
-    world.run_for(40);
-    world.submit(0, world.job("req-1", 60)); // on the machines of every part
-    world.run_for(60);
-    int leader = world.owner(red(world));
+    SimulatedCluster cluster({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
+    cluster.run_for(40);
+    cluster.submit(0, cluster.job("req-1", 60)); // on the machines of every part
+    cluster.run_for(60);
+    int leader = cluster.owner(red(cluster));
     // The node with the most guests among those that own no team's part.
     int host = (leader + 1) % 5;
     auto guests_at = [&](int node) {
         int n = 0;
         for (std::uint32_t i = 0; i < 60; ++i) {
-            for (const auto& machine : world.machines_of({"req-1", i})) {
-                n += world.node_of(machine) == node;
+            for (const auto& machine : cluster.machines_of({"req-1", i})) {
+                n += cluster.controller_of(machine) == node;
             }
         }
         return n;
     };
     ASSERT_GT(guests_at(host), 0);
-    world.state_refuses(host, true);
-    world.intercept = [&](int node, const OutboundBody& call) {
+    cluster.set_store_refusing(host, true);
+    cluster.intercept = [&](int node, const OutboundBody& call) {
         const auto* peer = std::get_if<PeerSyncCall>(&call);
         return peer && (node == host || peer->node == "n" + std::to_string(host));
     };
-    world.run_for(0.5);
-    RequestId id = world.cancel((host + 1) % 5, "req-1");
-    world.run_for(0.5);
-    ASSERT_EQ(world.answers.at(id).status, 200);
-    world.state_down(true);
-    world.run_for(80);
+    cluster.run_for(0.5);
+    RequestId id = cluster.cancel((host + 1) % 5, "req-1");
+    cluster.run_for(0.5);
+    ASSERT_EQ(cluster.answers.at(id).status, 200);
+    cluster.set_store_down(true);
+    cluster.run_for(80);
     EXPECT_EQ(guests_at(host), 0);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_LT(world.longest_cancelled(), world.facts(0).cancel_s);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_LT(cluster.longest_cancelled(), cluster.cluster_settings(0).cancel_s);
 }
 
 // The owner ends while a machine with a long task cannot be reached. The machine comes back at the
 // end of its lease for one report, and does not hear another answer for a while: that one answer
 // has to carry the stop, though the machine has not shown the new owner's token.
 TEST(MeetingsAlone, OneAnswerToAMachineThatWasCutOffCarriesTheStop) {
-    World world({.nodes = 5,
-                 .run_s = 3000,
-                 .limits = 30,
-                 .capacity = 60,
-                 .report_s = 6,
-                 .lease_s = 31,
-                 .cancel_s = 56});
-    world.run_for(60);
-    world.submit(0, world.job("req-1", 4));
-    world.run_for(60);
-    std::string machine = *world.machines_of({"req-1", 0}).begin();
-    int leader = world.node_of(machine);
-    world.cut_machine(machine, true);
-    world.cloud_down(true); // nor can it be released
-    world.run_for(0.5);
-    RequestId id = world.cancel((leader + 1) % 5, "req-1");
-    world.run_for(0.5);
-    ASSERT_EQ(world.answers.at(id).status, 200);
-    world.crash(leader, 0.3);
-    world.run_for(27);
-    ASSERT_EQ(world.machines_of({"req-1", 0}).size(), 1u); // its lease has not ended
-    world.cut_machine(machine, false);
-    Time back = world.now();
-    for (int k = 0; k < 1000 && world.renewed(machine) < back; ++k) {
-        world.run_for(0.01);
+    SimulatedCluster cluster({.nodes = 5,
+                              .run_s = 3000,
+                              .limits = 30,
+                              .capacity = 60,
+                              .report_s = 6,
+                              .lease_s = 31,
+                              .cancel_s = 56});
+    cluster.run_for(60);
+    cluster.submit(0, cluster.job("req-1", 4));
+    cluster.run_for(60);
+    std::string machine = *cluster.machines_of({"req-1", 0}).begin();
+    int leader = cluster.controller_of(machine);
+    cluster.cut_machine(machine, true);
+    cluster.set_cloud_down(true); // nor can it be released
+    cluster.run_for(0.5);
+    RequestId id = cluster.cancel((leader + 1) % 5, "req-1");
+    cluster.run_for(0.5);
+    ASSERT_EQ(cluster.answers.at(id).status, 200);
+    cluster.crash(leader, 0.3);
+    cluster.run_for(27);
+    ASSERT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u); // its lease has not ended
+    cluster.cut_machine(machine, false);
+    Time back = cluster.now();
+    for (int k = 0; k < 1000 && cluster.last_lease_renewal(machine) < back; ++k) {
+        cluster.run_for(0.01);
     }
-    ASSERT_GE(world.renewed(machine), back);
-    world.deafen(machine, true);
-    world.run_for(60);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_LT(world.longest_cancelled(), world.facts(0).cancel_s);
+    ASSERT_GE(cluster.last_lease_renewal(machine), back);
+    cluster.cut_inbound(machine, true);
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_LT(cluster.longest_cancelled(), cluster.cluster_settings(0).cancel_s);
 }
 
 // No worker reaches any controller, direct commands reach them. Each node takes itself for deaf,
@@ -618,30 +622,34 @@
 TEST(MeetingsAlone, WorkersHeardAgainAfterAllWereMuteAreServedSoon) {
     for (double mute_s : {8.0, 20.0, 45.0, 90.0}) {
         SCOPED_TRACE(std::to_string(mute_s));
-        World world({.nodes = 5, .run_s = 20, .limits = 10, .capacity = 60, .notices = true});
-        world.run_for(40);
+        SimulatedCluster cluster({.nodes = 5,
+                                  .run_s = 20,
+                                  .limits = 10,
+                                  .capacity = 60,
+                                  .cancellation_broadcasts = true});
+        cluster.run_for(40);
         for (int k = 1; k <= 10; ++k) {
-            world.submit(k % 5, world.job("req-" + std::to_string(k), 12));
+            cluster.submit(k % 5, cluster.job("req-" + std::to_string(k), 12));
         }
-        world.run_for(25);
-        auto mute = [&](bool is) {
-            for (const auto& machine : world.machines_up()) {
-                world.mute(machine, is);
+        cluster.run_for(25);
+        auto cut_outbound = [&](bool is) {
+            for (const auto& machine : cluster.machines_up()) {
+                cluster.cut_outbound(machine, is);
             }
         };
-        mute(true);
-        world.run_for(mute_s);
-        mute(false);
-        Time heard = world.now();
-        world.submit(1, world.job("req-99", 4));
-        while (world.starts({"req-99", 0}) == 0 && world.now() < heard + 200) {
-            world.run_for(0.5);
+        cut_outbound(true);
+        cluster.run_for(mute_s);
+        cut_outbound(false);
+        Time heard = cluster.now();
+        cluster.submit(1, cluster.job("req-99", 4));
+        while (cluster.starts({"req-99", 0}) == 0 && cluster.now() < heard + 200) {
+            cluster.run_for(0.5);
         }
         std::printf("mute %.0f s: served after %.1f s, given up as deaf %zu times\n", mute_s,
-                    world.now() - heard, world.logged("event=leadership_resigned"));
-        EXPECT_LT(world.now() - heard, world.facts(0).worker_lease_s);
-        world.run_for(60);
-        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+                    cluster.now() - heard, cluster.log_count("event=leadership_resigned"));
+        EXPECT_LT(cluster.now() - heard, cluster.cluster_settings(0).worker_lease_s);
+        cluster.run_for(60);
+        EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
 }
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -20,7 +20,7 @@
 namespace scheduler::test {
 namespace {
 
-ClusterSettings facts() {
+ClusterSettings cluster_settings() {
     ClusterSettings settings;
     settings.node = "n0";
     settings.partitions = {{"n0", "a"}};
@@ -60,7 +60,7 @@
 class NetServer : public testing::Test {
   protected:
     NetServer()
-        : core_(facts(), policy::defaults(facts())),
+        : core_(cluster_settings(), policy::defaults(cluster_settings())),
           loop_(
               core_, [](const OutboundRequest&) {}, [](const LogLine&) {}),
           server_(loop_, {kSockets, 3}) {}
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -6,7 +6,7 @@
 
 #include "core/model/partition_assignment.h"
 #include "seeds.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
@@ -15,54 +15,55 @@
 // them at once. Those that wait their turn in its own process were once taken for silent, released,
 // and lost what they ran: 50 healthy machines at each restart of a fleet of 2,000.
 TEST(RestartTakeover, ReleasesNoMachineThatHasOnlyWaitedToBeAsked) {
-    World world({.nodes = 2, .run_s = 60, .limits = 40, .capacity = 100, .orders_at_once = 4});
-    world.run_for(3);
-    world.submit(0, world.job("req-1", 380, 2));
-    world.run_for(30);
-    ASSERT_GE(world.machines_up().size(), 90u);
-    std::size_t before = world.logged("event=machine_released");
-    world.crash(0, 0.2);
-    world.run_for(20);
-    EXPECT_GE(world.logged("event=leadership_acquired"), 3u);
-    EXPECT_GE(world.logged("event=partition_reconciled"), 3u);
-    EXPECT_EQ(world.logged("event=machine_released"), before);
-    world.run_for(200);
-    EXPECT_TRUE(world.all_done("req-1"));
+    SimulatedCluster cluster(
+        {.nodes = 2, .run_s = 60, .limits = 40, .capacity = 100, .max_concurrent_commands = 4});
+    cluster.run_for(3);
+    cluster.submit(0, cluster.job("req-1", 380, 2));
+    cluster.run_for(30);
+    ASSERT_GE(cluster.machines_up().size(), 90u);
+    std::size_t before = cluster.log_count("event=machine_released");
+    cluster.crash(0, 0.2);
+    cluster.run_for(20);
+    EXPECT_GE(cluster.log_count("event=leadership_acquired"), 3u);
+    EXPECT_GE(cluster.log_count("event=partition_reconciled"), 3u);
+    EXPECT_EQ(cluster.log_count("event=machine_released"), before);
+    cluster.run_for(200);
+    EXPECT_TRUE(cluster.all_done("req-1"));
     for (std::uint32_t i = 0; i < 380; ++i) {
-        EXPECT_EQ(world.starts({"req-1", i}), 1) << i;
+        EXPECT_EQ(cluster.starts({"req-1", i}), 1) << i;
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // The owners of the machines fence the slots that the process before had got. The new one places no
 // older task until these have shown, which by the workers' own reports took two report times.
 TEST(RestartTakeover, IsSettledBeforeTheWorkersReportByThemselves) {
-    World world({.nodes = 3, .run_s = 60, .limits = 20, .capacity = 40});
-    world.run_for(3);
-    world.submit(0, world.job("req-1", 300, 2));
-    world.run_for(5);
-    int node = world.owner(partition_of_team(world.facts(0), "red"));
+    SimulatedCluster cluster({.nodes = 3, .run_s = 60, .limits = 20, .capacity = 40});
+    cluster.run_for(3);
+    cluster.submit(0, cluster.job("req-1", 300, 2));
+    cluster.run_for(5);
+    int node = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red"));
     // Right after it has got slots that it has not used.
     bool granted = false;
-    world.after_output = [&](int, const OutboundRequest*,
-                             const Response* a) -> std::optional<double> {
+    cluster.after_output = [&](int, const OutboundRequest*,
+                               const Response* a) -> std::optional<double> {
         const auto* response = a ? std::get_if<PeerSyncResponse>(&a->body) : nullptr;
         if (!granted && response && !response->grants.empty()) {
             granted = true;
-            world.at(world.now(), [&] { world.crash(node, 0.1); });
+            cluster.at(cluster.now(), [&] { cluster.crash(node, 0.1); });
         }
         return {};
     };
-    std::size_t settled = world.logged("event=partition_reconciled");
+    std::size_t settled = cluster.log_count("event=partition_reconciled");
     for (int k = 0; k < 40 && !granted; ++k) {
-        world.run_for(0.5);
+        cluster.run_for(0.5);
     }
     ASSERT_TRUE(granted);
-    world.run_for(world.facts(0).heartbeat_interval_s / 2);
-    EXPECT_GT(world.logged("event=partition_reconciled"), settled);
-    world.run_for(300);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(cluster.cluster_settings(0).heartbeat_interval_s / 2);
+    EXPECT_GT(cluster.log_count("event=partition_reconciled"), settled);
+    cluster.run_for(300);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // A report of a machine that was released long ago, held up on the way. The process that released
@@ -70,131 +71,132 @@
 // there and its true place for foreign, and started it a second time when the dead machine did not
 // answer.
 TEST(RestartLateMessages, AReportOfAReleasedMachineMovesNoTask) {
-    World world({.nodes = 2, .limits = 20, .capacity = 20});
-    world.run_for(3);
-    JobSpec spec = world.job("svc-1", 1);
+    SimulatedCluster cluster({.nodes = 2, .limits = 20, .capacity = 20});
+    cluster.run_for(3);
+    JobSpec spec = cluster.job("svc-1", 1);
     spec.kind = JobKind::service;
-    world.submit(0, spec);
-    world.run_for(25);
-    auto on = world.machines_of({"svc-1", 0});
+    cluster.submit(0, spec);
+    cluster.run_for(25);
+    auto on = cluster.machines_of({"svc-1", 0});
     ASSERT_EQ(on.size(), 1u);
-    Heartbeat before = world.last_report(*on.begin());
-    world.take_machine(*on.begin(), 12);
-    world.run_for(40);
-    ASSERT_EQ(world.machines_of({"svc-1", 0}).size(), 1u);
-    ASSERT_EQ(world.starts({"svc-1", 0}), 2);
+    Heartbeat before = cluster.last_sent_heartbeat(*on.begin());
+    cluster.preempt_machine(*on.begin(), 12);
+    cluster.run_for(40);
+    ASSERT_EQ(cluster.machines_of({"svc-1", 0}).size(), 1u);
+    ASSERT_EQ(cluster.starts({"svc-1", 0}), 2);
     for (int n = 0; n < 2; ++n) {
-        world.crash(n, 0.1);
+        cluster.crash(n, 0.1);
     }
-    world.run_for(0.13); // the parts are claimed, what is durable is not read yet
+    cluster.run_for(0.13); // the parts are claimed, what is durable is not read yet
     for (int k = 0; k < 20; ++k) {
         for (int n = 0; n < 2; ++n) {
-            world.deliver_late(n, before);
+            cluster.deliver_heartbeat_late(n, before);
         }
-        world.run_for(0.02);
+        cluster.run_for(0.02);
     }
-    world.run_for(60);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_EQ(world.machines_of({"svc-1", 0}).size(), 1u);
-    EXPECT_EQ(world.starts({"svc-1", 0}), 2);
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_EQ(cluster.machines_of({"svc-1", 0}).size(), 1u);
+    EXPECT_EQ(cluster.starts({"svc-1", 0}), 2);
 }
 
 // ---- What it costs users ----
 
 // The types of machines are the state service's to tell when the cloud is slow.
 TEST(RestartUsers, AreServedBeforeTheCloudHasAnswered) {
-    World world({.nodes = 3});
-    world.run_for(5);
-    world.intercept = [](int, const OutboundBody& call) {
+    SimulatedCluster cluster({.nodes = 3});
+    cluster.run_for(5);
+    cluster.intercept = [](int, const OutboundBody& call) {
         return std::holds_alternative<ListInstanceTypes>(call);
     };
-    world.crash(1, 0.1);
-    world.run_for(0.4);
-    EXPECT_EQ(world.probe(1), 200);
-    RequestId request_id = world.submit(1, world.job("req-1", 4));
-    world.run_for(0.2);
-    EXPECT_EQ(world.answers.at(request_id).status, 201);
-    EXPECT_EQ(world.owner(1), 1);
+    cluster.crash(1, 0.1);
+    cluster.run_for(0.4);
+    EXPECT_EQ(cluster.probe_readiness(1), 200);
+    RequestId request_id = cluster.submit(1, cluster.job("req-1", 4));
+    cluster.run_for(0.2);
+    EXPECT_EQ(cluster.answers.at(request_id).status, 201);
+    EXPECT_EQ(cluster.owner(1), 1);
     // The cloud may have other types by now, so nothing is refused for good for what is known.
-    request_id = world.submit(1, world.job("req-2", 1, 9));
-    world.run_for(0.2);
-    EXPECT_EQ(world.answers.at(request_id).status, 503);
-    world.intercept = nullptr;
-    world.run_for(60);
-    EXPECT_TRUE(world.all_done("req-1"));
-    request_id = world.submit(1, world.job("req-2", 1, 9));
-    world.run_for(0.2);
-    EXPECT_EQ(world.answers.at(request_id).status, 422);
+    request_id = cluster.submit(1, cluster.job("req-2", 1, 9));
+    cluster.run_for(0.2);
+    EXPECT_EQ(cluster.answers.at(request_id).status, 503);
+    cluster.intercept = nullptr;
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    request_id = cluster.submit(1, cluster.job("req-2", 1, 9));
+    cluster.run_for(0.2);
+    EXPECT_EQ(cluster.answers.at(request_id).status, 422);
 }
 
 // A process that ends again and again, each time as soon as it has begun.
 TEST(RestartUsers, OfOtherControllersNoticeNothingOfOneThatEndsEverySecond) {
-    World world({.nodes = 5, .run_s = 10, .limits = 12, .capacity = 64});
-    world.run_for(3);
-    JobSpec other = world.job("req-1", 600, 2);
+    SimulatedCluster cluster({.nodes = 5, .run_s = 10, .limits = 12, .capacity = 64});
+    cluster.run_for(3);
+    JobSpec other = cluster.job("req-1", 600, 2);
     other.team = "blue";
-    int looping = world.owner(partition_of_team(world.facts(0), "red"));
-    ASSERT_NE(looping, world.owner(partition_of_team(world.facts(0), "blue")));
-    world.submit((looping + 1) % 5, other);
-    world.run_for(15);
-    std::size_t catalogs = world.calls_of("catalog");
-    std::size_t claims = world.logged("event=leadership_acquired");
+    int looping = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red"));
+    ASSERT_NE(looping, cluster.owner(partition_of_team(cluster.cluster_settings(0), "blue")));
+    cluster.submit((looping + 1) % 5, other);
+    cluster.run_for(15);
+    std::size_t catalogs = cluster.request_count("catalog");
+    std::size_t claims = cluster.log_count("event=leadership_acquired");
     std::vector<std::string> taken;
     for (int k = 0; k < 60; ++k) {
-        world.crash(looping, 0.05);
-        world.run_for(0.9);
-        RequestId request_id = world.submit(looping, world.job("req-" + std::to_string(10 + k), 1));
-        world.run_for(0.1);
-        if (world.answers.contains(request_id) && world.answers.at(request_id).status == 201) {
+        cluster.crash(looping, 0.05);
+        cluster.run_for(0.9);
+        RequestId request_id =
+            cluster.submit(looping, cluster.job("req-" + std::to_string(10 + k), 1));
+        cluster.run_for(0.1);
+        if (cluster.answers.contains(request_id) && cluster.answers.at(request_id).status == 201) {
             taken.push_back("req-" + std::to_string(10 + k));
         }
-        EXPECT_EQ(world.owner(looping), looping) << k;
+        EXPECT_EQ(cluster.owner(looping), looping) << k;
     }
     EXPECT_EQ(taken.size(), 60u);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_LE(world.calls_of("catalog"), catalogs + 1);
-    EXPECT_LE(world.logged("event=leadership_acquired"),
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_LE(cluster.request_count("catalog"), catalogs + 1);
+    EXPECT_LE(cluster.log_count("event=leadership_acquired"),
               claims + 60); // its own, and no part goes round
-    world.run_for(120);
+    cluster.run_for(120);
     for (const auto& id : taken) {
-        EXPECT_TRUE(world.all_done(id)) << id;
+        EXPECT_TRUE(cluster.all_done(id)) << id;
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // A start of all in an outage: there is no node that could do better, and one that says it is not
 // ready is let wait by the load balancer long after the outage.
 TEST(RestartUsers, FindAllNodesReadyAfterAStartInAnOutageThatIsEveryones) {
-    World world({.nodes = 3});
-    world.run_for(5);
-    world.state_down(true);
+    SimulatedCluster cluster({.nodes = 3});
+    cluster.run_for(5);
+    cluster.set_store_down(true);
     for (int n = 0; n < 3; ++n) {
-        world.crash(n, 0.3);
+        cluster.crash(n, 0.3);
     }
-    world.run_for(1.2);
+    cluster.run_for(1.2);
     for (int n = 0; n < 3; ++n) {
-        EXPECT_EQ(world.probe(n), 200) << n;
-        RequestId request_id = world.submit(n, world.job("req-1", 4));
-        world.run_for(0.2);
-        EXPECT_EQ(world.answers.at(request_id).status, 503);
-        EXPECT_GT(world.answers.at(request_id).retry_after_s, 0);
+        EXPECT_EQ(cluster.probe_readiness(n), 200) << n;
+        RequestId request_id = cluster.submit(n, cluster.job("req-1", 4));
+        cluster.run_for(0.2);
+        EXPECT_EQ(cluster.answers.at(request_id).status, 503);
+        EXPECT_GT(cluster.answers.at(request_id).retry_after_s, 0);
     }
-    world.state_down(false);
-    world.run_for(1);
-    RequestId request_id = world.submit(2, world.job("req-1", 4));
-    world.run_for(0.2);
-    EXPECT_EQ(world.answers.at(request_id).status, 201);
+    cluster.set_store_down(false);
+    cluster.run_for(1);
+    RequestId request_id = cluster.submit(2, cluster.job("req-1", 4));
+    cluster.run_for(0.2);
+    EXPECT_EQ(cluster.answers.at(request_id).status, 201);
 }
 
 TEST(RestartUsers, AreKeptFromANodeThatStartsAndIsAloneRefused) {
-    World world({.nodes = 3});
-    world.run_for(5);
-    world.state_refuses(1, true);
-    world.crash(1, 0.3);
+    SimulatedCluster cluster({.nodes = 3});
+    cluster.run_for(5);
+    cluster.set_store_refusing(1, true);
+    cluster.crash(1, 0.3);
     for (int k = 0; k < 20; ++k) {
-        world.run_for(0.5);
-        EXPECT_EQ(world.probe(1), 503) << k;
-        EXPECT_EQ(world.probe(0), 200) << k;
+        cluster.run_for(0.5);
+        EXPECT_EQ(cluster.probe_readiness(1), 503) << k;
+        EXPECT_EQ(cluster.probe_readiness(0), 200) << k;
     }
 }
 
@@ -338,22 +340,22 @@
 constexpr Time kOutage = 62;  // of the state service, for longer than an owner's lease
 constexpr Time kRefusal = 95; // of calls between nodes
 
-void strike(World& world, const Point& point, const Strike& s, int& struck) {
+void strike(SimulatedCluster& cluster, const Point& point, const Strike& s, int& struck) {
     int last = -1;
-    world.after_output = [&world, &point, s, &struck,
-                          last](int node, const OutboundRequest* call,
-                                const Response* answer) mutable -> std::optional<double> {
+    cluster.after_output = [&cluster, &point, s, &struck,
+                            last](int node, const OutboundRequest* call,
+                                  const Response* answer) mutable -> std::optional<double> {
         bool turn = s.who == Who::same      ? last < 0 || node == last
                     : s.who == Who::in_turn ? node != last
                                             : true;
-        if (struck >= s.times || world.now() < s.from || !turn || !point.is({call, answer})) {
+        if (struck >= s.times || cluster.now() < s.from || !turn || !point.is({call, answer})) {
             return {};
         }
         ++struck;
         last = node;
         for (int other = 0; s.who == Who::all && other < kNodes; ++other) {
             if (other != node) {
-                world.at(world.now(), [&world, other, s] { world.crash(other, s.back_s); });
+                cluster.at(cluster.now(), [&cluster, other, s] { cluster.crash(other, s.back_s); });
             }
         }
         return s.back_s;
@@ -362,9 +364,9 @@
 
 // Jobs of each kind, a controller lost and back, a share that moves, a cancellation, an outage,
 // peers that refuse and a machine that is taken, in 150 s.
-void day(World& world) {
+void day(SimulatedCluster& cluster) {
     auto job = [&](const std::string& id, std::uint32_t tasks, const std::string& team) {
-        JobSpec spec = world.job(id, tasks, 2);
+        JobSpec spec = cluster.job(id, tasks, 2);
         spec.team = team;
         return spec;
     };
@@ -382,15 +384,15 @@
         auto again = std::make_shared<std::function<void()>>();
         std::weak_ptr<std::function<void()>> weak = again;
         auto asked = std::make_shared<RequestId>(0);
-        *again = [&world, spec, node, weak, asked]() mutable {
-            auto answer = world.answers.find(*asked);
-            if (answer != world.answers.end() && answer->second.status <= 201) {
+        *again = [&cluster, spec, node, weak, asked]() mutable {
+            auto answer = cluster.answers.find(*asked);
+            if (answer != cluster.answers.end() && answer->second.status <= 201) {
                 return;
             }
-            *asked = world.submit(node++ % kNodes, spec);
-            world.at(world.now() + 2, [self = weak.lock()] { (*self)(); });
+            *asked = cluster.submit(node++ % kNodes, spec);
+            cluster.at(cluster.now() + 2, [self = weak.lock()] { (*self)(); });
         };
-        world.at(at, [again] { (*again)(); });
+        cluster.at(at, [again] { (*again)(); });
     };
     submit(3, 0, job("req-base", 600, "blue"));
     for (int k = 0; k < 6; ++k) {
@@ -403,67 +405,67 @@
     service.job_class = "svc";
     submit(8, 1, service);
     submit(40, 2, job("req-cancelled", 40, "red"));
-    auto cancel = [&world](Time from, const std::string& id) {
+    auto cancel = [&cluster](Time from, const std::string& id) {
         for (int k = 0; k < 60; ++k) { // longer than anything goes wrong
-            world.at(from + 2 * k, [&world, id, k] { world.cancel(k % kNodes, id); });
+            cluster.at(from + 2 * k, [&cluster, id, k] { cluster.cancel(k % kNodes, id); });
         }
     };
     cancel(48, "req-cancelled");
     cancel(190, "svc-1");
-    world.at(22, [&world] { world.crash(2, 16); });
+    cluster.at(22, [&cluster] { cluster.crash(2, 16); });
     for (Time t : {28, 44, 58, 104, 112}) {
-        world.at(t, [&world] {
+        cluster.at(t, [&cluster] {
             for (int partition = 0; partition < kNodes; ++partition) {
-                auto shards = world.shares(partition);
+                auto shards = cluster.held_shards(partition);
                 if (!shards.empty() &&
-                    world.give(partition, shards.front(), (partition + 1) % kNodes)) {
+                    cluster.migrate_shard(partition, shards.front(), (partition + 1) % kNodes)) {
                     return;
                 }
             }
         });
     }
-    world.at(kOutage, [&world] { world.state_down(true); });
-    world.at(kOutage + 16, [&world] { world.state_down(false); });
-    auto refuse = [&world](bool cut) {
+    cluster.at(kOutage, [&cluster] { cluster.set_store_down(true); });
+    cluster.at(kOutage + 16, [&cluster] { cluster.set_store_down(false); });
+    auto refuse = [&cluster](bool cut) {
         for (int a = 0; a < kNodes; ++a) {
             for (int b = 0; b <= a; ++b) {
-                world.cut_peers(a, b, cut);
+                cluster.cut_peers(a, b, cut);
             }
         }
     };
-    world.at(kRefusal, [refuse] { refuse(true); });
-    world.at(kRefusal + 12, [refuse] { refuse(false); });
+    cluster.at(kRefusal, [refuse] { refuse(true); });
+    cluster.at(kRefusal + 12, [refuse] { refuse(false); });
     for (Time t : {50, 88, 116}) { // one that a gang runs on
-        world.at(t, [&world] {
+        cluster.at(t, [&cluster] {
             for (int k = 5; k >= 0; --k) {
-                auto on = world.machines_of({"gang-" + std::to_string(k), 0});
+                auto on = cluster.machines_of({"gang-" + std::to_string(k), 0});
                 if (!on.empty()) {
-                    world.take_machine(*on.begin(), 8);
+                    cluster.preempt_machine(*on.begin(), 8);
                     return;
                 }
             }
         });
     }
-    world.run_until(150);
+    cluster.run_until(150);
 }
 
-WorldOptions sixty_machines(std::uint64_t seed) {
+SimulationOptions sixty_machines(std::uint64_t seed) {
     return {.seed = seed, .nodes = kNodes, .run_s = 10, .limits = 12, .capacity = 64};
 }
 
-void judge(World& world, Time by) {
+void history_checker(SimulatedCluster& cluster, Time by) {
     auto over = [&] {
-        auto outcomes = world.outcomes();
+        auto outcomes = cluster.outcomes();
         return std::all_of(outcomes.begin(), outcomes.end(),
                            [](const auto& o) { return o.second != Outcome::none; });
     };
-    while (world.now() < by && !over()) {
-        world.run_for(5);
+    while (cluster.now() < by && !over()) {
+        cluster.run_for(5);
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_EQ(world.served_under(0.99), std::vector<std::string>{});
-    for (const auto& [id, outcome] : world.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_EQ(cluster.groups_served_below(0.99), std::vector<std::string>{});
+    for (const auto& [id, outcome] : cluster.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
 }
 
@@ -487,19 +489,19 @@
                                       {kRefusal + 1, 0.2, 2, Who::in_turn}};
     int struck_in_all = 0;
     for (std::size_t k = 0; k < strikes.size(); ++k) {
-        if (seeds_asked() == 0 && k % 3 != GetParam() % 3) {
+        if (extra_seed_count() == 0 && k % 3 != GetParam() % 3) {
             continue;
         }
         const Strike& s = strikes[k];
         SCOPED_TRACE(std::string(point.name) + " from " + std::to_string(s.from) + " back after " +
                      std::to_string(s.back_s) + " times " + std::to_string(s.times) + " who " +
                      std::to_string(static_cast<int>(s.who)));
-        World world(sixty_machines(GetParam() + k));
+        SimulatedCluster cluster(sixty_machines(GetParam() + k));
         int struck = 0;
-        strike(world, point, s, struck);
-        day(world);
-        world.after_output = nullptr;
-        judge(world, 700);
+        strike(cluster, point, s, struck);
+        day(cluster);
+        cluster.after_output = nullptr;
+        history_checker(cluster, 700);
         struck_in_all += struck;
         if (HasFailure()) {
             return;
@@ -514,9 +516,9 @@
 // outages and refusals, all of them.
 void play(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    WorldOptions options = sixty_machines(seed);
+    SimulationOptions options = sixty_machines(seed);
     options.drop = options.late = seed % 4 == 1 || seed % 4 == 3 ? 0.02 : 0;
-    World world(options);
+    SimulatedCluster cluster(options);
     std::mt19937_64 random(seed);
     auto any = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
     constexpr double kBack[] = {0, 0.02, 0.2, 1, 6};
@@ -526,10 +528,10 @@
         Strike s{t, kBack[any(5)], 1 + static_cast<int>(any(any(3) ? 2 : 10)),
                  static_cast<Who>(any(4))};
         const Point& point = points()[any(points().size())];
-        world.at(t, [&world, &point, s, &struck, &in_all] {
+        cluster.at(t, [&cluster, &point, s, &struck, &in_all] {
             in_all += struck;
             struck = 0;
-            strike(world, point, s, struck);
+            strike(cluster, point, s, struck);
         });
     }
     for (Time t = 10; seed % 4 >= 2 && t < 140; t += 5 + static_cast<double>(any(10))) {
@@ -537,26 +539,26 @@
         int b = static_cast<int>(any(kNodes));
         std::size_t fault = any(5);
         double for_s = 1 + static_cast<double>(any(20));
-        auto set = [&world, a, b, fault](bool on) {
+        auto set = [&cluster, a, b, fault](bool on) {
             switch (fault) {
-            case 0: world.state_refuses(a, on); break;
-            case 1: world.cut_workers(a, on); break;
-            case 2: world.cut_peers(a, b, on); break;
-            case 3: world.state_down(on); break;
-            default: world.cloud_down(on);
+            case 0: cluster.set_store_refusing(a, on); break;
+            case 1: cluster.cut_workers(a, on); break;
+            case 2: cluster.cut_peers(a, b, on); break;
+            case 3: cluster.set_store_down(on); break;
+            default: cluster.set_cloud_down(on);
             }
         };
-        world.at(t, [set] { set(true); });
-        world.at(t + for_s, [set] { set(false); });
+        cluster.at(t, [set] { set(true); });
+        cluster.at(t + for_s, [set] { set(false); });
         if (any(2)) {
-            world.at(t + 1, [&world, a, for_s] { world.freeze(a, for_s); });
+            cluster.at(t + 1, [&cluster, a, for_s] { cluster.freeze(a, for_s); });
         }
     }
-    day(world);
-    world.run_until(170);
-    world.after_output = nullptr;
+    day(cluster);
+    cluster.run_until(170);
+    cluster.after_output = nullptr;
     EXPECT_GT(in_all, 1);
-    judge(world, 900);
+    history_checker(cluster, 900);
 }
 
 class RestartRandom : public testing::TestWithParam<int> {};
@@ -565,7 +567,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RestartRandom, testing::Range(1, 13));
 
-TEST(RestartSeeds, AsManyAsAreAskedFor) { play_seeds_asked(13, play); }
+TEST(RestartSeeds, AsManyAsAreAskedFor) { run_extra_seeds(13, play); }
 
 } // namespace
 } // namespace scheduler::test
--- a/tests/seeds.h
+++ b/tests/seeds.h
@@ -10,19 +10,19 @@
 
 namespace scheduler::test {
 
-inline int seeds_asked() {
+inline int extra_seed_count() {
     const char* seeds = std::getenv("SCHEDULER_SEEDS");
     return seeds ? std::atoi(seeds) : 0;
 }
 
 // Skips the test where none are asked for.
-template <class Play> void play_seeds_asked(int usual_first, Play play) {
-    if (seeds_asked() == 0) {
+template <class Play> void run_extra_seeds(int usual_first, Play play) {
+    if (extra_seed_count() == 0) {
         GTEST_SKIP() << "SCHEDULER_SEEDS is not set";
     }
     const char* from = std::getenv("SCHEDULER_FIRST_SEED");
     int first = from ? std::atoi(from) : usual_first;
-    for (int seed = first; seed < first + seeds_asked(); ++seed) {
+    for (int seed = first; seed < first + extra_seed_count(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         play(static_cast<std::uint64_t>(seed));
     }
--- a/tests/sharding_test.cpp
+++ b/tests/sharding_test.cpp
@@ -9,12 +9,14 @@
 #include "core/sharding/shard_migration.h"
 #include "policy/default_policy.h"
 #include "seeds.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
 
-ClusterSettings five_controller_settings() { return World({.nodes = 5}).facts(0); }
+ClusterSettings five_controller_settings() {
+    return SimulatedCluster({.nodes = 5}).cluster_settings(0);
+}
 
 TEST(ShardAssignment, SpreadsMachinesEvenlyAndKeepsTheirHomePartition) {
     for (const auto& zones :
@@ -449,29 +451,30 @@
 
 // ---- Migrations in a simulated cluster ----
 
-WorldOptions five_controllers(std::uint64_t seed = 1) {
+SimulationOptions five_controllers(std::uint64_t seed = 1) {
     return {.seed = seed, .nodes = 5, .run_s = 30, .limits = 10, .capacity = 70};
 }
 
 // Submits a large job and waits until at least `machines` machines run its tasks.
-void run_large_job(World& world, std::size_t machines, const std::string& team = "red") {
-    world.run_for(3);
-    JobSpec spec = world.job("req-1", static_cast<std::uint32_t>(machines * 4), 2);
+void run_large_job(SimulatedCluster& cluster, std::size_t machines,
+                   const std::string& team = "red") {
+    cluster.run_for(3);
+    JobSpec spec = cluster.job("req-1", static_cast<std::uint32_t>(machines * 4), 2);
     spec.team = team;
-    world.submit(0, spec);
-    world.run_for(30);
-    ASSERT_GE(world.machines_up().size(), machines);
+    cluster.submit(0, spec);
+    cluster.run_for(30);
+    ASSERT_GE(cluster.machines_up().size(), machines);
 }
 
 // Returns the shard with the most machines among those that the partition holds; {-1, -1} if none
 // of them has machines.
-ShardId busiest_shard(const World& world, int partition) {
+ShardId busiest_shard(const SimulatedCluster& cluster, int partition) {
     std::map<ShardId, int> count;
-    for (const auto& machine : world.machines_up()) {
-        ++count[shard_of_machine(world.facts(0), machine, world.zone_of(machine))];
+    for (const auto& machine : cluster.machines_up()) {
+        ++count[shard_of_machine(cluster.cluster_settings(0), machine, cluster.zone_of(machine))];
     }
     ShardId best{-1, -1};
-    for (const auto& shard : world.shares(partition)) {
+    for (const auto& shard : cluster.held_shards(partition)) {
         if (count[shard] > 0 && (best.home_partition < 0 || count[shard] > count[best])) {
             best = shard;
         }
@@ -479,18 +482,18 @@
     return best;
 }
 
-void cut_all_peers(World& world, bool cut) {
+void cut_all_peers(SimulatedCluster& cluster, bool cut) {
     for (int a = 0; a < 5; ++a) {
         for (int b = 0; b <= a; ++b) {
-            world.cut_peers(a, b, cut);
+            cluster.cut_peers(a, b, cut);
         }
     }
 }
 
 // Returns the partition that holds the shard; -1 if none does now.
-int current_holder(const World& world, const ShardId& shard) {
+int current_holder(const SimulatedCluster& cluster, const ShardId& shard) {
     for (int partition = 0; partition < 5; ++partition) {
-        for (const auto& held : world.shares(partition)) {
+        for (const auto& held : cluster.held_shards(partition)) {
             if (held == shard) {
                 return partition;
             }
@@ -500,64 +503,65 @@
 }
 
 TEST(ShardMigrationInCluster, HundredMovesOfOneShardStopNoTask) {
-    WorldOptions options = five_controllers();
+    SimulationOptions options = five_controllers();
     options.run_s = 420;
-    World world(options);
-    run_large_job(world, 24);
-    world.run_for(20); // until failover has finished in all partitions
+    SimulatedCluster cluster(options);
+    run_large_job(cluster, 24);
+    cluster.run_for(20); // until failover has finished in all partitions
     int from = 0;
-    ShardId shard = busiest_shard(world, from);
+    ShardId shard = busiest_shard(cluster, from);
     ASSERT_GE(shard.home_partition, 0);
     std::map<TaskId, std::uint64_t> before;
     for (std::uint32_t i = 0; i < 96; ++i) {
-        before[{"req-1", i}] = world.attempt_of({"req-1", i});
+        before[{"req-1", i}] = cluster.attempt_of({"req-1", i});
     }
     int moves = 0;
     for (; moves < 100; ++moves) {
         int to = (from + 1 + moves % 4) % 5;
-        ASSERT_TRUE(world.give(from, shard, to)) << moves;
-        for (int k = 0; k < 100 && current_holder(world, shard) != to; ++k) {
-            world.run_for(0.1);
+        ASSERT_TRUE(cluster.migrate_shard(from, shard, to)) << moves;
+        for (int k = 0; k < 100 && current_holder(cluster, shard) != to; ++k) {
+            cluster.run_for(0.1);
         }
-        ASSERT_EQ(current_holder(world, shard), to) << moves;
+        ASSERT_EQ(current_holder(cluster, shard), to) << moves;
         from = to;
-        world.run_for(0.5);
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front();
+        cluster.run_for(0.5);
+        ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
     for (const auto& [task, attempt] : before) {
-        EXPECT_EQ(world.attempt_of(task), attempt) << task.index;
-        EXPECT_EQ(world.starts(task), 1);
+        EXPECT_EQ(cluster.attempt_of(task), attempt) << task.index;
+        EXPECT_EQ(cluster.starts(task), 1);
     }
-    world.run_for(600);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(600);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(ShardMigrationInCluster, JobsOfBothTeamsFinishAfterAMove) {
-    World world(five_controllers());
-    run_large_job(world, 24);
-    world.run_for(20);
-    ShardId shard = busiest_shard(world, 0);
-    ASSERT_TRUE(world.give(0, shard, 3));
-    world.run_for(8);
-    ASSERT_EQ(current_holder(world, shard), 3);
+    SimulatedCluster cluster(five_controllers());
+    run_large_job(cluster, 24);
+    cluster.run_for(20);
+    ShardId shard = busiest_shard(cluster, 0);
+    ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+    cluster.run_for(8);
+    ASSERT_EQ(current_holder(cluster, shard), 3);
     std::size_t tasks_on_shard = 0;
-    JobSpec spec = world.job("req-2", 60, 2);
+    JobSpec spec = cluster.job("req-2", 60, 2);
     spec.team = "blue";
-    world.submit(0, spec);
-    world.run_for(60);
-    for (const auto& machine : world.machines_up()) {
-        if (shard_of_machine(world.facts(0), machine, world.zone_of(machine)) == shard) {
+    cluster.submit(0, spec);
+    cluster.run_for(60);
+    for (const auto& machine : cluster.machines_up()) {
+        if (shard_of_machine(cluster.cluster_settings(0), machine, cluster.zone_of(machine)) ==
+            shard) {
             for (std::uint32_t i = 0; i < 60; ++i) {
-                tasks_on_shard += world.machines_of({"req-2", i}).contains(machine);
+                tasks_on_shard += cluster.machines_of({"req-2", i}).contains(machine);
             }
         }
     }
-    world.run_for(200);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.all_done("req-2"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_EQ(world.logged("event=shard_migrated"), 1u);
+    cluster.run_for(200);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.all_done("req-2"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_EQ(cluster.log_count("event=shard_migrated"), 1u);
 }
 
 // Crashes the source, the target or both right after the n-th request that the source sends during
@@ -571,34 +575,35 @@
 TEST_P(ShardMigrationCrash, CrashAfterAnyRequestLosesNoTask) {
     int request_count = 1;
     for (int n = 0; n < request_count; ++n) {
-        World world(five_controllers(7));
-        run_large_job(world, 20);
-        world.run_for(20);
+        SimulatedCluster cluster(five_controllers(7));
+        run_large_job(cluster, 20);
+        cluster.run_for(20);
         const int from = 0;
         const int to = 3;
-        ShardId shard = busiest_shard(world, from);
+        ShardId shard = busiest_shard(cluster, from);
         ASSERT_GE(shard.home_partition, 0);
         int requests = 0;
         bool moving = true;
-        world.intercept = [&](int controller, const OutboundBody&) {
-            moving = moving && current_holder(world, shard) != to;
+        cluster.intercept = [&](int controller, const OutboundBody&) {
+            moving = moving && current_holder(cluster, shard) != to;
             if (controller == from && (moving || requests <= n) && requests++ == n) {
-                world.at(world.now(), [&world, from, to] {
+                cluster.at(cluster.now(), [&cluster, from, to] {
                     if (GetParam().source) {
-                        world.crash(from, 15);
+                        cluster.crash(from, 15);
                     }
                     if (GetParam().target) {
-                        world.crash(to, 15);
+                        cluster.crash(to, 15);
                     }
                 });
             }
             return false;
         };
-        ASSERT_TRUE(world.give(from, shard, to));
-        world.run_for(8);
-        world.intercept = nullptr;
+        ASSERT_TRUE(cluster.migrate_shard(from, shard, to));
+        cluster.run_for(8);
+        cluster.intercept = nullptr;
         if (n == 0) {
-            World baseline(five_controllers(7)); // counts the requests of an undisturbed migration
+            SimulatedCluster baseline(
+                five_controllers(7)); // counts the requests of an undisturbed migration
             run_large_job(baseline, 20);
             baseline.run_for(20);
             request_count = 0;
@@ -606,13 +611,13 @@
                 request_count += controller == from && current_holder(baseline, shard) != to;
                 return false;
             };
-            ASSERT_TRUE(baseline.give(from, shard, to));
+            ASSERT_TRUE(baseline.migrate_shard(from, shard, to));
             baseline.run_for(8);
             ASSERT_GT(request_count, 3);
         }
-        world.run_for(240);
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " after request " << n;
-        ASSERT_TRUE(world.all_done("req-1")) << "after request " << n;
+        cluster.run_for(240);
+        ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " after request " << n;
+        ASSERT_TRUE(cluster.all_done("req-1")) << "after request " << n;
     }
 }
 INSTANTIATE_TEST_SUITE_P(SourceTargetBoth, ShardMigrationCrash,
@@ -621,256 +626,256 @@
 
 TEST(ShardMigrationInCluster, JobFinishesWhenTheSourceOrTargetFreezes) {
     for (int frozen : {0, 3}) {
-        World world(five_controllers(3));
-        run_large_job(world, 20);
-        world.run_for(20);
-        ShardId shard = busiest_shard(world, 0);
-        ASSERT_TRUE(world.give(0, shard, 3));
-        world.run_for(0.3);
-        world.freeze(frozen, 40);
-        world.run_for(240);
-        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-        EXPECT_TRUE(world.all_done("req-1"));
+        SimulatedCluster cluster(five_controllers(3));
+        run_large_job(cluster, 20);
+        cluster.run_for(20);
+        ShardId shard = busiest_shard(cluster, 0);
+        ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+        cluster.run_for(0.3);
+        cluster.freeze(frozen, 40);
+        cluster.run_for(240);
+        EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+        EXPECT_TRUE(cluster.all_done("req-1"));
     }
 }
 
 TEST(ShardMigrationInCluster, StoreOutageDuringAMoveStopsNoTask) {
-    WorldOptions options = five_controllers(4);
+    SimulationOptions options = five_controllers(4);
     options.run_s = 120;
     for (double after : {0.0, 0.02, 0.1, 0.3}) {
-        World world(options);
-        run_large_job(world, 20);
-        world.run_for(20);
-        ShardId shard = busiest_shard(world, 0);
-        ASSERT_TRUE(world.give(0, shard, 3));
-        world.run_for(after);
-        world.state_down(true);
-        world.run_for(40); // longer than any lease: peers extend the leaders' leases
-        world.state_down(false);
-        world.run_for(300);
-        EXPECT_TRUE(world.all_done("req-1"));
+        SimulatedCluster cluster(options);
+        run_large_job(cluster, 20);
+        cluster.run_for(20);
+        ShardId shard = busiest_shard(cluster, 0);
+        ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+        cluster.run_for(after);
+        cluster.set_store_down(true);
+        cluster.run_for(40); // longer than any lease: peers extend the leaders' leases
+        cluster.set_store_down(false);
+        cluster.run_for(300);
+        EXPECT_TRUE(cluster.all_done("req-1"));
         for (std::uint32_t i = 0; i < 80; ++i) {
-            EXPECT_EQ(world.starts({"req-1", i}), 1) << i << " after " << after;
+            EXPECT_EQ(cluster.starts({"req-1", i}), 1) << i << " after " << after;
         }
-        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+        EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
 }
 
 TEST(ShardMigrationInCluster, CompletesWhileSourceAndTargetAreDisconnected) {
-    World world(five_controllers(5));
-    run_large_job(world, 20);
-    world.run_for(20);
-    world.cut_peers(0, 3, true);
-    ShardId shard = busiest_shard(world, 0);
-    ASSERT_TRUE(world.give(0, shard, 3));
-    world.run_for(30);
-    EXPECT_EQ(current_holder(world, shard), 3);
-    world.cut_peers(0, 3, false);
-    world.run_for(240);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    SimulatedCluster cluster(five_controllers(5));
+    run_large_job(cluster, 20);
+    cluster.run_for(20);
+    cluster.cut_peers(0, 3, true);
+    ShardId shard = busiest_shard(cluster, 0);
+    ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+    cluster.run_for(30);
+    EXPECT_EQ(current_holder(cluster, shard), 3);
+    cluster.cut_peers(0, 3, false);
+    cluster.run_for(240);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(ShardMigrationInCluster, TasksOfAJobCancelledDuringAMoveAreStopped) {
     for (double after : {0.0, 0.05, 0.5, 1.0}) {
-        WorldOptions options = five_controllers(6);
+        SimulationOptions options = five_controllers(6);
         options.run_s = 300;
-        World world(options);
-        run_large_job(world, 20);
-        world.run_for(20);
-        ShardId shard = busiest_shard(world, 0);
-        ASSERT_TRUE(world.give(0, shard, 3));
-        world.run_for(after);
-        RequestId request_id = world.cancel(2, "req-1");
-        world.run_for(20);
-        EXPECT_EQ(world.answers.at(request_id).status, 200);
-        EXPECT_EQ(world.used("red"), 0);
-        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+        SimulatedCluster cluster(options);
+        run_large_job(cluster, 20);
+        cluster.run_for(20);
+        ShardId shard = busiest_shard(cluster, 0);
+        ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+        cluster.run_for(after);
+        RequestId request_id = cluster.cancel(2, "req-1");
+        cluster.run_for(20);
+        EXPECT_EQ(cluster.answers.at(request_id).status, 200);
+        EXPECT_EQ(cluster.used("red"), 0);
+        EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
 }
 
 // Shards move while a gang acquires its slots, runs, or saves and stops after a preemption notice.
 TEST(ShardMigrationInCluster, GangFinishesWhenShardsMoveDuringItsLifetime) {
     for (double at : {10.2, 12.0, 14.0, 20.0, 26.0}) {
-        World world(five_controllers(8));
-        run_large_job(world, 12);
-        JobSpec gang = world.job("req-2", 10, 4);
+        SimulatedCluster cluster(five_controllers(8));
+        run_large_job(cluster, 12);
+        JobSpec gang = cluster.job("req-2", 10, 4);
         gang.kind = JobKind::gang;
         gang.team = "blue";
         gang.checkpoint_interval_s = 5;
         gang.save_duration_s = 1;
         gang.spot = false;
-        world.at(world.now() + 5, [&] { world.submit(1, gang); });
-        world.at(world.now() + 24, [&] {
+        cluster.at(cluster.now() + 5, [&] { cluster.submit(1, gang); });
+        cluster.at(cluster.now() + 24, [&] {
             for (std::uint32_t i = 0; i < 10; ++i) {
-                for (const auto& machine : world.machines_of({"req-2", i})) {
-                    world.take_machine(machine, 8);
+                for (const auto& machine : cluster.machines_of({"req-2", i})) {
+                    cluster.preempt_machine(machine, 8);
                     return;
                 }
             }
         });
         for (int k = 0; k < 4; ++k) {
-            world.at(world.now() + at + 0.3 * k, [&world, k] {
+            cluster.at(cluster.now() + at + 0.3 * k, [&cluster, k] {
                 for (int from = 0; from < 5; ++from) {
-                    ShardId shard = busiest_shard(world, from);
+                    ShardId shard = busiest_shard(cluster, from);
                     if (shard.home_partition >= 0) {
-                        world.give(from, shard, (from + 1 + k) % 5);
+                        cluster.migrate_shard(from, shard, (from + 1 + k) % 5);
                     }
                 }
             });
         }
-        world.run_for(300);
-        EXPECT_GT(world.logged("event=shard_migrated"), 3u);
-        EXPECT_TRUE(world.all_done("req-2")) << world.describe("req-2");
-        EXPECT_GE(world.gang_runs("req-2"), 1);
-        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+        cluster.run_for(300);
+        EXPECT_GT(cluster.log_count("event=shard_migrated"), 3u);
+        EXPECT_TRUE(cluster.all_done("req-2")) << cluster.describe("req-2");
+        EXPECT_GE(cluster.gang_runs("req-2"), 1);
+        EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
 }
 
 TEST(ShardMap, UnreadableRecordLosesNoTaskWhileItsHoldersLive) {
-    World world(five_controllers(9));
-    run_large_job(world, 20);
-    world.run_for(20);
-    ShardId shard = busiest_shard(world, 0);
-    ASSERT_TRUE(world.give(0, shard, 3));
-    world.run_for(8);
-    ASSERT_TRUE(world.stands(PartitionMap::shards_key(shard.home_partition)));
-    world.put(PartitionMap::shards_key(shard.home_partition), UnreadableRecord{});
-    world.run_for(10);
-    EXPECT_EQ(current_holder(world, shard), 3); // the holder is unchanged
-    EXPECT_FALSE(world.give(3, shard, 0));
-    EXPECT_GE(world.logged("event=record_unreadable"), 5u); // each controller has logged it
-    world.run_for(150);
-    EXPECT_TRUE(world.all_done("req-1"));
+    SimulatedCluster cluster(five_controllers(9));
+    run_large_job(cluster, 20);
+    cluster.run_for(20);
+    ShardId shard = busiest_shard(cluster, 0);
+    ASSERT_TRUE(cluster.migrate_shard(0, shard, 3));
+    cluster.run_for(8);
+    ASSERT_TRUE(cluster.key_exists(PartitionMap::shards_key(shard.home_partition)));
+    cluster.put(PartitionMap::shards_key(shard.home_partition), UnreadableRecord{});
+    cluster.run_for(10);
+    EXPECT_EQ(current_holder(cluster, shard), 3); // the holder is unchanged
+    EXPECT_FALSE(cluster.migrate_shard(3, shard, 0));
+    EXPECT_GE(cluster.log_count("event=record_unreadable"), 5u); // each controller has logged it
+    cluster.run_for(150);
+    EXPECT_TRUE(cluster.all_done("req-1"));
     // A new leader of the partition owns none of these shards and rejects their machines.
-    world.submit(1, world.job("req-2", 10, 2));
-    world.crash(3, 60);
-    world.run_for(30);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.submit(1, cluster.job("req-2", 10, 2));
+    cluster.crash(3, 60);
+    cluster.run_for(30);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(ShardMigrationInCluster, RefusedWhileAControllerLacksShardingSupport) {
-    World world(five_controllers(10));
-    run_large_job(world, 20);
-    world.run_for(20);
-    world.crash(2, 100);
-    world.put(partition_key(2),
-              PartitionRecord{"n2", false}); // as if an older version led the partition
-    world.run_for(3);
-    EXPECT_FALSE(world.give(0, busiest_shard(world, 0), 3));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    SimulatedCluster cluster(five_controllers(10));
+    run_large_job(cluster, 20);
+    cluster.run_for(20);
+    cluster.crash(2, 100);
+    cluster.put(partition_key(2),
+                PartitionRecord{"n2", false}); // as if an older version led the partition
+    cluster.run_for(3);
+    EXPECT_FALSE(cluster.migrate_shard(0, busiest_shard(cluster, 0), 3));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(ShardFailover, ShardsOfALostControllerGoToAllLiveControllers) {
-    WorldOptions options = five_controllers(11);
+    SimulationOptions options = five_controllers(11);
     options.run_s = 60;
-    World world(options);
-    run_large_job(world, 40, "blue");
-    world.run_for(20);
-    std::size_t all = all_shards(world.facts(0)).size();
-    world.crash(1, 120);
-    world.run_for(40);
+    SimulatedCluster cluster(options);
+    run_large_job(cluster, 40, "blue");
+    cluster.run_for(20);
+    std::size_t all = all_shards(cluster.cluster_settings(0)).size();
+    cluster.crash(1, 120);
+    cluster.run_for(40);
     std::size_t held = 0;
     std::size_t most = 0;
     for (int partition : {0, 2, 3, 4}) {
-        held += world.shares(partition).size();
-        most = std::max(most, world.shares(partition).size());
+        held += cluster.held_shards(partition).size();
+        most = std::max(most, cluster.held_shards(partition).size());
     }
-    EXPECT_NE(world.owner(1), 1); // its teams have a new leader ...
-    EXPECT_GE(world.owner(1), 0);
-    EXPECT_TRUE(world.shares(1).empty()); // ... that holds none of its shards
+    EXPECT_NE(cluster.owner(1), 1); // its teams have a new leader ...
+    EXPECT_GE(cluster.owner(1), 0);
+    EXPECT_TRUE(cluster.held_shards(1).empty()); // ... that holds none of its shards
     EXPECT_EQ(held, all);
     EXPECT_LE(static_cast<double>(most), 1.25 * static_cast<double>(all) / 4);
-    world.run_for(400);
-    EXPECT_EQ(world.owner(1), 1); // it leads its home partition again
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(400);
+    EXPECT_EQ(cluster.owner(1), 1); // it leads its home partition again
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(ShardFailover, ReturningControllerRegainsShardsGradually) {
-    WorldOptions options = five_controllers(12);
+    SimulationOptions options = five_controllers(12);
     options.run_s = 900;
     options.limits = 20;
-    World world(options);
-    run_large_job(world, 60);
-    world.run_for(20);
-    world.crash(1, 40);
-    world.run_for(39);
-    ASSERT_EQ(world.shares(1).size(), 0u);
+    SimulatedCluster cluster(options);
+    run_large_job(cluster, 60);
+    cluster.run_for(20);
+    cluster.crash(1, 40);
+    cluster.run_for(39);
+    ASSERT_EQ(cluster.held_shards(1).size(), 0u);
     std::size_t before = 0;
     for (int k = 0; k < 100; ++k) {
-        world.run_for(1);
-        std::size_t now = world.shares(1).size();
+        cluster.run_for(1);
+        std::size_t now = cluster.held_shards(1).size();
         EXPECT_LE(now, before + 4); // at most one from each of the others
         before = now;
     }
     std::set<ShardId> held;
-    for (const auto& shard : world.shares(1)) {
+    for (const auto& shard : cluster.held_shards(1)) {
         held.insert(shard);
     }
     std::size_t machines = 0;
-    for (const auto& machine : world.machines_up()) {
-        machines +=
-            held.contains(shard_of_machine(world.facts(0), machine, world.zone_of(machine)));
+    for (const auto& machine : cluster.machines_up()) {
+        machines += held.contains(
+            shard_of_machine(cluster.cluster_settings(0), machine, cluster.zone_of(machine)));
     }
     EXPECT_GE(machines, 8u); // two thirds of an equal split
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // The machines of a lost controller must reach their new holders before their leases end, or their
 // tasks would be lost.
 TEST(ShardFailover, MachinesFindNewHoldersBeforeTheirLeasesEnd) {
-    WorldOptions options = five_controllers(14);
+    SimulationOptions options = five_controllers(14);
     options.run_s = 120;
-    World world(options);
-    run_large_job(world, 40, "blue");
-    world.run_for(20);
-    world.crash(1, 300);
-    world.run_for(200);
-    EXPECT_EQ(world.logged("event=machine_lease_expired"), 0u);
+    SimulatedCluster cluster(options);
+    run_large_job(cluster, 40, "blue");
+    cluster.run_for(20);
+    cluster.crash(1, 300);
+    cluster.run_for(200);
+    EXPECT_EQ(cluster.log_count("event=machine_lease_expired"), 0u);
     for (std::uint32_t i = 0; i < 160; ++i) {
-        EXPECT_LE(world.starts({"req-1", i}), 1) << i;
+        EXPECT_LE(cluster.starts({"req-1", i}), 1) << i;
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // A controller is lost while the others refuse each other's requests. Tasks that were submitted
 // before still start during this time, because the inventories are exchanged through the key-value
 // store.
 TEST(ShardFailover, OlderTasksStartWhilePeersRefuseRequests) {
-    WorldOptions options = five_controllers(13);
+    SimulationOptions options = five_controllers(13);
     options.run_s = 25;
     options.limits = 4; // so that tasks are pending when their leader is lost
-    World world(options);
-    world.run_for(3);
-    JobSpec spec = world.job("req-1", 150, 2);
-    world.submit(0, spec);
-    world.run_for(40);
-    ASSERT_FALSE(world.all_done("req-1"));
-    cut_all_peers(world, true);
-    int partition = partition_of_team(world.facts(0), "red");
+    SimulatedCluster cluster(options);
+    cluster.run_for(3);
+    JobSpec spec = cluster.job("req-1", 150, 2);
+    cluster.submit(0, spec);
+    cluster.run_for(40);
+    ASSERT_FALSE(cluster.all_done("req-1"));
+    cut_all_peers(cluster, true);
+    int partition = partition_of_team(cluster.cluster_settings(0), "red");
     auto started = [&] {
         int n = 0;
         for (std::uint32_t i = 0; i < spec.tasks; ++i) {
-            n += world.starts({"req-1", i});
+            n += cluster.starts({"req-1", i});
         }
         return n;
     };
-    world.crash(world.owner(partition), 200);
-    world.run_for(16); // its lease has ended, and its successor has loaded the partition
+    cluster.crash(cluster.owner(partition), 200);
+    cluster.run_for(16); // its lease has ended, and its successor has loaded the partition
     int before = started();
-    world.run_for(20);
-    EXPECT_GT(world.logged("event=inventory_posted"), 2u);
+    cluster.run_for(20);
+    EXPECT_GT(cluster.log_count("event=inventory_posted"), 2u);
     EXPECT_GT(started(), before);
-    world.run_for(60);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    cut_all_peers(world, false);
-    world.run_for(300);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    cut_all_peers(cluster, false);
+    cluster.run_for(300);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     for (int page = 0; page < 3; ++page) { // deleted once they have been read
-        EXPECT_FALSE(
-            world.stands("account/" + std::to_string(partition) + "/0/" + std::to_string(page)));
+        EXPECT_FALSE(cluster.key_exists("account/" + std::to_string(partition) + "/0/" +
+                                        std::to_string(page)));
     }
 }
 
@@ -879,14 +884,14 @@
 void run_random_scenario(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     constexpr int kControllers = 5;
-    World world({.seed = seed,
-                 .nodes = kControllers,
-                 .drop = seed % 3 == 0 ? 0.03 : 0,
-                 .late = seed % 3 == 0 ? 0.03 : 0,
-                 .run_s = 12,
-                 .error = 0.01,
-                 .limits = 10,
-                 .capacity = 64});
+    SimulatedCluster cluster({.seed = seed,
+                              .nodes = kControllers,
+                              .drop = seed % 3 == 0 ? 0.03 : 0,
+                              .late = seed % 3 == 0 ? 0.03 : 0,
+                              .run_s = 12,
+                              .error = 0.01,
+                              .limits = 10,
+                              .capacity = 64});
     std::mt19937_64 random(seed);
     auto random_below = [&](int n) {
         return static_cast<int>(random() % static_cast<unsigned>(n));
@@ -894,29 +899,29 @@
     int single_fault = seed % 8 == 7 ? -1 : static_cast<int>(seed % 8); // -1: all kinds of faults
     std::function<void()> move = [&] {
         int from = random_below(kControllers);
-        auto shards = world.shares(from);
+        auto shards = cluster.held_shards(from);
         if (!shards.empty()) {
-            ShardId shard = random_below(2) ? busiest_shard(world, from)
+            ShardId shard = random_below(2) ? busiest_shard(cluster, from)
                                             : shards[random_below(static_cast<int>(shards.size()))];
             if (shard.home_partition >= 0) {
-                world.give(from, shard, random_below(kControllers));
+                cluster.migrate_shard(from, shard, random_below(kControllers));
             }
         }
     };
     std::set<std::string> services;
     int jobs = 0;
-    JobSpec base = world.job("req-0", 160, 2); // keeps about sixty machines running
+    JobSpec base = cluster.job("req-0", 160, 2); // keeps about sixty machines running
     base.team = "blue";
-    world.run_for(3);
-    world.submit(0, base);
+    cluster.run_for(3);
+    cluster.submit(0, base);
     for (int k = 0; k < 100; ++k) {
-        world.run_for(1.5);
+        cluster.run_for(1.5);
         for (int m = 0; m < 3; ++m) {
             move();
         }
         if (k < 60 && k % 2 == 0) {
-            JobSpec spec = world.job("req-" + std::to_string(++jobs), 4 + random_below(40),
-                                     1 + random_below(3));
+            JobSpec spec = cluster.job("req-" + std::to_string(++jobs), 4 + random_below(40),
+                                       1 + random_below(3));
             spec.team = random_below(2) ? "red" : "blue";
             spec.spot = random_below(2) != 0;
             int kind = random_below(5);
@@ -932,66 +937,66 @@
                 spec.spread = random_below(2) != 0;
                 services.insert(spec.id);
             }
-            world.submit(random_below(kControllers), spec);
+            cluster.submit(random_below(kControllers), spec);
         }
         std::string job = "req-" + std::to_string(1 + random_below(std::max(1, jobs)));
         int fault = single_fault >= 0 ? single_fault : random_below(8);
         bool inject = random_below(4) == 0;
-        auto up = world.machines_up();
+        auto up = cluster.machines_up();
         if (inject && fault == 0) {
-            world.crash(random_below(kControllers), 1 + random_below(20));
+            cluster.crash(random_below(kControllers), 1 + random_below(20));
         } else if (inject && fault == 1) {
-            world.freeze(random_below(kControllers), 1 + random_below(30));
+            cluster.freeze(random_below(kControllers), 1 + random_below(30));
         } else if (inject && fault == 2) {
-            world.state_down(true);
+            cluster.set_store_down(true);
         } else if (inject && fault == 3) {
-            world.cut_peers(random_below(kControllers), random_below(kControllers), true);
+            cluster.cut_peers(random_below(kControllers), random_below(kControllers), true);
         } else if (inject && fault == 4) {
-            random_below(2) ? world.cut_workers(random_below(kControllers), true)
-                            : world.state_refuses(random_below(kControllers), true);
+            random_below(2) ? cluster.cut_workers(random_below(kControllers), true)
+                            : cluster.set_store_refusing(random_below(kControllers), true);
         } else if (inject && fault == 5 && !up.empty()) {
             const std::string& machine = up[random_below(static_cast<int>(up.size()))];
-            random_below(2) ? world.take_machine(machine, 6)
-                            : world.cut_machine(machine, random_below(2) != 0);
+            random_below(2) ? cluster.preempt_machine(machine, 6)
+                            : cluster.cut_machine(machine, random_below(2) != 0);
         } else if (inject && fault == 6) {
-            world.cancel(random_below(kControllers), job);
+            cluster.cancel(random_below(kControllers), job);
         } else if (inject && fault == 7 && !up.empty()) {
-            world.kill_machine(up[random_below(static_cast<int>(up.size()))]);
+            cluster.kill_machine(up[random_below(static_cast<int>(up.size()))]);
         } else if (random_below(3) == 0) {
-            world.state_down(false);
+            cluster.set_store_down(false);
             for (int n = 0; n < kControllers; ++n) {
-                world.state_refuses(n, false);
-                world.cut_workers(n, false);
+                cluster.set_store_refusing(n, false);
+                cluster.cut_workers(n, false);
             }
-            cut_all_peers(world, false);
-            world.poll(random_below(kControllers), job);
+            cut_all_peers(cluster, false);
+            cluster.poll(random_below(kControllers), job);
         }
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
+        ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
     }
-    world.state_down(false);
+    cluster.set_store_down(false);
     for (int n = 0; n < kControllers; ++n) {
-        world.state_refuses(n, false);
-        world.cut_workers(n, false);
+        cluster.set_store_refusing(n, false);
+        cluster.cut_workers(n, false);
     }
-    cut_all_peers(world, false);
-    for (const auto& machine : world.machines_up()) {
-        world.cut_machine(machine, false);
+    cut_all_peers(cluster, false);
+    for (const auto& machine : cluster.machines_up()) {
+        cluster.cut_machine(machine, false);
     }
-    world.run_for(30);
+    cluster.run_for(30);
     for (const auto& id : services) {
         for (int n = 0; n < kControllers; ++n) {
-            world.cancel(n, id);
-            world.run_for(0.2);
+            cluster.cancel(n, id);
+            cluster.run_for(0.2);
         }
     }
     for (int k = 0; k < 70; ++k) { // until all jobs end, with further migrations
-        world.run_for(10);
+        cluster.run_for(10);
         move();
     }
-    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_GT(world.logged("event=shard_migrated"), 20u);
-    for (const auto& [id, outcome] : world.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
+    ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_GT(cluster.log_count("event=shard_migrated"), 20u);
+    for (const auto& [id, outcome] : cluster.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
 }
 
@@ -1001,7 +1006,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, ShardingRandom, testing::Range(1, 17));
 
-TEST(ShardingSeeds, InvariantsHoldForRequestedSeeds) { play_seeds_asked(17, run_random_scenario); }
+TEST(ShardingSeeds, InvariantsHoldForRequestedSeeds) { run_extra_seeds(17, run_random_scenario); }
 
 } // namespace
 } // namespace scheduler::test
--- a/tests/simulation/call_router.cpp
+++ b/tests/simulation/call_router.cpp
@@ -29,7 +29,7 @@
            (watch && watch->prefix == kQuotaConfigPrefix);
 }
 
-CallRouter::CallRouter(const WorldOptions& options, EventQueue& clock, NetworkModel& network,
+CallRouter::CallRouter(const SimulationOptions& options, EventQueue& clock, NetworkModel& network,
                        PendingRequests& requests, ReplyChannel& replies, CallReceivers receivers)
     : options_(options), clock_(clock), network_(network), requests_(requests), replies_(replies),
       receivers_(receivers) {}
--- a/tests/simulation/call_router.h
+++ b/tests/simulation/call_router.h
@@ -35,7 +35,7 @@
 /// Hands each call to its receiver, if the links are whole, and the answer to the reply channel.
 class CallRouter {
   public:
-    CallRouter(const WorldOptions& options, EventQueue& clock, NetworkModel& network,
+    CallRouter(const SimulationOptions& options, EventQueue& clock, NetworkModel& network,
                PendingRequests& requests, ReplyChannel& replies, CallReceivers receivers);
 
     /// The call is there now.
@@ -57,7 +57,7 @@
     void arrive_at_store(const CallMessage& message);
     void no_answer_unless_silent(double seconds, const CallMessage& message);
 
-    const WorldOptions& options_;
+    const SimulationOptions& options_;
     EventQueue& clock_;
     NetworkModel& network_;
     PendingRequests& requests_;
--- a/tests/simulation/call_transport.cpp
+++ b/tests/simulation/call_transport.cpp
@@ -51,7 +51,8 @@
         parts_.replies.unsent(message);
         return true;
     }
-    if (std::holds_alternative<CancellationCall>(message.call.body) && !parts_.options.notices) {
+    if (std::holds_alternative<CancellationCall>(message.call.body) &&
+        !parts_.options.cancellation_broadcasts) {
         parts_.replies.no_answer_after(parts_.network.delay(), message); // refused at once
         return true;
     }
@@ -82,7 +83,7 @@
 
 bool CallTransport::held_back(const CallMessage& message) {
     const auto* transaction = std::get_if<StoreTransaction>(&message.call.body);
-    if (!transaction || !parts_.random.chance(parts_.troubles.late_writes)) {
+    if (!transaction || !parts_.random.chance(parts_.random_faults.late_writes)) {
         return false;
     }
     parts_.replies.no_answer_after(parts_.options.report_s / 2, message);
@@ -104,7 +105,7 @@
 }
 
 std::optional<double> CallTransport::draw_held_orders(CallMessage& message) {
-    if (!is_orders(message) || !parts_.random.chance(parts_.troubles.held_orders)) {
+    if (!is_orders(message) || !parts_.random.chance(parts_.random_faults.delayed_commands)) {
         return std::nullopt;
     }
     double delay_s = parts_.random.uniform(kShortestHoldS, kLongestHoldS);
@@ -117,8 +118,8 @@
     if (!transaction) {
         return;
     }
-    bool chosen = lose_answer && lose_answer(message.controller, *transaction);
-    if (chosen || parts_.random.fault(parts_.troubles.lost_answers)) {
+    bool chosen = lose_response && lose_response(message.controller, *transaction);
+    if (chosen || parts_.random.fault(parts_.random_faults.lost_responses)) {
         silence(message, parts_.options.report_s / 2);
     }
 }
@@ -127,7 +128,7 @@
     if (!is_store_call(message.call.body) || is_watch(message)) {
         return 0;
     }
-    double slow_s = parts_.random.chance(0.5) ? parts_.troubles.state_slow_s : 0;
+    double slow_s = parts_.random.chance(0.5) ? parts_.random_faults.store_delay_s : 0;
     if (slow_s > parts_.options.report_s / 2) { // the caller has given it up by then
         silence(message, parts_.options.report_s / 2);
     }
--- a/tests/simulation/call_transport.h
+++ b/tests/simulation/call_transport.h
@@ -26,8 +26,8 @@
   public:
     /// What the transport works with.
     struct Parts {
-        const WorldOptions& options;
-        const Troubles& troubles;
+        const SimulationOptions& options;
+        const RandomFaults& random_faults;
         EventQueue& clock;
         RandomSource& random;
         NetworkModel& network;
@@ -47,7 +47,7 @@
     /// Sees each call as it is sent. True: it goes no further, and its caller hears no answer.
     std::function<bool(int controller, const OutboundBody&)> intercept;
     /// Transactions that are carried out at once and whose answer alone is lost.
-    std::function<bool(int controller, const StoreTransaction&)> lose_answer;
+    std::function<bool(int controller, const StoreTransaction&)> lose_response;
 
   private:
     /// Returns whether the call ends before it is on its way.
--- a/tests/simulation/cloud_model.cpp
+++ b/tests/simulation/cloud_model.cpp
@@ -18,10 +18,11 @@
 }
 } // namespace
 
-CloudModel::CloudModel(const WorldOptions& options, const Troubles& troubles, EventQueue& clock,
-                       RandomSource& random, WorkerModel& workers, ReportSender& reports)
-    : options_(options), troubles_(troubles), clock_(clock), random_(random), workers_(workers),
-      reports_(reports), capacity_(options.capacity) {}
+CloudModel::CloudModel(const SimulationOptions& options, const RandomFaults& random_faults,
+                       EventQueue& clock, RandomSource& random, WorkerModel& workers,
+                       ReportSender& reports)
+    : options_(options), troubles_(random_faults), clock_(clock), random_(random),
+      workers_(workers), reports_(reports), capacity_(options.capacity) {}
 
 OutboundResponse CloudModel::serve(const OutboundBody& call) {
     OutboundResponse response;
@@ -64,9 +65,9 @@
     workers_.add(std::move(worker));
     reports_.connect(name, next_machine_ % options_.nodes);
     bool quick = random_.fault(troubles_.quick_boots);
-    bool mute = random_.fault(troubles_.mute_boots);
+    bool cut_outbound = random_.fault(troubles_.outbound_cut_boots);
     double boot_s = quick ? random_.uniform(0, kQuickBootS) : options_.boot_s;
-    clock_.after(boot_s, [this, name, mute] { workers_.boot(name, mute); });
+    clock_.after(boot_s, [this, name, cut_outbound] { workers_.boot(name, cut_outbound); });
     return name;
 }
 
--- a/tests/simulation/cloud_model.h
+++ b/tests/simulation/cloud_model.h
@@ -19,8 +19,9 @@
 /// Rents machines out and takes them back.
 class CloudModel {
   public:
-    CloudModel(const WorldOptions& options, const Troubles& troubles, EventQueue& clock,
-               RandomSource& random, WorkerModel& workers, ReportSender& reports);
+    CloudModel(const SimulationOptions& options, const RandomFaults& random_faults,
+               EventQueue& clock, RandomSource& random, WorkerModel& workers,
+               ReportSender& reports);
 
     void set_down(bool down) { down_ = down; }
     /// The cloud rents no more than so many machines at once from now on.
@@ -35,8 +36,8 @@
     std::string add_machine(const ScaleOut& order);
     std::vector<Instance> hosts() const;
 
-    const WorldOptions& options_;
-    const Troubles& troubles_;
+    const SimulationOptions& options_;
+    const RandomFaults& troubles_;
     EventQueue& clock_;
     RandomSource& random_;
     WorkerModel& workers_;
--- a/tests/simulation/cluster_setup.cpp
+++ b/tests/simulation/cluster_setup.cpp
@@ -10,11 +10,11 @@
 
 int controller_number(const std::string& name) { return std::atoi(name.c_str() + 1); }
 
-std::vector<std::string> zone_names(const WorldOptions& options) {
+std::vector<std::string> zone_names(const SimulationOptions& options) {
     return options.one_zone ? std::vector<std::string>{"a"} : std::vector<std::string>{"a", "b"};
 }
 
-std::vector<std::string> controller_zones(const WorldOptions& options) {
+std::vector<std::string> controller_zones(const SimulationOptions& options) {
     std::vector<std::string> zones;
     for (int controller = 0; controller < options.nodes; ++controller) {
         zones.push_back(controller % 2 && !options.one_zone ? "b" : "a");
@@ -22,25 +22,25 @@
     return zones;
 }
 
-InstanceType machine_type(const WorldOptions& options) {
+InstanceType machine_type(const SimulationOptions& options) {
     return {kMachineTypeName,   8, options.gpus ? 4.0 : 0.0, 32, 20, 1, 1.0, 0.4, options.boot_s,
             zone_names(options)};
 }
 
-std::vector<TeamQuota> team_facts(const WorldOptions& options) {
+std::vector<TeamQuota> team_quotas(const SimulationOptions& options) {
     const double factor = options.limits;
     if (options.gpus) {
         return {{"red", 0, 0, 8 * factor, 12 * factor}, {"blue", 0, 0, 4 * factor, 20 * factor}};
     }
     std::vector<TeamQuota> teams{{"red", 16 * factor, 24 * factor, 0, 0},
                                  {"blue", 8 * factor, 40 * factor, 0, 0}};
-    for (int team = 0; team < options.more_teams; ++team) {
+    for (int team = 0; team < options.extra_teams; ++team) {
         teams.push_back({"t" + std::to_string(team), 1, 24, 0, 0});
     }
     return teams;
 }
 
-ClusterSettings controller_facts(const WorldOptions& options, int controller) {
+ClusterSettings controller_settings(const SimulationOptions& options, int controller) {
     ClusterSettings settings;
     settings.node = controller_name(controller);
     settings.home_partition = controller;
@@ -49,7 +49,7 @@
         settings.partitions.push_back({controller_name(other), zones[other]});
     }
     settings.zones = zone_names(options);
-    settings.teams = team_facts(options);
+    settings.teams = team_quotas(options);
     settings.objectives = options.objectives;
     settings.heartbeat_interval_s = options.report_s;
     settings.worker_lease_s = options.lease_s;
@@ -62,11 +62,11 @@
     settings.store_transaction_limit = 12;
     settings.cloud_requests_per_s = 6;
     settings.list_lag_s = 8;
-    settings.max_concurrent_commands = options.orders_at_once;
+    settings.max_concurrent_commands = options.max_concurrent_commands;
     return settings;
 }
 
-JobSpec usual_job(const WorldOptions& options, const std::string& id, std::uint32_t tasks,
+JobSpec usual_job(const SimulationOptions& options, const std::string& id, std::uint32_t tasks,
                   double cpus) {
     JobSpec spec;
     spec.id = id;
--- a/tests/simulation/cluster_setup.h
+++ b/tests/simulation/cluster_setup.h
@@ -22,15 +22,15 @@
 /// The controller of this name.
 int controller_number(const std::string& name);
 
-std::vector<std::string> zone_names(const WorldOptions& options);
+std::vector<std::string> zone_names(const SimulationOptions& options);
 /// The zones of the controllers, by their numbers.
-std::vector<std::string> controller_zones(const WorldOptions& options);
-InstanceType machine_type(const WorldOptions& options);
-std::vector<TeamQuota> team_facts(const WorldOptions& options);
-ClusterSettings controller_facts(const WorldOptions& options, int controller);
+std::vector<std::string> controller_zones(const SimulationOptions& options);
+InstanceType machine_type(const SimulationOptions& options);
+std::vector<TeamQuota> team_quotas(const SimulationOptions& options);
+ClusterSettings controller_settings(const SimulationOptions& options, int controller);
 
 /// A job of the team red with usual needs, that may use spot machines.
-JobSpec usual_job(const WorldOptions& options, const std::string& id, std::uint32_t tasks,
+JobSpec usual_job(const SimulationOptions& options, const std::string& id, std::uint32_t tasks,
                   double cpus);
 
 } // namespace scheduler::test
--- a/tests/simulation/controller_model.cpp
+++ b/tests/simulation/controller_model.cpp
@@ -17,14 +17,14 @@
 constexpr double kClockDistanceS = 1000;
 } // namespace
 
-ControllerModel::ControllerModel(const WorldOptions& options, EventQueue& clock,
+ControllerModel::ControllerModel(const SimulationOptions& options, EventQueue& clock,
                                  RandomSource& random, NetworkModel& network,
                                  PendingRequests& requests, Callbacks callbacks)
     : options_(options), clock_(clock), random_(random), network_(network), requests_(requests),
       callbacks_(std::move(callbacks)) {
     for (int controller = 0; controller < options_.nodes; ++controller) {
         auto process = std::make_unique<Process>();
-        process->facts = controller_facts(options_, controller);
+        process->cluster_settings = controller_settings(options_, controller);
         process->rate = 1 + options_.drift * (controller % 2 ? 1 : 0);
         processes_.push_back(std::move(process));
         start(controller);
@@ -36,7 +36,8 @@
 void ControllerModel::start(int controller) {
     Process& process = *processes_[controller];
     ++process.life;
-    process.core = std::make_unique<Controller>(process.facts, policy::defaults(process.facts));
+    process.core = std::make_unique<Controller>(process.cluster_settings,
+                                                policy::defaults(process.cluster_settings));
     clock_.after(kStartDistanceS * (controller + 1),
                  [this, controller, life = process.life] { tick(controller, life); });
 }
--- a/tests/simulation/controller_model.h
+++ b/tests/simulation/controller_model.h
@@ -31,7 +31,7 @@
     };
 
     /// Starts all controllers.
-    ControllerModel(const WorldOptions& options, EventQueue& clock, RandomSource& random,
+    ControllerModel(const SimulationOptions& options, EventQueue& clock, RandomSource& random,
                     NetworkModel& network, PendingRequests& requests, Callbacks callbacks);
     ~ControllerModel();
 
@@ -55,7 +55,9 @@
     bool running(int controller) const { return processes_[controller]->core != nullptr; }
     /// Running and not standing still.
     bool awake(int controller) const;
-    const ClusterSettings& facts(int controller) const { return processes_[controller]->facts; }
+    const ClusterSettings& cluster_settings(int controller) const {
+        return processes_[controller]->cluster_settings;
+    }
     /// What the running controllers looked at since their start.
     double effort() const;
 
@@ -66,7 +68,7 @@
 
   private:
     struct Process {
-        ClusterSettings facts;
+        ClusterSettings cluster_settings;
         std::unique_ptr<Controller> core;
         int life = 0;
         /// Of its steady clock.
@@ -83,7 +85,7 @@
     void pass_on(const Response& answer);
     bool ended_after(int controller, int life, const OutboundRequest* call, const Response* answer);
 
-    const WorldOptions& options_;
+    const SimulationOptions& options_;
     EventQueue& clock_;
     RandomSource& random_;
     NetworkModel& network_;
--- a/tests/simulation/gang_model.cpp
+++ b/tests/simulation/gang_model.cpp
@@ -17,8 +17,9 @@
 }
 } // namespace
 
-GangModel::GangModel(const WorldOptions& options, const EventQueue& clock, const Judge& judge)
-    : options_(options), clock_(clock), judge_(judge) {}
+GangModel::GangModel(const SimulationOptions& options, const EventQueue& clock,
+                     const HistoryChecker& history_checker)
+    : options_(options), clock_(clock), history_checker_(history_checker) {}
 
 int GangModel::runs(const std::string& job) const { return count_of(run_counts_, job); }
 
@@ -45,7 +46,7 @@
         for (const auto& [task, state] : worker.tasks) {
             bool runs_here =
                 !worker.dead && on_machine(state.stage) && clock_.now() >= worker.hung_until;
-            if (runs_here && judge_.spec(task.job).kind == JobKind::gang) {
+            if (runs_here && history_checker_.spec(task.job).kind == JobKind::gang) {
                 gangs[{task.job, state.attempt}].push_back({&worker, task});
             }
         }
@@ -55,7 +56,7 @@
 
 void GangModel::advance(const AttemptKey& key, const Members& members) {
     Run& run = runs_[key];
-    bool whole = members.size() == judge_.spec(key.job).tasks;
+    bool whole = members.size() == history_checker_.spec(key.job).tasks;
     if (!run.ran) {
         assemble(key, run, members, whole);
     } else if (whole && all_saved(members)) {
--- a/tests/simulation/gang_model.h
+++ b/tests/simulation/gang_model.h
@@ -21,7 +21,8 @@
 /// Follows the attempts of gangs over all machines.
 class GangModel {
   public:
-    GangModel(const WorldOptions& options, const EventQueue& clock, const Judge& judge);
+    GangModel(const SimulationOptions& options, const EventQueue& clock,
+              const HistoryChecker& history_checker);
 
     /// A task of this attempt was told to save its progress and stop.
     void stop_seen(const std::string& job, std::uint64_t attempt);
@@ -61,9 +62,9 @@
     bool all_saved(const Members& members) const;
     void leave(const Member& member, ExitReason why);
 
-    const WorldOptions& options_;
+    const SimulationOptions& options_;
     const EventQueue& clock_;
-    const Judge& judge_;
+    const HistoryChecker& history_checker_;
     std::map<AttemptKey, Run> runs_;
     std::map<std::string, int> run_counts_;
     std::map<std::string, int> save_counts_;
--- a/tests/simulation/judge.cpp
+++ b/tests/simulation/judge.cpp
@@ -6,10 +6,11 @@
 
 namespace scheduler::test {
 
-Judge::Judge(double cancel_s, std::vector<TeamQuota> teams, std::vector<InstanceType> types)
+HistoryChecker::HistoryChecker(double cancel_s, std::vector<TeamQuota> teams,
+                               std::vector<InstanceType> types)
     : cancel_s_(cancel_s), quotas_(std::move(teams)), widest_(quotas_), types_(std::move(types)) {}
 
-void Judge::configured(const TeamQuota& quota) {
+void HistoryChecker::configured(const TeamQuota& quota) {
     for (std::size_t i = 0; i < quotas_.size(); ++i) {
         if (quotas_[i].name == quota.name) {
             quotas_[i] = quota;
@@ -20,7 +21,7 @@
     }
 }
 
-bool Judge::can_run(const JobSpec& spec) const {
+bool HistoryChecker::can_run(const JobSpec& spec) const {
     auto team = std::find_if(widest_.begin(), widest_.end(),
                              [&](const auto& t) { return t.name == spec.team; });
     double times = spec.kind == JobKind::array ? 1 : spec.tasks;
@@ -35,19 +36,20 @@
 
 // ---- Users ----
 
-void Judge::asked(Time now, RequestId request_id, Ask what, const std::string& job) {
+void HistoryChecker::asked(Time now, RequestId request_id, RequestKind what,
+                           const std::string& job) {
     asked_[request_id] = {what, job, now};
-    if (what == Ask::cancel) {
+    if (what == RequestKind::cancel) {
         cancel_asked_.insert(job);
     }
 }
 
-void Judge::submitted(Time now, const JobSpec& spec) {
+void HistoryChecker::submitted(Time now, const JobSpec& spec) {
     specs_.try_emplace(spec.id, spec);
     submitted_.emplace(spec.id, now);
 }
 
-void Judge::answered(Time now, const Response& a) {
+void HistoryChecker::answered(Time now, const Response& a) {
     auto request = asked_.find(a.request_id);
     if (request == asked_.end()) { // a health check's
         return;
@@ -97,7 +99,8 @@
     }
 }
 
-void Judge::told_before(Time now, const JobSpec& spec, const std::string& stage) {
+void HistoryChecker::record_earlier_response(Time now, const JobSpec& spec,
+                                             const std::string& stage) {
     submitted(now, spec);
     accepted_.emplace(spec.id, now);
     for (std::uint32_t i = 0; stage == "done" && i < spec.tasks; ++i) {
@@ -111,12 +114,12 @@
     }
 }
 
-std::string Judge::told(const std::string& job) const {
+std::string HistoryChecker::told(const std::string& job) const {
     auto it = final_.find(job);
     return it == final_.end() ? "" : it->second.stage;
 }
 
-std::vector<std::string> Judge::open() const {
+std::vector<std::string> HistoryChecker::open() const {
     std::vector<std::string> out;
     for (const auto& [id, when] : accepted_) {
         if (!final_.contains(id)) {
@@ -126,7 +129,7 @@
     return out;
 }
 
-double Judge::longest_unanswered(Time now) const {
+double HistoryChecker::longest_unanswered(Time now) const {
     double longest = longest_unanswered_;
     for (const auto& [id, since] : unanswered_since_) {
         longest = std::max(longest, now - since);
@@ -136,7 +139,7 @@
 
 // ---- Machines ----
 
-void Judge::started(Time now, const TaskId& task, Time left) {
+void HistoryChecker::started(Time now, const TaskId& task, Time left) {
     began_.emplace(task.job, now);
     idle_since_.erase(task.job);
     auto told = final_.find(task.job);
@@ -144,19 +147,19 @@
         return;
     }
     Time since = told->second.when;
-    (left > since ? late_starts_.left_after : late_starts_.left_before) += 1;
+    (left > since ? late_starts_.sent_after_response : late_starts_.sent_before_response) += 1;
     late_starts_.longest_s = std::max(late_starts_.longest_s, now - since);
-    late_starts_.longest_left = std::max(late_starts_.longest_left, left - since);
+    late_starts_.longest_sent_s = std::max(late_starts_.longest_sent_s, left - since);
 }
 
-void Judge::completed(const TaskId& task) { done_[task.job].insert(task.index); }
+void HistoryChecker::completed(const TaskId& task) { done_[task.job].insert(task.index); }
 
-bool Judge::done(const TaskId& task) const {
+bool HistoryChecker::done(const TaskId& task) const {
     auto it = done_.find(task.job);
     return it != done_.end() && it->second.contains(task.index);
 }
 
-void Judge::there(Time now, const TaskId& task) {
+void HistoryChecker::there(Time now, const TaskId& task) {
     auto told = final_.find(task.job);
     if (told == final_.end() || told->second.stage != "cancelled") {
         return;
@@ -167,19 +170,19 @@
     }
 }
 
-bool Judge::all_done(const std::string& job) const {
+bool HistoryChecker::all_done(const std::string& job) const {
     auto it = done_.find(job);
     return it != done_.end() && it->second.size() == specs_.at(job).tasks;
 }
 
-std::optional<double> Judge::began_after(const std::string& job) const {
+std::optional<double> HistoryChecker::seconds_to_first_start(const std::string& job) const {
     auto it = began_.find(job);
     return it == began_.end() ? std::nullopt : std::optional(it->second - submitted_.at(job));
 }
 
 // ---- Idle beside waiting ----
 
-void Judge::troubles_over(Time now) {
+void HistoryChecker::faults_ended(Time now) {
     over_ = true;
     unanswered_since_.clear();
     longest_unanswered_ = 0;
@@ -190,8 +193,9 @@
     longest_idle_ = 0;
 }
 
-bool Judge::could_start(const Standing& job, const std::vector<Room>& rooms,
-                        const std::map<std::string, std::pair<double, double>>& used) const {
+bool HistoryChecker::could_start(
+    const WaitingJob& job, const std::vector<Room>& rooms,
+    const std::map<std::string, std::pair<double, double>>& used) const {
     const JobSpec& spec = specs_.at(job.job);
     bool gang = spec.kind == JobKind::gang;
     if (gang && !job.in_zone.empty()) {
@@ -232,8 +236,9 @@
     return (spec.one_zone ? best : all) >= times;
 }
 
-void Judge::look(Time now, const std::vector<Room>& rooms, const std::vector<Standing>& jobs,
-                 const std::map<std::string, std::pair<double, double>>& used) {
+void HistoryChecker::look(Time now, const std::vector<Room>& rooms,
+                          const std::vector<WaitingJob>& jobs,
+                          const std::map<std::string, std::pair<double, double>>& used) {
     if (!over_) {
         return;
     }
@@ -245,7 +250,7 @@
             Time from = since[job.job] = it == idle_since_.end() ? now : it->second;
             if (now - from > longest_idle_) {
                 longest_idle_ = now - from;
-                idlest_ = job.job;
+                longest_idle_job_ = job.job;
             }
         }
     }
@@ -254,17 +259,17 @@
 
 // ---- Who was served ----
 
-double Judge::work(const JobSpec& spec) {
+double HistoryChecker::work(const JobSpec& spec) {
     return spec.tasks * std::max(spec.cpus, spec.gpus) * spec.estimated_run_s;
 }
 
 // Is the job one to be served?
-bool Judge::counts(const std::string& id) const {
+bool HistoryChecker::counts(const std::string& id) const {
     const JobSpec& spec = specs_.at(id);
     return can_run(spec) && (told(id) != "cancelled" || spec.kind == JobKind::service);
 }
 
-std::map<std::string, std::vector<std::string>> Judge::largest() const {
+std::map<std::string, std::vector<std::string>> HistoryChecker::largest() const {
     std::map<std::string, std::vector<std::string>> by_class;
     for (const auto& [id, when] : submitted_) {
         if (counts(id)) {
@@ -280,7 +285,7 @@
     return by_class;
 }
 
-std::vector<std::string> Judge::served_under(double shard) const {
+std::vector<std::string> HistoryChecker::groups_served_below(double shard) const {
     std::map<std::string, std::pair<int, int>> rows; // served, of how many
     auto count = [&](const std::string& row, const std::string& id) {
         const JobSpec& spec = specs_.at(id);
@@ -308,11 +313,12 @@
     return low;
 }
 
-std::vector<std::string> Judge::begun_later_than(double seconds, Time now) const {
+std::vector<std::string> HistoryChecker::largest_jobs_started_after(double seconds,
+                                                                    Time now) const {
     std::vector<std::string> out;
     for (const auto& [name, ids] : largest()) {
         for (const auto& id : ids) {
-            if (began_after(id).value_or(now - submitted_.at(id)) > seconds) {
+            if (seconds_to_first_start(id).value_or(now - submitted_.at(id)) > seconds) {
                 out.push_back(id);
             }
         }
