--- a/tests/simulation/judge.h
+++ b/tests/simulation/judge.h
@@ -1,6 +1,6 @@
 // Judges what users were told and how they were served, from the history alone: every answer
 // against the newest that the user had heard before that request was sent, by whatever node. The
-// rules about machines (ran_twice, quota, wrong_place) are the world's, which sees them. See
+// rules about machines (ran_twice, quota, wrong_place) are the cluster's, which sees them. See
 // "Rules" in the protocol.
 #pragma once
 
@@ -13,18 +13,18 @@
 
 namespace scheduler::test {
 
-class Judge {
+class HistoryChecker {
   public:
-    enum class Ask { submit, poll, cancel };
+    enum class RequestKind { submit, poll, cancel };
     // `teams` and `types`: what can run at all.
-    Judge(double cancel_s, std::vector<TeamQuota> teams, std::vector<InstanceType> types);
+    HistoryChecker(double cancel_s, std::vector<TeamQuota> teams, std::vector<InstanceType> types);
 
     // Users.
-    void asked(Time now, RequestId request_id, Ask what, const std::string& job);
+    void asked(Time now, RequestId request_id, RequestKind what, const std::string& job);
     void submitted(Time now, const JobSpec& spec);
     void answered(Time now, const Response& answer);
     // Users were told so before the history begins, under other settings maybe.
-    void told_before(Time now, const JobSpec& spec, const std::string& stage);
+    void record_earlier_response(Time now, const JobSpec& spec, const std::string& stage);
 
     // Machines: a task has its image and is on its machine from now on; it completed; a cancelled
     // job's task is there at this moment. `left`: when its start left the controller.
@@ -32,7 +32,7 @@
     void completed(const TaskId& task);
     void there(Time now, const TaskId& task);
 
-    // Every so often: the room that machines have, and what waits. Judged from `troubles_over` on.
+    // Every so often: the room that machines have, and what waits. Judged from `faults_ended` on.
     struct Room {
         std::string zone;
         bool spot = false;
@@ -41,7 +41,7 @@
         double gpus = 0;
         double ram_gb = 0;
     };
-    struct Standing { // of a job that is open, with tasks that are neither done nor on a machine
+    struct WaitingJob { // of a job that is open, with tasks that are neither done nor on a machine
         std::string job;
         std::uint32_t waiting = 0;
         std::map<std::string, std::uint32_t> in_zone; // its tasks that are on machines
@@ -49,8 +49,8 @@
     // The team's guarantee and limit were changed. What could run under any of its limits so far
     // may have been accepted.
     void configured(const TeamQuota& quota);
-    void troubles_over(Time now);
-    void look(Time now, const std::vector<Room>& rooms, const std::vector<Standing>& jobs,
+    void faults_ended(Time now);
+    void look(Time now, const std::vector<Room>& rooms, const std::vector<WaitingJob>& jobs,
               const std::map<std::string, std::pair<double, double>>& used); // cpus, gpus by team
 
     // What came of it.
@@ -60,20 +60,20 @@
     // A job waited for so long beside a machine that fits, its team being under its limit, and no
     // task of it started.
     double longest_idle() const { return longest_idle_; }
-    const std::string& idlest() const { return idlest_; }
+    const std::string& longest_idle_job() const { return longest_idle_job_; }
     double longest_cancelled() const { return longest_cancelled_; }
-    struct LateStarts {          // after the user was told of the cancellation
-        int left_before = 0;     // the start had left its controller before that ...
-        int left_after = 0;      // ... or left it all the same
-        double longest_s = 0;    // from the user's answer to the task
-        double longest_left = 0; // ... to the start's leaving
+    struct LateStarts {               // after the user was told of the cancellation
+        int sent_before_response = 0; // the start had left its controller before that ...
+        int sent_after_response = 0;  // ... or left it all the same
+        double longest_s = 0;         // from the user's answer to the task
+        double longest_sent_s = 0;    // ... to the start's leaving
     };
     const LateStarts& late_starts() const { return late_starts_; }
 
     bool all_done(const std::string& job) const;
     bool knows(const std::string& job) const { return specs_.contains(job); }
     const JobSpec& spec(const std::string& job) const { return specs_.at(job); }
-    std::optional<double> began_after(const std::string& job) const;
+    std::optional<double> seconds_to_first_start(const std::string& job) const;
     // The outcome that its user was told: empty, "done" or "cancelled".
     std::string told(const std::string& job) const;
     bool done(const TaskId& task) const;
@@ -82,9 +82,9 @@
     // Classes, teams and the largest jobs of each class (a quarter of its jobs, one at least) of
     // which less than this share is done, or for replicas has been started; jobs that can never run
     // or whose user was told that they are cancelled aside.
-    std::vector<std::string> served_under(double shard) const;
+    std::vector<std::string> groups_served_below(double shard) const;
     // Of the largest jobs, those that began later than this, or not at all by `now`.
-    std::vector<std::string> begun_later_than(double seconds, Time now) const;
+    std::vector<std::string> largest_jobs_started_after(double seconds, Time now) const;
 
   private:
     struct Told { // to the job's user
@@ -92,13 +92,13 @@
         Time when = 0;
     };
     struct Request {
-        Ask what = Ask::poll;
+        RequestKind what = RequestKind::poll;
         std::string job;
         Time when = 0;
     };
     bool can_run(const JobSpec& spec) const;
     bool counts(const std::string& job) const;
-    bool could_start(const Standing& job, const std::vector<Room>& rooms,
+    bool could_start(const WaitingJob& job, const std::vector<Room>& rooms,
                      const std::map<std::string, std::pair<double, double>>& used) const;
     std::map<std::string, std::vector<std::string>> largest() const; // by class
     static double work(const JobSpec& spec);
@@ -116,11 +116,11 @@
     std::map<std::string, Time> began_;
     std::map<std::string, std::set<std::uint32_t>> done_;
     std::map<std::string, Time> unanswered_since_;
-    bool over_ = false; // the troubles
+    bool over_ = false; // the random_faults
     double longest_unanswered_ = 0;
     std::map<std::string, Time> idle_since_;
     double longest_idle_ = 0;
-    std::string idlest_;
+    std::string longest_idle_job_;
     double longest_cancelled_ = 0;
     LateStarts late_starts_;
 };
--- a/tests/simulation/network_model.cpp
+++ b/tests/simulation/network_model.cpp
@@ -11,12 +11,12 @@
 constexpr double kLongestLateDelayS = 40;
 } // namespace
 
-NetworkModel::NetworkModel(std::vector<std::string> controller_zones, const Troubles& troubles,
-                           RandomSource& random)
-    : controller_zones_(std::move(controller_zones)), troubles_(troubles), random_(random) {}
+NetworkModel::NetworkModel(std::vector<std::string> controller_zones,
+                           const RandomFaults& random_faults, RandomSource& random)
+    : controller_zones_(std::move(controller_zones)), troubles_(random_faults), random_(random) {}
 
 double NetworkModel::delay() {
-    return random_.uniform(kShortestDelayS, kLongestDelayS + troubles_.slow_links_s);
+    return random_.uniform(kShortestDelayS, kLongestDelayS + troubles_.link_delay_s);
 }
 
 double NetworkModel::late_delay() {
--- a/tests/simulation/network_model.h
+++ b/tests/simulation/network_model.h
@@ -16,8 +16,8 @@
 /// Which links are cut, and how long a message takes.
 class NetworkModel {
   public:
-    /// `controller_zones`: by the controllers' numbers. `troubles` may change at any time.
-    NetworkModel(std::vector<std::string> controller_zones, const Troubles& troubles,
+    /// `controller_zones`: by the controllers' numbers. `random_faults` may change at any time.
+    NetworkModel(std::vector<std::string> controller_zones, const RandomFaults& random_faults,
                  RandomSource& random);
 
     /// Seconds that a message takes: draws one number.
@@ -46,7 +46,7 @@
     const std::string& zone_of(int controller) const { return controller_zones_[controller]; }
 
     std::vector<std::string> controller_zones_;
-    const Troubles& troubles_;
+    const RandomFaults& troubles_;
     RandomSource& random_;
     std::set<std::pair<int, int>> cut_peers_;
     std::set<int> cut_from_workers_;
--- a/tests/simulation/options.h
+++ b/tests/simulation/options.h
@@ -11,7 +11,7 @@
 namespace scheduler::test {
 
 /// Settings of a simulation, fixed when it is built. Times are in seconds.
-struct WorldOptions {
+struct SimulationOptions {
     /// Seed of all random draws.
     std::uint64_t seed = 1;
     /// Number of controllers.
@@ -29,7 +29,7 @@
     /// Factor on the usual limits of the teams.
     double limits = 1;
     /// Number of further teams t0, t1, ...: one CPU guaranteed, 24 at most.
-    int more_teams = 0;
+    int extra_teams = 0;
     /// Machines that the cloud has.
     std::size_t capacity = 12;
     /// Steady clocks differ by up to this share.
@@ -46,35 +46,35 @@
     bool gpus = false;
     /// Direct commands that a controller sends at once; five times as many wait in its process,
     /// more are not sent.
-    int orders_at_once = 64;
+    int max_concurrent_commands = 64;
     /// Controllers tell each other of cancellations. Without, they hear of them by watches and
     /// promises only, and every rule has to hold so.
-    bool notices = false;
+    bool cancellation_broadcasts = false;
 };
 
 /// Faults drawn at random, as shares of messages or machines; a test changes them at any time.
-struct Troubles {
+struct RandomFaults {
     /// Transactions without an answer, carried out 2 to 12 s later, after newer ones.
     double late_writes = 0;
     /// Copies of reports that arrive up to one and a half leases later.
-    double late_reports = 0;
+    double late_heartbeats = 0;
     /// Direct commands without an answer, executed 2 to 12 s later.
-    double held_orders = 0;
+    double delayed_commands = 0;
     /// Seconds that the state service takes for half of what it is asked.
-    double state_slow_s = 0;
+    double store_delay_s = 0;
     /// Transactions carried out at once of which only the answer is lost.
-    double lost_answers = 0;
+    double lost_responses = 0;
     /// Copies of reports kept until a part is claimed, and then given to every controller.
-    double reports_for_next = 0;
+    double heartbeats_for_next_leader = 0;
     /// New machines that are up within two seconds.
     double quick_boots = 0;
     /// New machines that reach no controller from their boot on.
-    double mute_boots = 0;
+    double outbound_cut_boots = 0;
     /// Seconds that a message takes longer, at most.
-    double slow_links_s = 0;
+    double link_delay_s = 0;
     /// Jobs just accepted, ended or cancelled that users look at closely: all controllers are
     /// asked, again and again within milliseconds, and sent the submission; some cancel.
-    double close_looks = 0;
+    double concurrent_status_reads = 0;
     /// Jobs that their users cancel at the end of the last task.
     double cancel_at_end = 0;
 };
--- a/tests/simulation/queries.cpp
+++ b/tests/simulation/queries.cpp
@@ -10,8 +10,8 @@
 namespace scheduler::test {
 
 namespace {
-using OpenJobs = std::map<std::string, Judge::Standing>;
-/// CPUs and GPUs by team, as the judge takes them.
+using OpenJobs = std::map<std::string, HistoryChecker::WaitingJob>;
+/// CPUs and GPUs by team, as the history_checker takes them.
 using UsedByTeam = std::map<std::string, std::pair<double, double>>;
 
 bool holds(const Worker& worker, const TaskId& task) {
@@ -19,37 +19,38 @@
     return found != worker.tasks.end() && found->second.stage != TaskStage::exited;
 }
 
-OpenJobs open_jobs(const KvStoreModel& store, const Judge& judge) {
+OpenJobs open_jobs(const KvStoreModel& store, const HistoryChecker& history_checker) {
     OpenJobs jobs;
     for (const auto& [id, outcome] : job_outcomes(store)) {
-        if (outcome != Outcome::none || !judge.knows(id)) {
+        if (outcome != Outcome::none || !history_checker.knows(id)) {
             continue;
         }
-        Judge::Standing& job = jobs[id];
-        job = {id, judge.spec(id).tasks, {}};
-        for (std::uint32_t index = 0; index < judge.spec(id).tasks; ++index) {
-            job.waiting -= judge.done({id, index});
+        HistoryChecker::WaitingJob& job = jobs[id];
+        job = {id, history_checker.spec(id).tasks, {}};
+        for (std::uint32_t index = 0; index < history_checker.spec(id).tasks; ++index) {
+            job.waiting -= history_checker.done({id, index});
         }
     }
     return jobs;
 }
 
 /// Returns the room that is left on the machine; its tasks are taken from what waits.
-Judge::Room room_of(const Worker& worker, const InstanceType& type, const Judge& judge,
-                    OpenJobs& jobs, UsedByTeam& used) {
-    Judge::Room room{worker.zone, worker.spot, &type, type.cpus, type.gpus, type.ram_gb};
+HistoryChecker::Room room_of(const Worker& worker, const InstanceType& type,
+                             const HistoryChecker& history_checker, OpenJobs& jobs,
+                             UsedByTeam& used) {
+    HistoryChecker::Room room{worker.zone, worker.spot, &type, type.cpus, type.gpus, type.ram_gb};
     for (const auto& [task, state] : worker.tasks) {
         if (state.stage == TaskStage::exited) {
             continue;
         }
-        const JobSpec& spec = judge.spec(task.job);
+        const JobSpec& spec = history_checker.spec(task.job);
         room.cpus -= spec.cpus;
         room.gpus -= spec.gpus;
         room.ram_gb -= spec.ram_gb;
         used[spec.team].first += spec.cpus;
         used[spec.team].second += spec.gpus;
         if (auto job = jobs.find(task.job); job != jobs.end()) {
-            job->second.waiting -= !judge.done(task);
+            job->second.waiting -= !history_checker.done(task);
             ++job->second.in_zone[worker.zone];
         }
     }
@@ -57,7 +58,7 @@
 }
 
 bool usable(const Worker& worker, Time now) {
-    return worker.up && !worker.dead && !worker.cut && !worker.deaf && !worker.mute &&
+    return worker.up && !worker.dead && !worker.cut && !worker.deaf && !worker.cut_outbound &&
            now >= worker.hung_until && worker.taken == 0;
 }
 } // namespace
@@ -129,23 +130,23 @@
 }
 
 void observe_waiting(Time now, const KvStoreModel& store, const Workers& workers,
-                     const InstanceType& type, Judge& judge) {
-    OpenJobs jobs = open_jobs(store, judge);
+                     const InstanceType& type, HistoryChecker& history_checker) {
+    OpenJobs jobs = open_jobs(store, history_checker);
     UsedByTeam used;
-    std::vector<Judge::Room> rooms;
+    std::vector<HistoryChecker::Room> rooms;
     for (const auto& [name, worker] : workers) {
-        Judge::Room room = room_of(worker, type, judge, jobs, used);
+        HistoryChecker::Room room = room_of(worker, type, history_checker, jobs, used);
         if (usable(worker, now)) {
             rooms.push_back(room);
         }
     }
-    std::vector<Judge::Standing> waiting;
+    std::vector<HistoryChecker::WaitingJob> waiting;
     for (const auto& [id, job] : jobs) {
         if (job.waiting > 0) {
             waiting.push_back(job);
         }
     }
-    judge.look(now, rooms, waiting, used);
+    history_checker.look(now, rooms, waiting, used);
 }
 
 } // namespace scheduler::test
--- a/tests/simulation/queries.h
+++ b/tests/simulation/queries.h
@@ -28,8 +28,8 @@
 /// The job and what is on all machines, for a failing test.
 std::string describe(const Workers& workers, const JobSpec& spec);
 
-/// Tells the judge what waits, and what room there is.
+/// Tells the history_checker what waits, and what room there is.
 void observe_waiting(Time now, const KvStoreModel& store, const Workers& workers,
-                     const InstanceType& type, Judge& judge);
+                     const InstanceType& type, HistoryChecker& history_checker);
 
 } // namespace scheduler::test
--- a/tests/simulation/quota_model.cpp
+++ b/tests/simulation/quota_model.cpp
@@ -15,11 +15,13 @@
 constexpr double kRounding = 1e-6;
 } // namespace
 
-QuotaModel::QuotaModel(const WorldOptions& options, EventQueue& clock, const WorkerModel& workers,
-                       KvStoreModel& store, Judge& judge)
-    : options_(options), clock_(clock), workers_(workers), store_(store), judge_(judge) {
-    for (const auto& team : team_facts(options_)) {
-        limits_[team.name].facts = team;
+QuotaModel::QuotaModel(const SimulationOptions& options, EventQueue& clock,
+                       const WorkerModel& workers, KvStoreModel& store,
+                       HistoryChecker& history_checker)
+    : options_(options), clock_(clock), workers_(workers), store_(store),
+      history_checker_(history_checker) {
+    for (const auto& team : team_quotas(options_)) {
+        limits_[team.name].cluster_settings = team;
     }
 }
 
@@ -37,7 +39,7 @@
     return true;
 }
 
-int QuotaModel::configure_over(const TeamQuota& quota, std::uint64_t version) {
+int QuotaModel::configure_if_version(const TeamQuota& quota, std::uint64_t version) {
     if (store_.down()) {
         return 503;
     }
@@ -53,13 +55,13 @@
 
 void QuotaModel::written(const TeamQuota& quota, std::uint64_t revision) {
     Limit& limit = limits_.at(quota.name);
-    if (quota.limit() < limit.facts.limit()) {
+    if (quota.limit() < limit.cluster_settings.limit()) {
         double& before = limit.before[clock_.now() - outage_s_ + options_.cancel_s];
-        before = std::max(before, limit.facts.limit());
+        before = std::max(before, limit.cluster_settings.limit());
     }
-    limit.facts = quota;
+    limit.cluster_settings = quota;
     written_[revision] = {quota.name, clock_.now()};
-    judge_.configured(quota);
+    history_checker_.configured(quota);
 }
 
 // Of a change that another has followed since, nothing is known: a controller may have seen both at
@@ -91,13 +93,13 @@
     // Nobody can have heard of a change in an outage, if nobody had before.
     std::erase_if(limit.before,
                   [&](const auto& lowered) { return clock_.now() - outage_s_ > lowered.first; });
-    double most = limit.facts.limit();
+    double most = limit.cluster_settings.limit();
     for (const auto& [until, before] : limit.before) {
         most = std::max(most, before);
     }
     if (used > most + kRounding) {
-        judge_.broken.push_back("quota " + team + " uses " + std::to_string(used) + " of " +
-                                std::to_string(most));
+        history_checker_.broken.push_back("quota " + team + " uses " + std::to_string(used) +
+                                          " of " + std::to_string(most));
     }
 }
 
@@ -105,8 +107,8 @@
     std::map<std::string, double> used;
     for (const auto& [name, worker] : workers_.all()) {
         for (const auto& [task, state] : worker.tasks) {
-            if (judge_.knows(task.job) && on_machine(state.stage)) {
-                const JobSpec& spec = judge_.spec(task.job);
+            if (history_checker_.knows(task.job) && on_machine(state.stage)) {
+                const JobSpec& spec = history_checker_.spec(task.job);
                 used[spec.team] += options_.gpus ? spec.gpus : spec.cpus;
             }
         }
--- a/tests/simulation/quota_model.h
+++ b/tests/simulation/quota_model.h
@@ -19,23 +19,25 @@
 /// where a team uses more than any limit that may still be in force.
 class QuotaModel {
   public:
-    QuotaModel(const WorldOptions& options, EventQueue& clock, const WorkerModel& workers,
-               KvStoreModel& store, Judge& judge);
+    QuotaModel(const SimulationOptions& options, EventQueue& clock, const WorkerModel& workers,
+               KvStoreModel& store, HistoryChecker& history_checker);
 
     /// Writes the team's key over whatever stands there. False: the state service is down. With
     /// `late_s` it is carried out so much later, and the writer knows nothing of its outcome.
     bool configure(const TeamQuota& quota, double late_s);
     /// A write over this version, as a second operator makes it: its status.
-    int configure_over(const TeamQuota& quota, std::uint64_t version);
+    int configure_if_version(const TeamQuota& quota, std::uint64_t version);
     /// As last written, or as in the settings.
-    const TeamQuota& team(const std::string& name) const { return limits_.at(name).facts; }
+    const TeamQuota& team(const std::string& name) const {
+        return limits_.at(name).cluster_settings;
+    }
 
     /// Judges what the teams use now. To be called every kCheckS.
     void check();
     /// A controller logged that a change came into force.
     void note_in_force(const std::string& line);
     /// From the write of each change to its coming into force at each controller, seconds.
-    const std::vector<double>& in_force_after() const { return in_force_after_; }
+    const std::vector<double>& quota_delays_s() const { return in_force_after_; }
     /// What the team's tasks use on machines now, in what the team states: CPUs or GPUs.
     double used(const std::string& team) const;
 
@@ -45,7 +47,7 @@
   private:
     /// What a team may use: its limit, and for a stated time after each lowering the one before.
     struct Limit {
-        TeamQuota facts;
+        TeamQuota cluster_settings;
         /// Limits that were lowered, by when they end to count.
         std::map<Time, double> before;
     };
@@ -58,11 +60,11 @@
     void check(const std::string& team, double used);
     void written(const TeamQuota& quota, std::uint64_t revision);
 
-    const WorldOptions& options_;
+    const SimulationOptions& options_;
     EventQueue& clock_;
     const WorkerModel& workers_;
     KvStoreModel& store_;
-    Judge& judge_;
+    HistoryChecker& history_checker_;
     std::map<std::string, Limit> limits_;
     /// By revision.
     std::map<std::uint64_t, WrittenChange> written_;
--- a/tests/simulation/reply_channel.cpp
+++ b/tests/simulation/reply_channel.cpp
@@ -9,14 +9,14 @@
 constexpr int kWaitingOrders = 5;
 } // namespace
 
-ReplyChannel::ReplyChannel(const WorldOptions& options, EventQueue& clock, NetworkModel& network,
-                           ControllerModel& controllers)
+ReplyChannel::ReplyChannel(const SimulationOptions& options, EventQueue& clock,
+                           NetworkModel& network, ControllerModel& controllers)
     : options_(options), clock_(clock), network_(network), controllers_(controllers) {}
 
 bool ReplyChannel::admit_orders(const CallMessage& message) {
     ProcessKey process{message.controller, message.life};
     int& under_way = orders_under_way_[process];
-    if (under_way >= kWaitingOrders * options_.orders_at_once) {
+    if (under_way >= kWaitingOrders * options_.max_concurrent_commands) {
         return false;
     }
     ++under_way;
--- a/tests/simulation/reply_channel.h
+++ b/tests/simulation/reply_channel.h
@@ -29,7 +29,7 @@
 /// Brings answers to their callers, and counts the direct commands that have none yet.
 class ReplyChannel {
   public:
-    ReplyChannel(const WorldOptions& options, EventQueue& clock, NetworkModel& network,
+    ReplyChannel(const SimulationOptions& options, EventQueue& clock, NetworkModel& network,
                  ControllerModel& controllers);
 
     /// Counts direct commands as under way. False: the process has too many of them, they are not
@@ -59,7 +59,7 @@
 
     void deliver(const CallKey& key, const OutboundResponse& response);
 
-    const WorldOptions& options_;
+    const SimulationOptions& options_;
     EventQueue& clock_;
     NetworkModel& network_;
     ControllerModel& controllers_;
--- a/tests/simulation/report_sender.cpp
+++ b/tests/simulation/report_sender.cpp
@@ -24,11 +24,12 @@
 constexpr double kLeasesUntilCopy = 1.5;
 } // namespace
 
-ReportSender::ReportSender(const WorldOptions& options, const Troubles& troubles, EventQueue& clock,
-                           RandomSource& random, NetworkModel& network, PendingRequests& requests,
-                           ControllerModel& controllers, WorkerModel& workers)
-    : options_(options), troubles_(troubles), clock_(clock), random_(random), network_(network),
-      requests_(requests), controllers_(controllers), workers_(workers) {}
+ReportSender::ReportSender(const SimulationOptions& options, const RandomFaults& random_faults,
+                           EventQueue& clock, RandomSource& random, NetworkModel& network,
+                           PendingRequests& requests, ControllerModel& controllers,
+                           WorkerModel& workers)
+    : options_(options), troubles_(random_faults), clock_(clock), random_(random),
+      network_(network), requests_(requests), controllers_(controllers), workers_(workers) {}
 
 void ReportSender::send(const std::string& machine) {
     if (const Worker* worker = workers_.find(machine)) {
@@ -65,7 +66,7 @@
     const int controller = links_[worker.name].controller;
     bool lost = random_.chance(options_.drop);
     bool late = random_.chance(options_.late);
-    if (worker.cut || worker.mute || !network_.worker_connected(controller, worker.zone) ||
+    if (worker.cut || worker.cut_outbound || !network_.worker_connected(controller, worker.zone) ||
         (lost && random_.chance(0.5))) {
         return;
     }
@@ -73,13 +74,14 @@
     clock_.after(delay_s, [this, controller, request_id, heartbeat] {
         controllers_.input(controller, HeartbeatReceived{request_id, heartbeat});
     });
-    if (random_.fault(troubles_.reports_for_next)) {
+    if (random_.fault(troubles_.heartbeats_for_next_leader)) {
         kept_reports_.push_back(heartbeat);
     }
-    if (random_.chance(troubles_.late_reports)) {
+    if (random_.chance(troubles_.late_heartbeats)) {
         double copy_s = random_.uniform(2, kLeasesUntilCopy * options_.lease_s);
-        clock_.after(copy_s,
-                     [this, controller, heartbeat] { deliver_late(controller, heartbeat); });
+        clock_.after(copy_s, [this, controller, heartbeat] {
+            deliver_heartbeat_late(controller, heartbeat);
+        });
     }
 }
 
@@ -88,7 +90,7 @@
     if (!worker || links_.at(flight.machine).flight != flight.number) {
         return false;
     }
-    if (worker->cut || worker->deaf || worker->mute || clock_.now() < worker->hung_until) {
+    if (worker->cut || worker->deaf || worker->cut_outbound || clock_.now() < worker->hung_until) {
         return false;
     }
     return network_.zone_connected(links_.at(flight.machine).controller, worker->zone) &&
@@ -150,13 +152,14 @@
         for (int controller = 0; controller < options_.nodes; ++controller) {
             // Before and after the machine's first true report to the new owner.
             double after_s = random_.uniform(0, 1.5 * options_.report_s);
-            clock_.after(random_.chance(0.5) ? after_s : 0.01,
-                         [this, controller, report] { deliver_late(controller, report); });
+            clock_.after(random_.chance(0.5) ? after_s : 0.01, [this, controller, report] {
+                deliver_heartbeat_late(controller, report);
+            });
         }
     }
 }
 
-void ReportSender::deliver_late(int controller, const Heartbeat& heartbeat) {
+void ReportSender::deliver_heartbeat_late(int controller, const Heartbeat& heartbeat) {
     // The worker gave it up long ago.
     RequestId request_id = requests_.expect([](const Response&, Time) {});
     controllers_.input(controller, HeartbeatReceived{request_id, heartbeat});
--- a/tests/simulation/report_sender.h
+++ b/tests/simulation/report_sender.h
@@ -22,9 +22,9 @@
 /// own.
 class ReportSender {
   public:
-    ReportSender(const WorldOptions& options, const Troubles& troubles, EventQueue& clock,
-                 RandomSource& random, NetworkModel& network, PendingRequests& requests,
-                 ControllerModel& controllers, WorkerModel& workers);
+    ReportSender(const SimulationOptions& options, const RandomFaults& random_faults,
+                 EventQueue& clock, RandomSource& random, NetworkModel& network,
+                 PendingRequests& requests, ControllerModel& controllers, WorkerModel& workers);
 
     /// The controller that a new machine reports to first.
     void connect(const std::string& machine, int controller) {
@@ -34,12 +34,12 @@
     void send(const std::string& machine);
 
     /// A report that the machine sent once comes to the controller only now, or once more.
-    void deliver_late(int controller, const Heartbeat& heartbeat);
+    void deliver_heartbeat_late(int controller, const Heartbeat& heartbeat);
     /// Gives the copies of reports kept so far to all controllers.
     void give_kept_reports();
 
     int controller_of(const std::string& machine) const { return links_.at(machine).controller; }
-    const Heartbeat& last_report(const std::string& machine) const {
+    const Heartbeat& last_sent_heartbeat(const std::string& machine) const {
         return last_reports_.at(machine);
     }
     /// Reports sent so far.
@@ -70,8 +70,8 @@
     void try_next_controller(const std::string& machine);
     bool hears_answer(const Flight& flight) const;
 
-    const WorldOptions& options_;
-    const Troubles& troubles_;
+    const SimulationOptions& options_;
+    const RandomFaults& troubles_;
     EventQueue& clock_;
     RandomSource& random_;
     NetworkModel& network_;
--- a/tests/simulation/start_checker.cpp
+++ b/tests/simulation/start_checker.cpp
@@ -7,14 +7,14 @@
 void StartChecker::started(Time now, const Workers& workers, const Worker& worker,
                            const TaskId& task) {
     ++starts_[task];
-    judge_.started(now, task, worker.tasks.at(task).left);
+    history_checker_.started(now, task, worker.tasks.at(task).left);
     std::size_t in_zone = check_others(workers, worker, task);
-    check_place(judge_.spec(task.job), worker, in_zone);
+    check_place(history_checker_.spec(task.job), worker, in_zone);
 }
 
 std::size_t StartChecker::check_others(const Workers& workers, const Worker& worker,
                                        const TaskId& task) {
-    const JobSpec& spec = judge_.spec(task.job);
+    const JobSpec& spec = history_checker_.spec(task.job);
     std::size_t in_zone = 1;
     for (const auto& [name, other] : workers) {
         if (other.dead) {
@@ -27,11 +27,12 @@
             }
             in_zone += other.zone == worker.zone;
             if (held == task) {
-                judge_.broken.push_back("ran_twice " + task.job + "/" + std::to_string(task.index) +
-                                        " on " + worker.name + " and " + name);
+                history_checker_.broken.push_back("ran_twice " + task.job + "/" +
+                                                  std::to_string(task.index) + " on " +
+                                                  worker.name + " and " + name);
             }
             if (spec.one_zone && other.zone != worker.zone) {
-                judge_.broken.push_back("wrong_place one_zone " + task.job);
+                history_checker_.broken.push_back("wrong_place one_zone " + task.job);
             }
         }
     }
@@ -40,10 +41,10 @@
 
 void StartChecker::check_place(const JobSpec& spec, const Worker& worker, std::size_t in_zone) {
     if (spec.spread && in_zone > (spec.tasks + 1) / 2) {
-        judge_.broken.push_back("wrong_place spread " + spec.id);
+        history_checker_.broken.push_back("wrong_place spread " + spec.id);
     }
     if ((worker.spot && !spec.spot) || (spec.zone && *spec.zone != worker.zone)) {
-        judge_.broken.push_back("wrong_place " + spec.id);
+        history_checker_.broken.push_back("wrong_place " + spec.id);
     }
 }
 
--- a/tests/simulation/start_checker.h
+++ b/tests/simulation/start_checker.h
@@ -13,7 +13,7 @@
 /// Counts the starts of tasks and notes the rules ran_twice and wrong_place as broken.
 class StartChecker {
   public:
-    explicit StartChecker(Judge& judge) : judge_(judge) {}
+    explicit StartChecker(HistoryChecker& history_checker) : history_checker_(history_checker) {}
 
     /// The task has its image, and is on the machine `worker` from `now` on.
     void started(Time now, const Workers& workers, const Worker& worker, const TaskId& task);
@@ -27,7 +27,7 @@
     std::size_t check_others(const Workers& workers, const Worker& worker, const TaskId& task);
     void check_place(const JobSpec& spec, const Worker& worker, std::size_t in_zone);
 
-    Judge& judge_;
+    HistoryChecker& history_checker_;
     std::map<TaskId, int> starts_;
 };
 
--- a/tests/simulation/user_model.cpp
+++ b/tests/simulation/user_model.cpp
@@ -15,46 +15,48 @@
 constexpr double kUnfitCpus = 1000;
 } // namespace
 
-UserModel::UserModel(const WorldOptions& options, const Troubles& troubles, EventQueue& clock,
-                     RandomSource& random, PendingRequests& requests, ControllerModel& controllers,
-                     Judge& judge)
-    : options_(options), troubles_(troubles), clock_(clock), random_(random), requests_(requests),
-      controllers_(controllers), judge_(judge) {}
+UserModel::UserModel(const SimulationOptions& options, const RandomFaults& random_faults,
+                     EventQueue& clock, RandomSource& random, PendingRequests& requests,
+                     ControllerModel& controllers, HistoryChecker& history_checker)
+    : options_(options), troubles_(random_faults), clock_(clock), random_(random),
+      requests_(requests), controllers_(controllers), history_checker_(history_checker) {}
 
 int UserModel::any_controller() {
     return static_cast<int>(random_.index(static_cast<std::size_t>(controllers_.count())));
 }
 
 RequestId UserModel::submit(int controller, const JobSpec& spec) {
-    judge_.submitted(clock_.now(), spec);
-    return ask(controller, Judge::Ask::submit, spec.id);
+    history_checker_.submitted(clock_.now(), spec);
+    return ask(controller, HistoryChecker::RequestKind::submit, spec.id);
 }
 
 RequestId UserModel::poll(int controller, const std::string& job) {
-    return ask(controller, Judge::Ask::poll, job);
+    return ask(controller, HistoryChecker::RequestKind::poll, job);
 }
 
 RequestId UserModel::cancel(int controller, const std::string& job) {
-    return ask(controller, Judge::Ask::cancel, job);
+    return ask(controller, HistoryChecker::RequestKind::cancel, job);
 }
 
-RequestId UserModel::ask(int controller, Judge::Ask what, const std::string& job) {
+RequestId UserModel::ask(int controller, HistoryChecker::RequestKind what, const std::string& job) {
     RequestId request_id = requests_.next();
     ask(request_id, controller, what, job);
     return request_id;
 }
 
-void UserModel::ask_closely(int controller, Judge::Ask what, const std::string& job) {
+void UserModel::ask_closely(int controller, HistoryChecker::RequestKind what,
+                            const std::string& job) {
     RequestId request_id = requests_.next();
     looks_.insert(request_id); // it may be answered at once
     ask(request_id, controller, what, job);
 }
 
-void UserModel::ask(RequestId request_id, int controller, Judge::Ask what, const std::string& job) {
-    judge_.asked(clock_.now(), request_id, what, job);
-    if (what == Judge::Ask::submit) {
-        controllers_.input(controller, SubmitJob{request_id, judge_.spec(job)});
-    } else if (what == Judge::Ask::poll) {
+void UserModel::ask(RequestId request_id, int controller, HistoryChecker::RequestKind what,
+                    const std::string& job) {
+    history_checker_.asked(clock_.now(), request_id, what, job);
+    if (what == HistoryChecker::RequestKind::submit) {
+        controllers_.input(controller, SubmitJob{request_id, history_checker_.spec(job)});
+    } else if (what == HistoryChecker::RequestKind::poll) {
         controllers_.input(controller, PollJob{request_id, job});
     } else {
         controllers_.input(controller, CancelJob{request_id, job});
@@ -68,12 +70,12 @@
 }
 
 void UserModel::answered(const Response& answer) {
-    judge_.answered(clock_.now(), answer);
+    history_checker_.answered(clock_.now(), answer);
     if (const auto* job = std::get_if<JobStatusBody>(&answer.body)) {
         bool close_look = looks_.contains(answer.request_id);
         looks_answered_ += close_look;
-        bool news = answer.status == 201 || !judge_.told(job->id).empty();
-        if (news && !close_look && random_.fault(troubles_.close_looks)) {
+        bool news = answer.status == 201 || !history_checker_.told(job->id).empty();
+        if (news && !close_look && random_.fault(troubles_.concurrent_status_reads)) {
             look_closely(job->id);
         }
     }
@@ -84,22 +86,23 @@
     for (double after_s : {0.001, 0.004, 0.02, 0.1}) {
         clock_.after(after_s, [this, job] {
             for (int controller = 0; controller < controllers_.count(); ++controller) {
-                ask_closely(controller, Judge::Ask::poll, job);
-                ask_closely(controller, Judge::Ask::submit, job);
+                ask_closely(controller, HistoryChecker::RequestKind::poll, job);
+                ask_closely(controller, HistoryChecker::RequestKind::submit, job);
             }
         });
     }
     if (random_.chance(0.25)) {
-        clock_.after(0.002,
-                     [this, job] { ask_closely(any_controller(), Judge::Ask::cancel, job); });
+        clock_.after(0.002, [this, job] {
+            ask_closely(any_controller(), HistoryChecker::RequestKind::cancel, job);
+        });
     }
 }
 
-void UserModel::send_odd_requests(const std::string& job) {
+void UserModel::send_edge_case_requests(const std::string& job) {
     int controller = any_controller();
-    ask_closely(controller, Judge::Ask::submit, job);
-    if (judge_.told(job) == "done") {
-        ask_closely(controller, Judge::Ask::cancel, job);
+    ask_closely(controller, HistoryChecker::RequestKind::submit, job);
+    if (history_checker_.told(job) == "done") {
+        ask_closely(controller, HistoryChecker::RequestKind::cancel, job);
     }
     JobSpec unfit = usual_job(options_, job + "99999", 1, kUnfitCpus);
     submit(controller, unfit);
@@ -114,8 +117,8 @@
 }
 
 void UserModel::task_completed(const TaskId& task) {
-    judge_.completed(task);
-    if (judge_.all_done(task.job) && random_.fault(troubles_.cancel_at_end)) {
+    history_checker_.completed(task);
+    if (history_checker_.all_done(task.job) && random_.fault(troubles_.cancel_at_end)) {
         double within_s = random_.uniform(0, 2 * options_.report_s);
         bool wait = random_.chance(0.5);
         clock_.after(wait ? within_s : 0,
@@ -139,7 +142,7 @@
             ready.push_back(controller);
         }
     }
-    for (const auto& job : judge_.open()) {
+    for (const auto& job : history_checker_.open()) {
         if (!ready.empty()) {
             poll(ready[random_.index(ready.size())], job);
         }
--- a/tests/simulation/user_model.h
+++ b/tests/simulation/user_model.h
@@ -17,12 +17,12 @@
 
 namespace scheduler::test {
 
-/// Sends users' requests, tells the judge of them and of the answers.
+/// Sends users' requests, tells the history_checker of them and of the answers.
 class UserModel {
   public:
-    UserModel(const WorldOptions& options, const Troubles& troubles, EventQueue& clock,
-              RandomSource& random, PendingRequests& requests, ControllerModel& controllers,
-              Judge& judge);
+    UserModel(const SimulationOptions& options, const RandomFaults& random_faults,
+              EventQueue& clock, RandomSource& random, PendingRequests& requests,
+              ControllerModel& controllers, HistoryChecker& history_checker);
 
     RequestId submit(int controller, const JobSpec& spec);
     RequestId poll(int controller, const std::string& job);
@@ -30,7 +30,7 @@
     /// What a health check gets now: a status.
     int probe(int controller);
     /// A repeated submission, a cancellation of a job that is done, jobs that can never run.
-    void send_odd_requests(const std::string& job);
+    void send_edge_case_requests(const std::string& job);
     /// From now on users ask for each open job every 5 s, at a controller that is ready. Returns
     /// whether they did not so far.
     bool start_asking();
@@ -41,28 +41,29 @@
     void task_completed(const TaskId& task);
 
     /// Of the requests of close looks and odd ones, those that were answered with a job's stage.
-    std::size_t looks_answered() const { return looks_answered_; }
+    std::size_t status_reads_answered() const { return looks_answered_; }
     /// The answers so far, by request.
     std::map<RequestId, Response> answers;
 
   private:
     /// A request that leads to no further close look.
-    void ask_closely(int controller, Judge::Ask what, const std::string& job);
-    void ask(RequestId request_id, int controller, Judge::Ask what, const std::string& job);
-    RequestId ask(int controller, Judge::Ask what, const std::string& job);
+    void ask_closely(int controller, HistoryChecker::RequestKind what, const std::string& job);
+    void ask(RequestId request_id, int controller, HistoryChecker::RequestKind what,
+             const std::string& job);
+    RequestId ask(int controller, HistoryChecker::RequestKind what, const std::string& job);
     /// At all controllers within milliseconds: a poll, the submission once more; sometimes a
     /// cancellation.
     void look_closely(const std::string& job);
     void ask_all();
     int any_controller();
 
-    const WorldOptions& options_;
-    const Troubles& troubles_;
+    const SimulationOptions& options_;
+    const RandomFaults& troubles_;
     EventQueue& clock_;
     RandomSource& random_;
     PendingRequests& requests_;
     ControllerModel& controllers_;
-    Judge& judge_;
+    HistoryChecker& history_checker_;
     bool asking_ = false;
     /// Requests that led to no further ones.
     std::set<RequestId> looks_;
--- a/tests/simulation/worker.h
+++ b/tests/simulation/worker.h
@@ -36,7 +36,7 @@
     /// Its reports arrive, answers and direct commands do not.
     bool deaf = false;
     /// It reaches no controller, direct commands arrive.
-    bool mute = false;
+    bool cut_outbound = false;
     Time hung_until = 0;
     /// When the cloud takes it; 0: it has not said so.
     Time taken = 0;
--- a/tests/simulation/worker_model.cpp
+++ b/tests/simulation/worker_model.cpp
@@ -20,23 +20,23 @@
 }
 } // namespace
 
-WorkerModel::WorkerModel(const WorldOptions& options, EventQueue& clock, RandomSource& random,
-                         Judge& judge, GangModel& gangs, StartChecker& start_checker,
-                         Callbacks callbacks)
-    : options_(options), clock_(clock), random_(random), judge_(judge), gangs_(gangs),
-      start_checker_(start_checker), callbacks_(std::move(callbacks)) {}
+WorkerModel::WorkerModel(const SimulationOptions& options, EventQueue& clock, RandomSource& random,
+                         HistoryChecker& history_checker, GangModel& gangs,
+                         StartChecker& start_checker, Callbacks callbacks)
+    : options_(options), clock_(clock), random_(random), history_checker_(history_checker),
+      gangs_(gangs), start_checker_(start_checker), callbacks_(std::move(callbacks)) {}
 
 void WorkerModel::add(Worker worker) {
     std::string name = worker.name;
     workers_[name] = std::move(worker);
 }
 
-void WorkerModel::boot(const std::string& machine, bool mute) {
+void WorkerModel::boot(const std::string& machine, bool cut_outbound) {
     auto found = workers_.find(machine);
     if (found == workers_.end()) {
         return;
     }
-    found->second.mute = mute;
+    found->second.cut_outbound = cut_outbound;
     found->second.up = true;
     found->second.renewed = clock_.now();
     callbacks_.report_due(machine);
@@ -210,7 +210,7 @@
     }
     state.stage = TaskStage::waiting;
     state.since = clock_.now();
-    if (judge_.done(task)) { // the result is kept
+    if (history_checker_.done(task)) { // the result is kept
         exit_with(state, ExitReason::done);
     }
     return true;
@@ -220,7 +220,7 @@
     if (spec(task).kind == JobKind::service) {
         return kNever;
     }
-    if (judge_.done(task)) {
+    if (history_checker_.done(task)) {
         return clock_.now();
     }
     return clock_.now() + options_.run_s * random_.uniform(0.5, 1.5);
--- a/tests/simulation/worker_model.h
+++ b/tests/simulation/worker_model.h
@@ -28,12 +28,13 @@
         std::function<void(const TaskId&)> completed;
     };
 
-    WorkerModel(const WorldOptions& options, EventQueue& clock, RandomSource& random, Judge& judge,
-                GangModel& gangs, StartChecker& start_checker, Callbacks callbacks);
+    WorkerModel(const SimulationOptions& options, EventQueue& clock, RandomSource& random,
+                HistoryChecker& history_checker, GangModel& gangs, StartChecker& start_checker,
+                Callbacks callbacks);
 
     /// Machines: rented, up, and released.
     void add(Worker worker);
-    void boot(const std::string& machine, bool mute);
+    void boot(const std::string& machine, bool cut_outbound);
     void remove(const std::string& machine) { workers_.erase(machine); }
 
     const Workers& all() const { return workers_; }
@@ -43,8 +44,12 @@
 
     /// Faults: see the members of Worker.
     void set_cut(const std::string& machine, bool cut) { workers_.at(machine).cut = cut; }
-    void set_deaf(const std::string& machine, bool deaf) { workers_.at(machine).deaf = deaf; }
-    void set_mute(const std::string& machine, bool mute) { workers_.at(machine).mute = mute; }
+    void set_inbound_cut(const std::string& machine, bool deaf) {
+        workers_.at(machine).deaf = deaf;
+    }
+    void set_outbound_cut(const std::string& machine, bool cut_outbound) {
+        workers_.at(machine).cut_outbound = cut_outbound;
+    }
     void hang(const std::string& machine, double seconds);
     void kill(const std::string& machine);
     /// The cloud says that it takes the machine, and does so after `notice_s`.
@@ -76,12 +81,12 @@
     void run_over(const TaskId& task, WorkerTask& state);
     void execute(Worker& worker, const std::vector<WorkerCommand>& commands, Time left);
     void stop(const WorkerCommand& command, WorkerTask& state);
-    const JobSpec& spec(const TaskId& task) const { return judge_.spec(task.job); }
+    const JobSpec& spec(const TaskId& task) const { return history_checker_.spec(task.job); }
 
-    const WorldOptions& options_;
+    const SimulationOptions& options_;
     EventQueue& clock_;
     RandomSource& random_;
-    Judge& judge_;
+    HistoryChecker& history_checker_;
     GangModel& gangs_;
     StartChecker& start_checker_;
     Callbacks callbacks_;
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The wiring of a simulation: see world.h.
-#include "world.h"
+/// The wiring of a simulation: see cluster.h.
+#include "simulated_cluster.h"
 
 #include "core/model/partition_assignment.h"
 
@@ -10,27 +10,29 @@
 constexpr double kObserveWaitingS = 1;
 } // namespace
 
-World::World(WorldOptions options)
+SimulatedCluster::SimulatedCluster(SimulationOptions options)
     : options_(std::move(options)), type_(machine_type(options_)), random_(options_.seed),
-      judge_(options_.cancel_s, team_facts(options_), {type_}),
-      network_(controller_zones(options_), troubles, random_),
+      history_checker_(options_.cancel_s, team_quotas(options_), {type_}),
+      network_(controller_zones(options_), random_faults, random_),
       controllers_(options_, clock_, random_, network_, requests_, controller_callbacks()),
-      store_(clock_, random_, network_, store_callbacks()), gangs_(options_, clock_, judge_),
-      start_checker_(judge_),
-      workers_(options_, clock_, random_, judge_, gangs_, start_checker_, worker_callbacks()),
-      reports_(options_, troubles, clock_, random_, network_, requests_, controllers_, workers_),
-      cloud_(options_, troubles, clock_, random_, workers_, reports_),
+      store_(clock_, random_, network_, store_callbacks()),
+      gangs_(options_, clock_, history_checker_), start_checker_(history_checker_),
+      workers_(options_, clock_, random_, history_checker_, gangs_, start_checker_,
+               worker_callbacks()),
+      reports_(options_, random_faults, clock_, random_, network_, requests_, controllers_,
+               workers_),
+      cloud_(options_, random_faults, clock_, random_, workers_, reports_),
       replies_(options_, clock_, network_, controllers_),
       router_(options_, clock_, network_, requests_, replies_,
               {controllers_, workers_, cloud_, store_}),
-      transport_(
-          {options_, troubles, clock_, random_, network_, controllers_, store_, replies_, router_}),
-      users_(options_, troubles, clock_, random_, requests_, controllers_, judge_),
-      quotas_(options_, clock_, workers_, store_, judge_) {
+      transport_({options_, random_faults, clock_, random_, network_, controllers_, store_,
+                  replies_, router_}),
+      users_(options_, random_faults, clock_, random_, requests_, controllers_, history_checker_),
+      quotas_(options_, clock_, workers_, store_, history_checker_) {
     clock_.every(QuotaModel::kCheckS, [this] { step(); });
 }
 
-ControllerModel::Callbacks World::controller_callbacks() {
+ControllerModel::Callbacks SimulatedCluster::controller_callbacks() {
     return {
         .logged = [this](int node, const std::string& line) { line_logged(node, line); },
         .answered = [this](const Response& answer) { users_.answered(answer); },
@@ -38,7 +40,7 @@
     };
 }
 
-KvStoreModel::Callbacks World::store_callbacks() {
+KvStoreModel::Callbacks SimulatedCluster::store_callbacks() {
     return {
         .deliver =
             [this](const WatchRequest& request, const OutboundResponse& response) {
@@ -48,14 +50,14 @@
     };
 }
 
-WorkerModel::Callbacks World::worker_callbacks() {
+WorkerModel::Callbacks SimulatedCluster::worker_callbacks() {
     return {
         .report_due = [this](const std::string& machine) { reports_.send(machine); },
         .completed = [this](const TaskId& task) { users_.task_completed(task); },
     };
 }
 
-void World::step() {
+void SimulatedCluster::step() {
     store_.expire_leases();
     store_.fire_watches();
     workers_.step();
@@ -65,14 +67,14 @@
     for (const auto& [name, worker] : workers_.all()) {
         for (const auto& [task, state] : worker.tasks) {
             if (on_machine(state.stage) && !worker.dead) {
-                judge_.there(now(), task);
+                history_checker_.task_on_machine(now(), task);
             }
         }
     }
     quotas_.check();
 }
 
-void World::line_logged(int node, const std::string& line) {
+void SimulatedCluster::line_logged(int node, const std::string& line) {
     ++log_counts_[line.substr(0, line.find(' '))];
     if (line.starts_with("event=quota_updated ")) {
         quotas_.note_in_force(line);
@@ -82,32 +84,33 @@
     }
 }
 
-std::size_t World::logged(const std::string& event) const {
+std::size_t SimulatedCluster::logged(const std::string& event) const {
     auto found = log_counts_.find(event);
     return found == log_counts_.end() ? 0 : found->second;
 }
 
-void World::accepted_before(const JobSpec& spec, Outcome outcome) {
+void SimulatedCluster::add_existing_job(const JobSpec& spec, Outcome outcome) {
     const char* stage = "cancelled";
     if (outcome == Outcome::none) {
         stage = "pending";
     } else if (outcome == Outcome::done) {
         stage = "done";
     }
-    judge_.told_before(now(), spec, stage);
+    history_checker_.record_earlier_response(now(), spec, stage);
     put(kJobPrefix + spec.id,
         outcome == Outcome::done ? JobRecord{outcome, {}} : JobRecord{outcome, spec});
 }
 
-void World::ask_often() {
-    judge_.troubles_over(now());
+void SimulatedCluster::start_polling_open_jobs() {
+    history_checker_.faults_ended(now());
     if (users_.start_asking()) {
-        clock_.every(kObserveWaitingS,
-                     [this] { observe_waiting(now(), store_, workers_.all(), type_, judge_); });
+        clock_.every(kObserveWaitingS, [this] {
+            observe_waiting(now(), store_, workers_.all(), type_, history_checker_);
+        });
     }
 }
 
-World::Counts World::counts() const {
+SimulatedCluster::Counts SimulatedCluster::counts() const {
     return {reports_.count(), static_cast<double>(start_checker_.starts()), router_.listed(),
             controllers_.effort()};
 }
