--- a/tests/lease_extension_test.cpp
+++ b/tests/lease_extension_test.cpp
@@ -74,8 +74,8 @@
     EXPECT_TRUE(requester.lease.is_valid(112, 0));
     EXPECT_TRUE(requester.lease.is_valid(104 + kMaxExtensionS * (1 - 2 * kMaxClockDrift), 0));
     EXPECT_FALSE(requester.lease.is_valid(104 + kMaxExtensionS, 0));
-    EXPECT_FALSE(
-        requester.lease.is_valid(112, 1)); // its home controller forgets grants on a restart
+    // Extensions do not cover partition 1: its home controller forgets grants on a restart.
+    EXPECT_FALSE(requester.lease.is_valid(112, 1));
     EXPECT_FALSE(requester.lease.is_valid(112));
 }
 
@@ -87,8 +87,8 @@
     EXPECT_FALSE(requester.lease.is_valid(112, 0));
     requests = requester.tick(116, 100);
     ASSERT_EQ(requests.size(), 2u);
-    requester.respond(200, requests[0],
-                      LeaseExtensionResponse{false, true, {}}); // counts from its request
+    // A late extension counts from its request and has expired.
+    requester.respond(200, requests[0], LeaseExtensionResponse{false, true, {}});
     requester.respond(200, requests[1], LeaseExtensionResponse{false, true, {}});
     EXPECT_FALSE(requester.lease.is_valid(200, 0));
 }
@@ -132,12 +132,12 @@
                     .store_reachable);
     EXPECT_FALSE(
         granter.extender->handle_request(104, extension_request(), false, 0, 103.5).granted);
-    EXPECT_FALSE(granter.extender->handle_request(104, extension_request(), true, 0, 100)
-                     .granted); // it leads the partition or campaigns for it
+    // Refused: the granter leads the partition or campaigns for it.
+    EXPECT_FALSE(granter.extender->handle_request(104, extension_request(), true, 0, 100).granted);
     EXPECT_TRUE(granter.extender->may_campaign(104, 0, 0));
     EXPECT_TRUE(granter.extender->handle_request(104, extension_request(), false, 0, 100).granted);
-    EXPECT_FALSE(granter.extender->may_campaign(104 + kMaxExtensionS, 0,
-                                                0)); // its clock may run faster
+    // The requester's clock may run slower than the granter's.
+    EXPECT_FALSE(granter.extender->may_campaign(104 + kMaxExtensionS, 0, 0));
     EXPECT_TRUE(
         granter.extender->may_campaign(104 + kMaxExtensionS * (1 + 2 * kMaxClockDrift), 0, 0));
     EXPECT_TRUE(granter.extender->may_campaign(105, 1, 0)); // its home partition
--- a/tests/sharding_test.cpp
+++ b/tests/sharding_test.cpp
@@ -185,8 +185,8 @@
         EXPECT_EQ(fixture.partition_map.holder(shard), shard.home_partition);
     }
     EXPECT_TRUE(fixture.partition_map.can_reassign(12));
-    EXPECT_FALSE(
-        fixture.partition_map.can_reassign(1)); // its conditions would exceed the transaction limit
+    // The conditions would exceed a transaction limit of one write.
+    EXPECT_FALSE(fixture.partition_map.can_reassign(1));
 }
 
 TEST(ShardMap, ControllerWithoutShardingSupportPreventsReassignment) {
@@ -215,9 +215,9 @@
           fixture.holders_record(2, too_short, version++),
           fixture.holders_record(2, unknown_holder, version++)}) {
         ++fixture.revision;
+        // The read is accepted, since the records of the partitions are readable.
         ASSERT_TRUE(
-            fixture.partition_map.load(fixture.partition_response({bad}),
-                                       fixture.requests)); // the records of partitions are readable
+            fixture.partition_map.load(fixture.partition_response({bad}), fixture.requests));
         EXPECT_EQ(fixture.take_error_count(), 1u);
         ++fixture.revision;
         ASSERT_TRUE(
@@ -275,8 +275,8 @@
 
 TEST(ShardOwnership, StartsWithAMapReadAfterTheElectionAndRaisesTheTermOnEachGain) {
     OwnedShardsFixture fixture(20);
-    EXPECT_TRUE(
-        fixture.load_map(19, fixture.all_at_home(2), 7).gained.empty()); // read before the election
+    // A map read before the election is ignored.
+    EXPECT_TRUE(fixture.load_map(19, fixture.all_at_home(2), 7).gained.empty());
     EXPECT_FALSE(fixture.owned_shards->has_map());
     EXPECT_EQ(fixture.load_map(25, fixture.all_at_home(2), 7).gained.size(),
               fixture.all_at_home(2).size());
@@ -297,13 +297,13 @@
     OwnedShardsFixture fixture(20);
     auto others = fixture.all_at_home(2);
     others[0] = 3;
-    EXPECT_FALSE(
-        fixture.owned_shards->accept_transfer(0, {{2, 0}, 26, 20})); // no map has been read yet
+    // Rejected: no map has been read yet.
+    EXPECT_FALSE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 26, 20}));
     fixture.load_map(25, others, 7);
-    EXPECT_FALSE(fixture.owned_shards->accept_transfer(
-        0, {{2, 0}, 26, 19})); // addressed to an earlier leadership
-    EXPECT_FALSE(
-        fixture.owned_shards->accept_transfer(0, {{2, 0}, 24, 20})); // a later map has been read
+    // Rejected: addressed to an earlier leadership.
+    EXPECT_FALSE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 26, 19}));
+    // Rejected: a later map has been read.
+    EXPECT_FALSE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 24, 20}));
     ASSERT_TRUE(fixture.owned_shards->accept_transfer(0, {{2, 0}, 30, 20}));
     EXPECT_EQ(fixture.owned_shards->term({2, 0}), 30u);
     EXPECT_TRUE(fixture.load_map(28, others, 7).lost.empty()); // read before the transfer
@@ -371,11 +371,11 @@
     EXPECT_FALSE(fixture.owned_shards->may_serve({2, 0}));
     fixture.respond(100.3, requests[0], 200, 31);
     EXPECT_EQ(fixture.migrated_to, (std::vector<int>{3}));
-    EXPECT_EQ(fixture.announced_transfers, (std::vector<std::pair<int, std::uint64_t>>{
-                                               {3, 5}})); // with the term of its leadership
+    // The announcement contains the term of the target's leadership.
+    EXPECT_EQ(fixture.announced_transfers, (std::vector<std::pair<int, std::uint64_t>>{{3, 5}}));
     EXPECT_EQ(fixture.owned_shards->find({2, 0}), nullptr);
-    EXPECT_TRUE(fixture.load_map(30, fixture.all_at_home(2), 7)
-                    .gained.empty()); // read before it took effect
+    // A map read before the migration took effect is ignored.
+    EXPECT_TRUE(fixture.load_map(30, fixture.all_at_home(2), 7).gained.empty());
 }
 
 TEST(ShardMigration, ProceedsWithoutQuiescenceAfterTwoHeartbeatIntervals) {
@@ -417,8 +417,8 @@
         EXPECT_EQ(fixture.state(), OwnedShards::State::transfer_pending);
         fixture.migration->tick(103);
         fixture.respond(103.1, fixture.take_requests().at(0), 409, 40);
-        EXPECT_EQ(fixture.state(),
-                  OwnedShards::State::transfer_pending); // the last map predates the attempts
+        // The last map predates the attempts and does not show their outcome.
+        EXPECT_EQ(fixture.state(), OwnedShards::State::transfer_pending);
         fixture.migration->tick(104);
         EXPECT_TRUE(fixture.take_requests().empty());
         auto holders = fixture.all_at_home(2);
@@ -602,8 +602,8 @@
         cluster.run_for(8);
         cluster.intercept = nullptr;
         if (n == 0) {
-            SimulatedCluster baseline(
-                five_controllers(7)); // counts the requests of an undisturbed migration
+            // A migration without a crash shows how many requests the source sends.
+            SimulatedCluster baseline(five_controllers(7));
             run_large_job(baseline, 20);
             baseline.run_for(20);
             request_count = 0;
@@ -759,8 +759,8 @@
     run_large_job(cluster, 20);
     cluster.run_for(20);
     cluster.crash(2, 100);
-    cluster.put(partition_key(2),
-                PartitionRecord{"n2", false}); // as if an older version led the partition
+    // The record that an older version would write when it leads the partition.
+    cluster.put(partition_key(2), PartitionRecord{"n2", false});
     cluster.run_for(3);
     EXPECT_FALSE(cluster.migrate_shard(0, busiest_shard(cluster, 0), 3));
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
