--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,4 +1,5 @@
-// The core against scripted peers and a fake clock.
+// Tests of whole controllers in a simulated cluster with a fake clock and injected faults: job
+// lifecycle, failover, leadership, cancellation, slot borrowing and partition placement.
 #include <gtest/gtest.h>
 
 #include "core/model/partition_assignment.h"
@@ -64,7 +65,7 @@
     team.team = "nobody";
     JobSpec large = world.job("req-2", 1, 9);
     JobSpec limit = world.job("req-3", 1, 25);
-    JobSpec gang = world.job("req-4", 13); // each task would do
+    JobSpec gang = world.job("req-4", 13); // each single task is within the team's limit
     gang.kind = JobKind::gang;
     std::vector<RequestId> ids{world.submit(0, team), world.submit(0, large),
                                world.submit(0, limit), world.submit(0, gang)};
@@ -193,7 +194,8 @@
     std::size_t released = world.logged("event=machine_released");
     world.cut_workers(leader, true);
     world.run_for(8);
-    // The first machine to miss its report was once released, with what it ran, and then the next.
+    // A leader that no worker reaches must not treat its machines as failed. It once released them
+    // one after the other, each with the tasks that it ran.
     EXPECT_EQ(world.logged("event=machine_released"), released);
     world.run_for(17);
     EXPECT_NE(world.owner(red(world)), leader);
@@ -279,23 +281,24 @@
     placement.attempt = 1;
     table.queue_start(0, machine, task, placement);
     table.on_commands_sent(machine, table.take_commands_for_request(machine), 5);
-    table.fence(machine);   // no answer came
-    heartbeat.sequence = 2; // a report under the token that the start carries proves nothing
+    table.fence(machine); // the command was not answered
+    heartbeat.sequence =
+        2; // under the token of the start: it may have been sent before the start arrived
     EXPECT_TRUE(table.apply_heartbeat(1, machine, heartbeat, 0).removed.empty());
     EXPECT_FALSE(machine.fenced);
     heartbeat.sequence = 3;
     heartbeat.fencing_token = make_fencing_token(kTerm, 1);
     EXPECT_EQ(table.apply_heartbeat(2, machine, heartbeat, 0).removed.size(), 1u);
     EXPECT_TRUE(machine.fenced);
-    // A token of an earlier term is never ours, however high its sequence.
+    // A token of an earlier term does not fence, however high its sequence.
     heartbeat.sequence = 4;
     heartbeat.fencing_token = make_fencing_token(kTerm - 1, 1000);
     table.apply_heartbeat(3, machine, heartbeat, 0);
     EXPECT_FALSE(machine.fenced);
 }
 
-// A start into a session that only the answer to a direct command has told of: counted by the lease
-// of the session before, the task would be taken for gone while it runs.
+// A task may be started in an agent epoch that only the response to a direct command has revealed.
+// Judged by the lease of the previous epoch, it would be considered gone while it still runs.
 TEST(MachineTable, ASessionHeardOfByADirectAnswerHasALeaseOfItsOwn) {
     OneMachine one;
     auto& [table, machine, heartbeat] = one;
@@ -316,7 +319,8 @@
         return lose && transaction && !transaction->writes.empty() &&
                transaction->writes[0].key.starts_with("done/");
     };
-    start(world, "req-1", 40); // more than the limit lets run at once
+    // More tasks than the team's limit lets run at once.
+    start(world, "req-1", 40);
     world.run_for(10);
     world.crash(world.owner(red(world)), 4);
     world.run_for(10);
@@ -324,7 +328,8 @@
     world.run_for(60);
     EXPECT_EQ(stage(world, 0, "req-1"), "done");
     for (std::uint32_t i = 0; i < 40; ++i) {
-        // Not cleared at its worker before its bit is durable, so never run again.
+        // The worker keeps the result until its bit in the bitmap is durable, so no task runs
+        // again.
         EXPECT_EQ(world.starts({"req-1", i}), 1);
     }
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
@@ -345,7 +350,8 @@
     EXPECT_TRUE(rate_limiter.try_acquire(1.1, StoreRateLimiter::Use::renewal, 0));
 }
 
-// A call made with the time of an earlier input once let the time after it count again.
+// A request with the time of an earlier input must not move the clock back: the time after it was
+// once credited a second time.
 TEST(Budget, ATimeThatGoesBackGivesNothing) {
     StoreRateLimiter rate_limiter(10, 10, 1);
     while (rate_limiter.try_acquire(10, StoreRateLimiter::Use::user, 0)) {
@@ -416,7 +422,7 @@
     World world({.run_s = 15});
     start(world, "req-1", 12);
     int borrower = world.owner(red(world));
-    // Its starts with stolen slots are lost, and it dies with them in doubt.
+    // The borrower's start commands are lost, and it crashes before these tasks are reconciled.
     world.intercept = [&](int node, const OutboundBody& body) {
         return node == borrower && std::holds_alternative<WorkerCommands>(body);
     };
@@ -487,7 +493,7 @@
     for (int i = 0; i < 90 && world.owner(1) != 1; ++i) {
         world.run_for(1);
     }
-    // Once back it stays: a node that no worker had reason to call before is not deaf.
+    // It stays there: a controller that no worker had a reason to call before is not unreachable.
     for (int i = 0; i < 40; ++i) {
         EXPECT_EQ(world.owner(1), 1);
         world.submit(i % 3, world.job("req-" + std::to_string(100 + i), 3));
@@ -512,7 +518,8 @@
 }
 
 TEST(Parts, StayWhereTheyAreThroughAStateOutage) {
-    // Workers that get no 200 go on calling, so a node without a valid lease is not deaf.
+    // Workers that get no 200 response keep sending heartbeats, so a controller without a valid
+    // leadership lease does not consider itself unreachable.
     World world({.run_s = 100});
     start(world, "req-1", 12);
     world.run_for(10);
@@ -530,7 +537,7 @@
     for (int i = 0; i < 200; ++i) {
         std::string name = "i-" + std::to_string(i);
         int partition = partition_of_machine(world.facts(0), name, "b");
-        EXPECT_EQ(partition, 1); // the only part with its home in zone b
+        EXPECT_EQ(partition, 1); // the only partition whose home is in zone b
         EXPECT_EQ(partition_of_machine(world.facts(1), name, "a"),
                   partition_of_machine(world.facts(2), name, "a"));
     }
@@ -538,12 +545,13 @@
     EXPECT_EQ(partition_of_team(world.facts(0), "nobody"), -1);
 }
 
-// Twelve changes are more than a fifth of a small limit ever gives at once: with more dirty chunks
-// than that, nothing was saved at all.
+// Twelve changes are more than a fifth of a small limit on writes ever allows at once. With more
+// unsaved bitmap chunks than that, no progress was saved at all.
 TEST(Progress, OfManyJobsIsSavedInTurnWithinASmallLimitOfChanges) {
     World world({.nodes = 5, .limits = 20, .capacity = 200});
     std::set<std::string> saved;
-    std::set<std::string> finished; // over before its first save, a job has nothing to save
+    std::set<std::string>
+        finished; // a job that completes before its first save has no progress to save
     std::size_t most = 0;
     world.intercept = [&](int, const OutboundBody& body) {
         std::size_t here = 0;
@@ -576,9 +584,9 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-// What a peer has not heard of yet must not be forgotten with the machine: its owner's log of
-// changed listings once lost the end of a task when the machine was released before the peer was
-// heard again, and the task counted as placed for ever.
+// Inventory changes that a peer has not received yet must outlive their machine. A leader's change
+// log once lost the end of a remote task when the machine was released while the peer was
+// disconnected, and the borrower counted the task as placed forever.
 TEST(Stealing, AMachineReleasedWhilePeersAreCutIsToldAfterwards) {
     World world({.run_s = 60});
     start(world, "req-1", 10);
@@ -587,7 +595,7 @@
     for (int n = 0; n < 3; ++n) {
         world.cut_peers(leader, n, n != leader);
     }
-    world.cloud_down(true); // so that the machines lapse first
+    world.cloud_down(true); // the machines' leases expire before the machines are released
     for (const auto& machine : world.machines_up()) {
         world.kill_machine(machine);
     }
@@ -614,7 +622,7 @@
     }
     world.run_for(45);
     World::Counts before = world.counts();
-    world.run_for(20); // as long as a task
+    world.run_for(20);
     World::Counts after = world.counts();
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
     *machines = world.machines_up().size();
@@ -652,6 +660,7 @@
                      .error = 0.02,
                      .gpus = gpus});
         std::mt19937_64 random(seed);
+        // A random number from 0 to n - 1.
         auto any = [&](int n) { return static_cast<int>(random() % n); };
         int jobs = 0;
         std::set<std::string> services;
@@ -721,7 +730,8 @@
             }
         }
         world.run_for(30);
-        for (const auto& id : services) { // these would run for ever; a user asks until it is told
+        // Services run until they are cancelled; the user repeats the request at each controller.
+        for (const auto& id : services) {
             for (int n = 0; n < nodes; ++n) {
                 world.cancel(n, id);
                 world.run_for(0.2);
