--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,4 +1,4 @@
-// Lasting overload with capacity lost: no class and no team may starve.
+// Sustained overload with a permanent loss of capacity: no job class and no team may starve.
 #include <gtest/gtest.h>
 
 #include "core/model/partition_assignment.h"
@@ -18,7 +18,7 @@
                            {"urgent", Priority::high, 4, 2, 7},
                            {"thesis", Priority::normal, 24, 1, 24}};
 
-// Class that comes more often, and how many times.
+// Parameters: the index of the class that arrives more often, and by which factor.
 class Overload : public testing::TestWithParam<std::tuple<int, int>> {};
 
 TEST_P(Overload, LeavesEveryClassAndTeamHalfServed) {
@@ -50,14 +50,15 @@
             world.submit(jobs % 3, spec);
         }
         if (world.now() >= from + 60 &&
-            world.machines_up().size() > 7) { // three of ten go for good
+            world.machines_up().size() > 7) { // three of the ten machines are lost permanently
             world.kill_machine(world.machines_up().front());
             world.limit_cloud(7);
         }
         world.run_for(0.5);
     }
     world.run_for(60);
-    std::map<std::string, std::pair<int, int>> served; // of all, by class and by team
+    std::map<std::string, std::pair<int, int>>
+        served; // completed and all jobs, by class and by team
     for (const auto& [id, outcome] : world.outcomes()) {
         for (const auto& name : {sent.at(id).first, sent.at(id).second}) {
             served[name].first += outcome == Outcome::done;
@@ -69,9 +70,9 @@
     }
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
-// The largest job of a class has most work left, and most of what is left when not all can be done
-// in time: `plan` puts it behind again with each small one that comes. It has to begin all the
-// same.
+
+// The largest job of a class has the most work left. When not all jobs can complete in time, `plan`
+// moves it behind each small job that arrives, so it could wait forever. It must start nonetheless.
 TEST(OverloadLargest, BeginWithinFourMinutesBehindAStreamOfSmallOnes) {
     World world({.nodes = 3,
                  .run_s = 10,
@@ -84,7 +85,7 @@
     std::vector<std::string> largest;
     Time from = world.now();
     for (int k = 0; k < 500; ++k) {
-        bool huge = k == 60 || k == 100; // of the same class, and of one without any aim
+        bool huge = k == 60 || k == 100; // of the same class, and of one without an objective
         bool urgent = k % 2 != 0;
         JobSpec spec = world.job("req-" + std::to_string(++jobs), huge ? 3000 : urgent ? 4 : 8, 2);
         spec.job_class = k == 100 ? "rescore" : urgent && !huge ? "urgent" : "scan";
