--- a/tests/quota_config_test.cpp
+++ b/tests/quota_config_test.cpp
@@ -1,6 +1,6 @@
-// Guarantees and limits of teams that change while the service runs: five controllers, sixty
-// machines, 280 teams, and troubles. Quota is judged against the limit in force, see
-// World::judge_quota. The argument of each rule is in docs/configuration.md.
+// Changes of team guarantees and limits at run time, in a simulated cluster of five controllers, 60
+// machines and 280 teams, also under injected faults. The simulation checks each team's use against
+// the limit in force. docs/configuration.md explains the rules.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -13,7 +13,9 @@
 namespace scheduler::test {
 namespace {
 
-constexpr double kForce_s = 9; // where any road reaches
+// A change is in force within this time at each controller that any path reaches: the store or a
+// peer.
+constexpr double kForce_s = 9;
 constexpr double kRun_s = 400;
 
 WorldOptions options(std::uint64_t seed = 1) {
@@ -31,8 +33,8 @@
 class ConfigTest : public testing::Test {
   protected:
     explicit ConfigTest(std::uint64_t seed = 1) : w(options(seed)) {}
-    // Red runs 220 of its 240 CPUs, some of them on other parts' machines, and three of the small
-    // teams run too.
+    // Submits jobs until red uses 220 of its 240 CPUs, some of them on machines of other
+    // partitions, and three of the small teams run jobs too.
     void fill(JobKind kind = JobKind::array) {
         w.run_for(20);
         JobSpec red = w.job("req-1", 110, 2);
@@ -81,7 +83,7 @@
     fill();
     JobSpec more = w.job("req-9", 60, 2);
     w.submit(1, more);
-    w.run_for(40); // machines are rented for it
+    w.run_for(40); // enough for the scale-out
     EXPECT_EQ(w.used("red"), 240);
     w.configure(red(300));
     w.run_for(40);
@@ -155,7 +157,8 @@
     EXPECT_TRUE(kept());
 }
 
-// All of it goes, by an orderly stop, and it waits, answered, until the limit lets it run.
+// A gang above the lowered limit is checkpointed and stopped as a whole. It waits until the limit
+// allows it again, and status polls for it are answered meanwhile.
 TEST_F(ConfigTest, AGangGoesWholeAndWaitsUntilItFitsAgain) {
     w.run_for(20);
     JobSpec gang = w.job("req-1", 40, 2);
@@ -213,7 +216,7 @@
     EXPECT_TRUE(kept());
 }
 
-// ---- What users are told ----
+// ---- Responses to users ----
 
 // A node whose watch and reads of the configuration hear nothing.
 auto deaf_to_config(int node) {
@@ -232,7 +235,7 @@
     small.max_cpus = 5;
     w.configure(small);
     w.run_for(1);
-    JobSpec job = w.job("req-50", 12, 1); // as a gang it needs twelve
+    JobSpec job = w.job("req-50", 12, 1); // as a gang it needs 12 CPUs at once
     job.kind = JobKind::gang;
     job.team = "t9";
     RequestId knows = w.submit(0, job);
@@ -242,7 +245,7 @@
     w.configure(small);
     w.run_for(1);
     job.id = "req-51";
-    job.tasks = 30; // above what the deaf node has in force
+    job.tasks = 30; // above the limit in force at controller 3
     RequestId deaf = w.submit(3, job);
     w.run_for(2);
     EXPECT_EQ(w.answers.at(deaf).status, 201);
@@ -255,7 +258,8 @@
     EXPECT_TRUE(kept());
 }
 
-// A higher limit that the node has not heard of does not make up for a type that there is not.
+// A higher limit that the controller has not received yet must not admit a job that fits no machine
+// type.
 TEST_F(ConfigTest, WhatTheNewestLimitAllowsStillHasToFitAMachine) {
     fill();
     w.intercept = deaf_to_config(3);
@@ -263,7 +267,8 @@
     wide.max_cpus = 100;
     w.configure(wide);
     w.run_for(1);
-    JobSpec job = w.job("req-50", 1, 60); // above the limit that the node has, and any machine
+    JobSpec job =
+        w.job("req-50", 1, 60); // above the limit in force at the controller, and above any machine
     job.team = "t9";
     RequestId request_id = w.submit(3, job);
     w.run_for(2);
@@ -288,7 +293,7 @@
     EXPECT_TRUE(kept());
 }
 
-// ---- Values that are not good ----
+// ---- Invalid values ----
 
 TEST_F(ConfigTest, TheLastGoodValueStaysInForce) {
     fill();
@@ -312,7 +317,7 @@
     w.put("config/team/red", UnreadableRecord{});
     w.run_for(1);
     for (int n = 0; n < 5; ++n) {
-        w.crash(n, 1); // nobody knows the last good one any more
+        w.crash(n, 1); // no controller remembers the last valid value
     }
     w.submit(0, w.job("req-9", 20, 2));
     w.run_for(90);
@@ -323,14 +328,14 @@
     EXPECT_TRUE(kept());
 }
 
-// ---- Nobody goes back ----
+// ---- No controller returns to an older value ----
 
 TEST_F(ConfigTest, ANewOwnerStartsNothingBeforeItHasReadTheConfiguration) {
     fill();
     w.configure(red(100));
     w.run_for(30);
     int leader = owner_of_red();
-    // Whoever takes over, its reads of the configuration are lost for a while.
+    // Whichever controller takes over, its reads of the quota configuration are lost at first.
     bool lost = true;
     w.intercept = [&](int, const OutboundBody& call) {
         const auto* range = std::get_if<StoreRange>(&call);
@@ -350,7 +355,7 @@
     EXPECT_TRUE(kept());
 }
 
-// Each node hears of it by its siblings while the state service refuses it alone.
+// A leader that the store rejects receives changes from its peers.
 TEST_F(ConfigTest, ANodeRefusedByTheStateServiceHearsOfItFromItsSiblings) {
     fill();
     int leader = owner_of_red();
@@ -366,7 +371,7 @@
     EXPECT_TRUE(kept());
 }
 
-// ---- Crossed with troubles ----
+// ---- Changes during faults ----
 
 enum class Change { lowered, raised, guarantee };
 constexpr const char* kChange[] = {"lowered", "raised", "guarantee"};
@@ -435,7 +440,7 @@
             const auto* watch = std::get_if<StoreWatch>(&call);
             return watch && watch->prefix == kQuotaConfigPrefix;
         };
-        w.run_for(8); // those under way are over
+        w.run_for(8); // until the watches in flight have ended
         break;
     default: break;
     }
@@ -485,7 +490,7 @@
             w.cut_peers(a, b, false);
         }
     }
-    for (const auto& machine : w.machines_up()) { // but those that were given back meanwhile
+    for (const auto& machine : w.machines_up()) { // without those released meanwhile
         w.cut_machine(machine, false);
     }
     w.troubles = {};
@@ -539,7 +544,7 @@
 INSTANTIATE_TEST_SUITE_P(Outputs, ConfigEnds,
                          testing::Values(0, 1, 2, 3, 5, 8, 13, 21, 34, 55, 89));
 
-// ---- The class alone ----
+// ---- QuotaConfig alone ----
 
 class TeamConfigTest : public testing::Test {
   protected:
