--- a/tests/quota_config_test.cpp
+++ b/tests/quota_config_test.cpp
@@ -15,7 +15,7 @@
 
 // A change is in force within this time at each controller that any path reaches: the store or a
 // peer.
-constexpr double kForce_s = 9;
+constexpr double kMaxPropagationDelay_s = 9;
 constexpr double kRun_s = 400;
 
 WorldOptions options(std::uint64_t seed = 1) {
@@ -30,196 +30,200 @@
             .notices = true};
 }
 
-class ConfigTest : public testing::Test {
+class QuotaConfigTest : public testing::Test {
   protected:
-    explicit ConfigTest(std::uint64_t seed = 1) : w(options(seed)) {}
+    explicit QuotaConfigTest(std::uint64_t seed = 1) : cluster(options(seed)) {}
     // Submits jobs until red uses 220 of its 240 CPUs, some of them on machines of other
     // partitions, and three of the small teams run jobs too.
     void fill(JobKind kind = JobKind::array) {
-        w.run_for(20);
-        JobSpec red = w.job("req-1", 110, 2);
+        cluster.run_for(20);
+        JobSpec red = cluster.job("req-1", 110, 2);
         red.kind = kind;
-        w.submit(0, red);
+        cluster.submit(0, red);
         for (int t = 0; t < 3; ++t) {
-            JobSpec small = w.job("req-2" + std::to_string(t), 10, 1);
+            JobSpec small = cluster.job("req-2" + std::to_string(t), 10, 1);
             small.team = "t" + std::to_string(t);
-            w.submit(t, small);
+            cluster.submit(t, small);
         }
-        w.ask_often();
-        w.run_for(60);
-        ASSERT_EQ(w.used("red"), 220);
+        cluster.ask_often();
+        cluster.run_for(60);
+        ASSERT_EQ(cluster.used("red"), 220);
     }
-    TeamQuota red(double cpus_max) const {
-        TeamQuota quota = w.team("red");
+    // Returns the current quota of red with another limit, which caps the guarantee.
+    TeamQuota quota_of_red(double cpus_max) const {
+        TeamQuota quota = cluster.team("red");
         quota.max_cpus = cpus_max;
         quota.guaranteed_cpus = std::min(quota.guaranteed_cpus, cpus_max);
         return quota;
     }
-    bool kept() const {
-        for (const auto& rule : w.broken) {
+    // Reports each broken invariant as a failure. Returns whether all of them hold.
+    bool invariants_hold() const {
+        for (const auto& rule : cluster.broken) {
             ADD_FAILURE() << rule;
         }
-        return w.broken.empty();
+        return cluster.broken.empty();
     }
-    int owner_of_red() const { return w.owner(partition_of_team(w.facts(0), "red")); }
+    int leader_of_red() const { return cluster.owner(partition_of_team(cluster.facts(0), "red")); }
 
-    World w;
+    World cluster;
 };
 
-TEST_F(ConfigTest, ALoweredLimitIsInForceAtOnceAndWhatIsOverGoes) {
+TEST_F(QuotaConfigTest, LoweredLimitTakesEffectAtOnceAndExcessTasksAreEvicted) {
     fill();
-    w.configure(red(100));
-    w.run_for(2);
-    EXPECT_EQ(w.in_force_after().size(), 5U);
-    w.run_for(10);
-    EXPECT_LE(w.used("red"), 100);
-    EXPECT_GE(w.used("red"), 98) << "no more goes than is over";
-    w.run_for(60);
-    EXPECT_EQ(w.used("red"), 100) << "nothing new above it, all of it used";
-    EXPECT_TRUE(kept());
+    cluster.configure(quota_of_red(100));
+    cluster.run_for(2);
+    EXPECT_EQ(cluster.in_force_after().size(), 5U);
+    cluster.run_for(10);
+    EXPECT_LE(cluster.used("red"), 100);
+    EXPECT_GE(cluster.used("red"), 98) << "more tasks were evicted than exceed the limit";
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.used("red"), 100) << "nothing starts above the limit, and all of it is used";
+    EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(ConfigTest, ARaisedLimitLetsWhatWaitsStart) {
+TEST_F(QuotaConfigTest, RaisedLimitStartsWaitingTasks) {
     fill();
-    JobSpec more = w.job("req-9", 60, 2);
-    w.submit(1, more);
-    w.run_for(40); // enough for the scale-out
-    EXPECT_EQ(w.used("red"), 240);
-    w.configure(red(300));
-    w.run_for(40);
-    EXPECT_EQ(w.used("red"), 300);
-    EXPECT_TRUE(kept());
+    JobSpec more = cluster.job("req-9", 60, 2);
+    cluster.submit(1, more);
+    cluster.run_for(40); // enough for the scale-out
+    EXPECT_EQ(cluster.used("red"), 240);
+    cluster.configure(quota_of_red(300));
+    cluster.run_for(40);
+    EXPECT_EQ(cluster.used("red"), 300);
+    EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(ConfigTest, AMovedGuaranteeMovesNoTeam) {
+TEST_F(QuotaConfigTest, ChangedGuaranteeMovesNoTeamToAnotherPartition) {
     fill();
-    auto partitions = partitions_of_teams(w.facts(0));
-    int leader = owner_of_red();
-    TeamQuota quota = w.team("red");
+    auto partitions = partitions_of_teams(cluster.facts(0));
+    int leader = leader_of_red();
+    TeamQuota quota = cluster.team("red");
     quota.guaranteed_cpus = 1;
-    w.configure(quota);
-    TeamQuota blue = w.team("blue");
+    cluster.configure(quota);
+    TeamQuota blue = cluster.team("blue");
     blue.guaranteed_cpus = 400;
-    w.configure(blue);
-    w.run_for(60);
-    EXPECT_EQ(owner_of_red(), leader);
-    EXPECT_EQ(partitions_of_teams(w.facts(0)), partitions);
-    EXPECT_EQ(w.used("red"), 220);
-    EXPECT_TRUE(kept());
+    cluster.configure(blue);
+    cluster.run_for(60);
+    EXPECT_EQ(leader_of_red(), leader);
+    EXPECT_EQ(partitions_of_teams(cluster.facts(0)), partitions);
+    EXPECT_EQ(cluster.used("red"), 220);
+    EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(ConfigTest, AChangeAndItsUndoingWithinASecond) {
+TEST_F(QuotaConfigTest, LimitLoweredAndRestoredWithinASecondRestartsEvictedTasks) {
     fill();
-    TeamQuota before = w.team("red");
-    w.configure(red(60));
-    w.run_for(0.5);
-    w.configure(before);
-    w.run_for(60);
-    EXPECT_EQ(w.used("red"), 220) << "what had been stopped runs again";
-    EXPECT_TRUE(kept());
+    TeamQuota before = cluster.team("red");
+    cluster.configure(quota_of_red(60));
+    cluster.run_for(0.5);
+    cluster.configure(before);
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.used("red"), 220) << "evicted tasks run again";
+    EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(ConfigTest, ABurstOfTwoHundredChangesInTenSeconds) {
+TEST_F(QuotaConfigTest, BurstOfTwoHundredChangesInTenSecondsComesIntoForce) {
     fill();
     for (int k = 0; k < 200; ++k) {
-        TeamQuota quota =
-            k % 4 == 0 ? red(100 + k % 7 * 10) : w.team("t" + std::to_string(k % 278));
+        TeamQuota quota = k % 4 == 0 ? quota_of_red(100 + k % 7 * 10)
+                                     : cluster.team("t" + std::to_string(k % 278));
         if (quota.name != "red") {
             quota.max_cpus = 10 + k % 10;
         }
-        ASSERT_TRUE(w.configure(quota));
-        w.run_for(0.05);
+        ASSERT_TRUE(cluster.configure(quota));
+        cluster.run_for(0.05);
     }
-    w.run_for(60);
-    EXPECT_LE(w.used("red"), w.team("red").max_cpus);
-    EXPECT_EQ(w.in_force_after().size(), 5U * 200U);
-    EXPECT_LE(*std::max_element(w.in_force_after().begin(), w.in_force_after().end()), kForce_s);
-    EXPECT_TRUE(kept());
+    cluster.run_for(60);
+    EXPECT_LE(cluster.used("red"), cluster.team("red").max_cpus);
+    EXPECT_EQ(cluster.in_force_after().size(), 5U * 200U);
+    EXPECT_LE(*std::max_element(cluster.in_force_after().begin(), cluster.in_force_after().end()),
+              kMaxPropagationDelay_s);
+    EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(ConfigTest, OfTwoWritersAtOnceOneIsRefused) {
+TEST_F(QuotaConfigTest, SecondOfTwoConcurrentWritersIsRejected) {
     fill();
-    std::uint64_t seen = w.version_of("config/team/red");
-    EXPECT_EQ(w.configure_over(red(120), seen), 200);
-    EXPECT_EQ(w.configure_over(red(200), seen), 409);
-    w.run_for(60);
-    EXPECT_EQ(w.used("red"), 120);
-    EXPECT_TRUE(kept());
+    std::uint64_t seen = cluster.version_of("config/team/red");
+    EXPECT_EQ(cluster.configure_over(quota_of_red(120), seen), 200);
+    EXPECT_EQ(cluster.configure_over(quota_of_red(200), seen), 409);
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.used("red"), 120);
+    EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(ConfigTest, AWriteThatIsCarriedOutLateCountsFromThen) {
+TEST_F(QuotaConfigTest, DelayedWriteTakesEffectWhenTheStoreAppliesIt) {
     fill();
-    w.configure(red(120), 6);
-    w.run_for(5);
-    EXPECT_EQ(w.used("red"), 220);
-    w.run_for(60);
-    EXPECT_EQ(w.used("red"), 120);
-    EXPECT_TRUE(kept());
+    cluster.configure(quota_of_red(120), 6);
+    cluster.run_for(5);
+    EXPECT_EQ(cluster.used("red"), 220);
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.used("red"), 120);
+    EXPECT_TRUE(invariants_hold());
 }
 
 // A gang above the lowered limit is checkpointed and stopped as a whole. It waits until the limit
 // allows it again, and status polls for it are answered meanwhile.
-TEST_F(ConfigTest, AGangGoesWholeAndWaitsUntilItFitsAgain) {
-    w.run_for(20);
-    JobSpec gang = w.job("req-1", 40, 2);
+TEST_F(QuotaConfigTest, GangIsEvictedAsAWholeAndWaitsUntilTheLimitAllowsIt) {
+    cluster.run_for(20);
+    JobSpec gang = cluster.job("req-1", 40, 2);
     gang.kind = JobKind::gang;
     gang.checkpoint_interval_s = 5;
     gang.save_duration_s = 2;
-    w.submit(0, gang);
-    w.ask_often();
-    w.run_for(60);
-    ASSERT_EQ(w.gang_runs("req-1"), 1);
-    TeamQuota before = w.team("red");
-    w.configure(red(70));
-    w.run_for(25);
-    EXPECT_EQ(w.used("red"), 0);
-    EXPECT_EQ(w.gang_saves("req-1"), 1);
-    w.run_for(100);
-    EXPECT_LT(w.judge().longest_unanswered(w.now()), 75);
-    EXPECT_EQ(w.outcomes().at("req-1"), Outcome::none);
-    w.configure(before);
-    w.run_for(kRun_s + 120);
-    EXPECT_TRUE(w.all_done("req-1"));
-    EXPECT_TRUE(kept());
+    cluster.submit(0, gang);
+    cluster.ask_often();
+    cluster.run_for(60);
+    ASSERT_EQ(cluster.gang_runs("req-1"), 1);
+    TeamQuota before = cluster.team("red");
+    cluster.configure(quota_of_red(70));
+    cluster.run_for(25);
+    EXPECT_EQ(cluster.used("red"), 0);
+    EXPECT_EQ(cluster.gang_saves("req-1"), 1);
+    cluster.run_for(100);
+    EXPECT_LT(cluster.judge().longest_unanswered(cluster.now()), 75);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::none);
+    cluster.configure(before);
+    cluster.run_for(kRun_s + 120);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(ConfigTest, LeastLossGoesFirst) {
-    w.run_for(20);
-    JobSpec old = w.job("req-1", 40, 2);
-    w.submit(0, old);
-    w.run_for(60);
-    JobSpec saves = w.job("req-2", 20, 2);
+TEST_F(QuotaConfigTest, TasksWithTheLeastLostWorkAreEvictedFirst) {
+    cluster.run_for(20);
+    JobSpec old = cluster.job("req-1", 40, 2);
+    cluster.submit(0, old);
+    cluster.run_for(60);
+    JobSpec saves = cluster.job("req-2", 20, 2);
     saves.checkpoint_interval_s = 5;
     saves.save_duration_s = 1;
-    w.submit(0, saves);
-    JobSpec young = w.job("req-3", 20, 2);
-    w.submit(0, young);
-    w.run_for(30);
-    ASSERT_EQ(w.used("red"), 160);
-    w.configure(red(80));
-    w.run_for(20);
-    EXPECT_EQ(w.used("red"), 80);
+    cluster.submit(0, saves);
+    JobSpec young = cluster.job("req-3", 20, 2);
+    cluster.submit(0, young);
+    cluster.run_for(30);
+    ASSERT_EQ(cluster.used("red"), 160);
+    cluster.configure(quota_of_red(80));
+    cluster.run_for(20);
+    EXPECT_EQ(cluster.used("red"), 80);
     for (std::uint32_t i = 0; i < 40; ++i) {
-        EXPECT_EQ(w.machines_of({"req-1", i}).size(), 1U) << "the ones that have run longest stay";
+        EXPECT_EQ(cluster.machines_of({"req-1", i}).size(), 1U)
+            << "the tasks that have run longest stay";
     }
-    EXPECT_TRUE(kept());
+    EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(ConfigTest, ReplicasGoToo) {
+TEST_F(QuotaConfigTest, ServiceReplicasAreEvictedAndRestarted) {
     fill(JobKind::service);
-    w.configure(red(50));
-    w.run_for(20);
-    EXPECT_EQ(w.used("red"), 50);
-    w.configure(red(150));
-    w.run_for(40);
-    EXPECT_EQ(w.used("red"), 150);
-    EXPECT_TRUE(kept());
+    cluster.configure(quota_of_red(50));
+    cluster.run_for(20);
+    EXPECT_EQ(cluster.used("red"), 50);
+    cluster.configure(quota_of_red(150));
+    cluster.run_for(40);
+    EXPECT_EQ(cluster.used("red"), 150);
+    EXPECT_TRUE(invariants_hold());
 }
 
 // ---- Responses to users ----
 
-// A node whose watch and reads of the configuration hear nothing.
-auto deaf_to_config(int node) {
+// Returns an interceptor that drops the controller's watch and reads of the quota configuration.
+auto drop_quota_config_reads(int node) {
     return [node](int from, const OutboundBody& call) {
         const auto* watch = std::get_if<StoreWatch>(&call);
         const auto* range = std::get_if<StoreRange>(&call);
@@ -228,355 +232,364 @@
     };
 }
 
-TEST_F(ConfigTest, OnlyTheNewestLimitRefusesASubmission) {
+TEST_F(QuotaConfigTest, OnlyTheNewestLimitRejectsASubmission) {
     fill();
-    w.intercept = deaf_to_config(3);
-    TeamQuota small = w.team("t9");
+    cluster.intercept = drop_quota_config_reads(3);
+    TeamQuota small = cluster.team("t9");
     small.max_cpus = 5;
-    w.configure(small);
-    w.run_for(1);
-    JobSpec job = w.job("req-50", 12, 1); // as a gang it needs 12 CPUs at once
+    cluster.configure(small);
+    cluster.run_for(1);
+    JobSpec job = cluster.job("req-50", 12, 1); // as a gang it needs 12 CPUs at once
     job.kind = JobKind::gang;
     job.team = "t9";
-    RequestId knows = w.submit(0, job);
-    w.run_for(2);
-    EXPECT_EQ(w.answers.at(knows).status, 422);
+    RequestId at_current = cluster.submit(0, job);
+    cluster.run_for(2);
+    EXPECT_EQ(cluster.answers.at(at_current).status, 422);
     small.max_cpus = 40;
-    w.configure(small);
-    w.run_for(1);
+    cluster.configure(small);
+    cluster.run_for(1);
     job.id = "req-51";
     job.tasks = 30; // above the limit in force at controller 3
-    RequestId deaf = w.submit(3, job);
-    w.run_for(2);
-    EXPECT_EQ(w.answers.at(deaf).status, 201);
+    RequestId at_stale = cluster.submit(3, job);
+    cluster.run_for(2);
+    EXPECT_EQ(cluster.answers.at(at_stale).status, 201);
     small.max_cpus = 10;
-    w.configure(small);
-    w.run_for(1);
-    RequestId repeat = w.submit(0, w.spec_of("req-51"));
-    w.run_for(2);
-    EXPECT_EQ(w.answers.at(repeat).status, 200) << "accepted once, whatever the limit is now";
-    EXPECT_TRUE(kept());
+    cluster.configure(small);
+    cluster.run_for(1);
+    RequestId repeat = cluster.submit(0, cluster.spec_of("req-51"));
+    cluster.run_for(2);
+    EXPECT_EQ(cluster.answers.at(repeat).status, 200)
+        << "an accepted job stays accepted whatever the limit is";
+    EXPECT_TRUE(invariants_hold());
 }
 
 // A higher limit that the controller has not received yet must not admit a job that fits no machine
 // type.
-TEST_F(ConfigTest, WhatTheNewestLimitAllowsStillHasToFitAMachine) {
+TEST_F(QuotaConfigTest, JobWithinTheNewestLimitMustStillFitAMachineType) {
     fill();
-    w.intercept = deaf_to_config(3);
-    TeamQuota wide = w.team("t9");
+    cluster.intercept = drop_quota_config_reads(3);
+    TeamQuota wide = cluster.team("t9");
     wide.max_cpus = 100;
-    w.configure(wide);
-    w.run_for(1);
-    JobSpec job =
-        w.job("req-50", 1, 60); // above the limit in force at the controller, and above any machine
+    cluster.configure(wide);
+    cluster.run_for(1);
+    JobSpec job = cluster.job(
+        "req-50", 1, 60); // above the limit in force at the controller, and above any machine
     job.team = "t9";
-    RequestId request_id = w.submit(3, job);
-    w.run_for(2);
-    EXPECT_EQ(w.answers.at(request_id).status, 422);
-    EXPECT_TRUE(kept());
+    RequestId request_id = cluster.submit(3, job);
+    cluster.run_for(2);
+    EXPECT_EQ(cluster.answers.at(request_id).status, 422);
+    EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(ConfigTest, ATeamNotHeardOfIsRefusedAfterAFreshReadOnly) {
-    w.run_for(20);
+TEST_F(QuotaConfigTest, UnknownTeamIsRejectedOnlyAfterAFreshRead) {
+    cluster.run_for(20);
     int reads = 0;
-    w.intercept = [&](int, const OutboundBody& call) {
+    cluster.intercept = [&](int, const OutboundBody& call) {
         const auto* get = std::get_if<StoreGet>(&call);
         reads += get && get->key == std::string(kQuotaConfigPrefix) + "nobody";
         return false;
     };
-    JobSpec job = w.job("req-1", 1, 1);
+    JobSpec job = cluster.job("req-1", 1, 1);
     job.team = "nobody";
-    RequestId request_id = w.submit(0, job);
-    w.run_for(2);
+    RequestId request_id = cluster.submit(0, job);
+    cluster.run_for(2);
     EXPECT_EQ(reads, 1);
-    EXPECT_EQ(w.answers.at(request_id).status, 422);
-    EXPECT_TRUE(kept());
+    EXPECT_EQ(cluster.answers.at(request_id).status, 422);
+    EXPECT_TRUE(invariants_hold());
 }
 
 // ---- Invalid values ----
 
-TEST_F(ConfigTest, TheLastGoodValueStaysInForce) {
+TEST_F(QuotaConfigTest, LastValidValueStaysInForce) {
     fill();
-    w.configure(red(100));
-    w.run_for(30);
-    w.put("config/team/red", UnreadableRecord{});
-    w.run_for(10);
-    EXPECT_GE(w.logged("event=record_unreadable"), 5U);
-    TeamQuota impossible = red(0);
+    cluster.configure(quota_of_red(100));
+    cluster.run_for(30);
+    cluster.put("config/team/red", UnreadableRecord{});
+    cluster.run_for(10);
+    EXPECT_GE(cluster.logged("event=record_unreadable"), 5U);
+    TeamQuota impossible = quota_of_red(0);
     impossible.guaranteed_cpus = -1;
-    w.put("config/team/red", QuotaRecord{impossible});
-    w.run_for(30);
-    EXPECT_EQ(w.used("red"), 100);
-    EXPECT_TRUE(kept());
+    cluster.put("config/team/red", QuotaRecord{impossible});
+    cluster.run_for(30);
+    EXPECT_EQ(cluster.used("red"), 100);
+    EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(ConfigTest, WithoutAGoodValueSinceItsStartAnOwnerStartsNothingOfTheTeam) {
+TEST_F(QuotaConfigTest, LeaderWithoutAValidValueSinceItsStartStartsNoTaskOfTheTeam) {
     fill();
-    w.configure(red(100));
-    w.run_for(30);
-    w.put("config/team/red", UnreadableRecord{});
-    w.run_for(1);
+    cluster.configure(quota_of_red(100));
+    cluster.run_for(30);
+    cluster.put("config/team/red", UnreadableRecord{});
+    cluster.run_for(1);
     for (int n = 0; n < 5; ++n) {
-        w.crash(n, 1); // no controller remembers the last valid value
+        cluster.crash(n, 1); // no controller remembers the last valid value
     }
-    w.submit(0, w.job("req-9", 20, 2));
-    w.run_for(90);
-    EXPECT_EQ(w.starts({"req-9", 0}), 0);
-    w.configure(red(120));
-    w.run_for(80);
-    EXPECT_EQ(w.used("red"), 120);
-    EXPECT_TRUE(kept());
+    cluster.submit(0, cluster.job("req-9", 20, 2));
+    cluster.run_for(90);
+    EXPECT_EQ(cluster.starts({"req-9", 0}), 0);
+    cluster.configure(quota_of_red(120));
+    cluster.run_for(80);
+    EXPECT_EQ(cluster.used("red"), 120);
+    EXPECT_TRUE(invariants_hold());
 }
 
 // ---- No controller returns to an older value ----
 
-TEST_F(ConfigTest, ANewOwnerStartsNothingBeforeItHasReadTheConfiguration) {
+TEST_F(QuotaConfigTest, NewLeaderStartsNothingBeforeItHasReadTheQuotas) {
     fill();
-    w.configure(red(100));
-    w.run_for(30);
-    int leader = owner_of_red();
+    cluster.configure(quota_of_red(100));
+    cluster.run_for(30);
+    int leader = leader_of_red();
     // Whichever controller takes over, its reads of the quota configuration are lost at first.
     bool lost = true;
-    w.intercept = [&](int, const OutboundBody& call) {
+    cluster.intercept = [&](int, const OutboundBody& call) {
         const auto* range = std::get_if<StoreRange>(&call);
         const auto* watch = std::get_if<StoreWatch>(&call);
         return lost && ((range && range->prefix == kQuotaConfigPrefix) ||
                         (watch && watch->prefix == kQuotaConfigPrefix));
     };
-    w.crash(leader, 0.2);
-    w.submit((leader + 1) % 5, w.job("req-9", 20, 2));
-    w.run_for(25);
-    EXPECT_EQ(w.starts({"req-9", 0}), 0);
-    EXPECT_LE(w.used("red"), 100);
+    cluster.crash(leader, 0.2);
+    cluster.submit((leader + 1) % 5, cluster.job("req-9", 20, 2));
+    cluster.run_for(25);
+    EXPECT_EQ(cluster.starts({"req-9", 0}), 0);
+    EXPECT_LE(cluster.used("red"), 100);
     lost = false;
-    w.configure(red(200));
-    w.run_for(60);
-    EXPECT_EQ(w.used("red"), 200);
-    EXPECT_TRUE(kept());
+    cluster.configure(quota_of_red(200));
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.used("red"), 200);
+    EXPECT_TRUE(invariants_hold());
 }
 
 // A leader that the store rejects receives changes from its peers.
-TEST_F(ConfigTest, ANodeRefusedByTheStateServiceHearsOfItFromItsSiblings) {
+TEST_F(QuotaConfigTest, ControllerRejectedByTheStoreLearnsChangesFromItsPeers) {
     fill();
-    int leader = owner_of_red();
-    w.state_refuses(leader, true);
-    w.run_for(2);
-    w.configure(red(100));
-    w.run_for(kForce_s);
-    EXPECT_EQ(w.in_force_after().size(), 5U);
-    w.run_for(60);
-    w.state_refuses(leader, false);
-    w.run_for(30);
-    EXPECT_LE(w.used("red"), 100);
-    EXPECT_TRUE(kept());
+    int leader = leader_of_red();
+    cluster.state_refuses(leader, true);
+    cluster.run_for(2);
+    cluster.configure(quota_of_red(100));
+    cluster.run_for(kMaxPropagationDelay_s);
+    EXPECT_EQ(cluster.in_force_after().size(), 5U);
+    cluster.run_for(60);
+    cluster.state_refuses(leader, false);
+    cluster.run_for(30);
+    EXPECT_LE(cluster.used("red"), 100);
+    EXPECT_TRUE(invariants_hold());
 }
 
 // ---- Changes during faults ----
 
-enum class Change { lowered, raised, guarantee };
-constexpr const char* kChange[] = {"lowered", "raised", "guarantee"};
-enum With {
-    owner_refused,
-    owner_cut_off,
-    owner_frozen,
-    outage,
-    outage_right_after,
-    owner_ends,
-    owner_ends_twice,
-    all_end,
-    moves,
-    peers_refuse,
-    machines_silent,
-    answers_lost,
-    late_writes,
-    watches_lost,
-    kWiths
+enum class Change { limit_lowered, limit_raised, guarantee_changed };
+constexpr const char* kChangeNames[] = {"limit_lowered", "limit_raised", "guarantee_changed"};
+enum Fault {
+    leader_rejected_by_store,
+    leader_disconnected,
+    leader_frozen,
+    store_outage_after_3_s,
+    store_outage_at_once,
+    leader_crashes,
+    leader_crashes_twice,
+    all_controllers_crash,
+    shards_migrate,
+    peers_disconnected,
+    machines_unreachable,
+    store_responses_lost,
+    store_writes_delayed,
+    store_watches_lost,
+    kFaultCount
 };
-constexpr const char* kWith[] = {
-    "owner_refused",   "owner_cut_off",    "owner_frozen", "outage",      "outage_right_after",
-    "owner_ends",      "owner_ends_twice", "all_end",      "moves",       "peers_refuse",
-    "machines_silent", "answers_lost",     "late_writes",  "watches_lost"};
-
-class ConfigMeets : public ConfigTest, public testing::WithParamInterface<std::tuple<int, int>> {
+constexpr const char* kFaultNames[] = {
+    "leader_rejected_by_store", "leader_disconnected",   "leader_frozen",
+    "store_outage_after_3_s",   "store_outage_at_once",  "leader_crashes",
+    "leader_crashes_twice",     "all_controllers_crash", "shards_migrate",
+    "peers_disconnected",       "machines_unreachable",  "store_responses_lost",
+    "store_writes_delayed",     "store_watches_lost"};
+
+// Parameters: a Fault, which also decides the seed, and a Change.
+class QuotaConfigFaults : public QuotaConfigTest,
+                          public testing::WithParamInterface<std::tuple<int, int>> {
   protected:
-    ConfigMeets() : ConfigTest(3 + static_cast<std::uint64_t>(std::get<0>(GetParam()))) {}
-    void cut_off(int node, bool cut) {
-        w.state_silent(node, cut);
+    QuotaConfigFaults()
+        : QuotaConfigTest(3 + static_cast<std::uint64_t>(std::get<0>(GetParam()))) {}
+    // Cuts the controller off from the store and its peers, or reconnects it.
+    void disconnect(int node, bool cut) {
+        cluster.state_silent(node, cut);
         for (int to = 0; to < 5; ++to) {
-            w.cut_peers(node, to, cut);
+            cluster.cut_peers(node, to, cut);
         }
     }
 };
 
-TEST_P(ConfigMeets, NoRuleBreaksAndAllComesRight) {
-    auto [with, what] = GetParam();
+TEST_P(QuotaConfigFaults, InvariantsHoldAndTheNewQuotaIsUsed) {
+    auto [fault, change] = GetParam();
     fill();
-    JobSpec more = w.job("req-9", 60, 2);
-    w.submit(1, more);
-    w.run_for(5);
-    int leader = owner_of_red();
-    auto silent = w.machines_up();
-    silent.resize(silent.size() / 3);
-    switch (with) {
-    case owner_refused: w.state_refuses(leader, true); break;
-    case owner_cut_off: cut_off(leader, true); break;
-    case owner_frozen: w.freeze(leader, 25); break;
-    case peers_refuse:
+    JobSpec more = cluster.job("req-9", 60, 2);
+    cluster.submit(1, more);
+    cluster.run_for(5);
+    int leader = leader_of_red();
+    auto unreachable = cluster.machines_up();
+    unreachable.resize(unreachable.size() / 3);
+    switch (fault) {
+    case leader_rejected_by_store: cluster.state_refuses(leader, true); break;
+    case leader_disconnected: disconnect(leader, true); break;
+    case leader_frozen: cluster.freeze(leader, 25); break;
+    case peers_disconnected:
         for (int a = 0; a < 5; ++a) {
             for (int b = 0; b < 5; ++b) {
-                w.cut_peers(a, b, true);
+                cluster.cut_peers(a, b, true);
             }
         }
         break;
-    case machines_silent:
-        for (const auto& machine : silent) {
-            w.cut_machine(machine, true);
+    case machines_unreachable:
+        for (const auto& machine : unreachable) {
+            cluster.cut_machine(machine, true);
         }
         break;
-    case answers_lost: w.troubles.lost_answers = 0.4; break;
-    case late_writes: w.troubles.late_writes = 0.4; break;
-    case watches_lost:
-        w.intercept = [](int, const OutboundBody& call) {
+    case store_responses_lost: cluster.troubles.lost_answers = 0.4; break;
+    case store_writes_delayed: cluster.troubles.late_writes = 0.4; break;
+    case store_watches_lost:
+        cluster.intercept = [](int, const OutboundBody& call) {
             const auto* watch = std::get_if<StoreWatch>(&call);
             return watch && watch->prefix == kQuotaConfigPrefix;
         };
-        w.run_for(8); // until the watches in flight have ended
+        cluster.run_for(8); // until the watches in flight have ended
         break;
     default: break;
     }
-    w.run_for(0.3);
-    double limit = w.team("red").max_cpus;
-    TeamQuota quota = w.team("red");
-    if (what == int(Change::guarantee)) {
+    cluster.run_for(0.3);
+    double limit = cluster.team("red").max_cpus;
+    TeamQuota quota = cluster.team("red");
+    if (change == int(Change::guarantee_changed)) {
         quota.guaranteed_cpus = 2;
     } else {
-        limit = what == int(Change::lowered) ? 100 : 300;
-        quota = red(limit);
+        limit = change == int(Change::limit_lowered) ? 100 : 300;
+        quota = quota_of_red(limit);
     }
-    ASSERT_TRUE(w.configure(quota));
-    switch (with) {
-    case outage_right_after: w.state_down(true); break;
-    case outage:
-        w.run_for(3);
-        w.state_down(true);
+    ASSERT_TRUE(cluster.configure(quota));
+    switch (fault) {
+    case store_outage_at_once: cluster.state_down(true); break;
+    case store_outage_after_3_s:
+        cluster.run_for(3);
+        cluster.state_down(true);
         break;
-    case owner_ends: w.crash(leader, 8); break;
-    case owner_ends_twice:
-        w.crash(leader, 0.1);
-        w.run_for(3);
-        w.crash(owner_of_red() < 0 ? leader : owner_of_red(), 0.1);
+    case leader_crashes: cluster.crash(leader, 8); break;
+    case leader_crashes_twice:
+        cluster.crash(leader, 0.1);
+        cluster.run_for(3);
+        cluster.crash(leader_of_red() < 0 ? leader : leader_of_red(), 0.1);
         break;
-    case all_end:
+    case all_controllers_crash:
         for (int n = 0; n < 5; ++n) {
-            w.crash(n, 0.2 * n);
+            cluster.crash(n, 0.2 * n);
         }
         break;
-    case moves: {
-        int partition = partition_of_team(w.facts(0), "red");
-        for (const auto& shard : w.shares(partition)) {
-            w.give(partition, shard, (partition + 1) % 5);
-            w.run_for(0.2);
+    case shards_migrate: {
+        int partition = partition_of_team(cluster.facts(0), "red");
+        for (const auto& shard : cluster.shares(partition)) {
+            cluster.give(partition, shard, (partition + 1) % 5);
+            cluster.run_for(0.2);
         }
         break;
     }
     default: break;
     }
-    w.run_for(60);
-    w.state_down(false);
-    w.state_refuses(leader, false);
-    cut_off(leader, false);
+    cluster.run_for(60);
+    cluster.state_down(false);
+    cluster.state_refuses(leader, false);
+    disconnect(leader, false);
     for (int a = 0; a < 5; ++a) {
         for (int b = 0; b < 5; ++b) {
-            w.cut_peers(a, b, false);
+            cluster.cut_peers(a, b, false);
         }
     }
-    for (const auto& machine : w.machines_up()) { // without those released meanwhile
-        w.cut_machine(machine, false);
+    for (const auto& machine : cluster.machines_up()) { // without those released meanwhile
+        cluster.cut_machine(machine, false);
     }
-    w.troubles = {};
-    w.intercept = nullptr;
-    w.run_for(75);
-    EXPECT_LE(w.used("red"), limit);
-    EXPECT_GE(w.used("red"), limit - 4) << "what may run does";
-    EXPECT_LT(w.judge().longest_unanswered(w.now()), 75);
-    EXPECT_TRUE(kept());
-    const auto& forced = w.in_force_after();
-    ASSERT_GE(forced.size(), 5U);
-    double longest = *std::max_element(forced.begin(), forced.end());
-    std::printf("%s: in force at the last of %zu after %.2f s\n", kWith[with], forced.size(),
-                longest);
-    // A node that stands still, is down or is cut off from all has no road.
-    if (with != owner_cut_off && with != owner_frozen && with != owner_ends) {
-        EXPECT_LE(longest, kForce_s);
+    cluster.troubles = {};
+    cluster.intercept = nullptr;
+    cluster.run_for(75);
+    EXPECT_LE(cluster.used("red"), limit);
+    EXPECT_GE(cluster.used("red"), limit - 4) << "all that the limit allows runs";
+    EXPECT_LT(cluster.judge().longest_unanswered(cluster.now()), 75);
+    EXPECT_TRUE(invariants_hold());
+    const auto& delays_s = cluster.in_force_after();
+    ASSERT_GE(delays_s.size(), 5U);
+    double longest = *std::max_element(delays_s.begin(), delays_s.end());
+    std::printf("%s: in force at the last of %zu after %.2f s\n", kFaultNames[fault],
+                delays_s.size(), longest);
+    // No path reaches a controller that is frozen, down or disconnected from the store and all
+    // peers.
+    if (fault != leader_disconnected && fault != leader_frozen && fault != leader_crashes) {
+        EXPECT_LE(longest, kMaxPropagationDelay_s);
     }
 }
-INSTANTIATE_TEST_SUITE_P(Troubles, ConfigMeets,
-                         testing::Combine(testing::Range(0, int(kWiths)), testing::Range(0, 3)),
-                         [](const auto& p) {
-                             return std::string(kWith[std::get<0>(p.param)]) + "_" +
-                                    kChange[std::get<1>(p.param)];
+INSTANTIATE_TEST_SUITE_P(FaultsAndChanges, QuotaConfigFaults,
+                         testing::Combine(testing::Range(0, int(kFaultCount)),
+                                          testing::Range(0, 3)),
+                         [](const auto& info) {
+                             return std::string(kFaultNames[std::get<0>(info.param)]) + "_" +
+                                    kChangeNames[std::get<1>(info.param)];
                          });
 
-// The owner ends right after each of the outputs that follow a lowered limit.
-class ConfigEnds : public ConfigTest, public testing::WithParamInterface<int> {};
+// The leader crashes right after the n-th output that follows a lowered limit. Parameter: n.
+class QuotaConfigCrash : public QuotaConfigTest, public testing::WithParamInterface<int> {};
 
-TEST_P(ConfigEnds, TheOwnerEndsRightAfterAnOutput) {
+TEST_P(QuotaConfigCrash, LoweredLimitHoldsWhenTheLeaderCrashesAfterAnOutput) {
     fill();
-    int leader = owner_of_red();
-    int left = GetParam();
-    bool counts = false;
-    w.after_output = [&](int node, const OutboundRequest*,
-                         const Response*) -> std::optional<double> {
-        if (!counts || node != leader || left < 0 || left-- > 0) {
+    int leader = leader_of_red();
+    int outputs_left = GetParam();
+    bool counting = false;
+    cluster.after_output = [&](int node, const OutboundRequest*,
+                               const Response*) -> std::optional<double> {
+        if (!counting || node != leader || outputs_left < 0 || outputs_left-- > 0) {
             return std::nullopt;
         }
         return 0.3;
     };
-    counts = true;
-    w.configure(red(100));
-    w.run_for(60);
-    EXPECT_LT(left, 0);
-    w.run_for(40);
-    EXPECT_LE(w.used("red"), 100);
-    EXPECT_GE(w.used("red"), 96);
-    EXPECT_TRUE(kept());
+    counting = true;
+    cluster.configure(quota_of_red(100));
+    cluster.run_for(60);
+    EXPECT_LT(outputs_left, 0);
+    cluster.run_for(40);
+    EXPECT_LE(cluster.used("red"), 100);
+    EXPECT_GE(cluster.used("red"), 96);
+    EXPECT_TRUE(invariants_hold());
 }
-INSTANTIATE_TEST_SUITE_P(Outputs, ConfigEnds,
+INSTANTIATE_TEST_SUITE_P(Outputs, QuotaConfigCrash,
                          testing::Values(0, 1, 2, 3, 5, 8, 13, 21, 34, 55, 89));
 
 // ---- QuotaConfig alone ----
 
-class TeamConfigTest : public testing::Test {
+class QuotaConfigUnitTest : public testing::Test {
   protected:
-    TeamConfigTest() {
-        facts.teams = {{"red", 4, 8, 0, 0}, {"blue", 0, 0, 2, 4}};
-        facts.heartbeat_interval_s = 3;
-        facts.worker_lease_s = 17;
-        facts.cancel_s = 42;
-        config.emplace(facts, calls,
-                       [this](Time, const TeamQuota& quota) { told.push_back(quota); });
+    QuotaConfigUnitTest() {
+        settings.teams = {{"red", 4, 8, 0, 0}, {"blue", 0, 0, 2, 4}};
+        settings.heartbeat_interval_s = 3;
+        settings.worker_lease_s = 17;
+        settings.cancel_s = 42;
+        config.emplace(settings, requests,
+                       [this](Time, const TeamQuota& quota) { applied.push_back(quota); });
     }
-    ClusterSettings facts;
-    StoreRateLimiter budget{100, 20, 1};
-    OutboundRequests calls{budget, 1};
-    std::vector<TeamQuota> told;
+    ClusterSettings settings;
+    StoreRateLimiter rate_limiter{100, 20, 1};
+    OutboundRequests requests{rate_limiter, 1};
+    std::vector<TeamQuota> applied; // passed to the callback
     std::optional<QuotaConfig> config;
     static QuotaChange change(double cpus_max, std::uint64_t revision) {
         return {"red", TeamQuota{"red", 4, cpus_max, 0, 0}, revision};
     }
 };
 
-TEST_F(TeamConfigTest, AnOlderChangeNeverCounts) {
+TEST_F(QuotaConfigUnitTest, ChangeWithAnOlderRevisionIsIgnored) {
     config->apply(1, change(10, 7));
     config->apply(2, change(12, 5));
     config->apply(3, change(12, 7));
     EXPECT_EQ(config->team("red")->max_cpus, 10);
-    EXPECT_EQ(told.size(), 1U);
+    EXPECT_EQ(applied.size(), 1U);
     EXPECT_EQ(config->changes_since(6).size(), 1U);
     EXPECT_TRUE(config->changes_since(7).empty());
 }
 
-TEST_F(TeamConfigTest, WhatIsNotGoodIsPassedOver) {
+TEST_F(QuotaConfigUnitTest, InvalidAndUnreadableValuesAreIgnored) {
     config->apply(1, change(10, 7));
     config->apply(2, change(2, 8)); // below the guarantee
     config->apply(3, {"red", std::nullopt, 9});
@@ -586,29 +599,29 @@
     EXPECT_EQ(config->team("red")->max_cpus, 11);
 }
 
-TEST_F(TeamConfigTest, KnowledgeIsAsOldAsTheQuestionAndGrowsOld) {
+TEST_F(QuotaConfigUnitTest, IsCurrentSinceTheTimeOfTheReadUntilTheCancellationDeadline) {
     EXPECT_FALSE(config->is_current(0, 0));
     config->advance(10);
     EXPECT_TRUE(config->is_current(11, 10));
-    EXPECT_FALSE(config->is_current(11, 10.5)) << "asked before the claim";
-    EXPECT_FALSE(config->is_current(10 + facts.cancel_s, 10));
+    EXPECT_FALSE(config->is_current(11, 10.5)) << "read before the leadership began";
+    EXPECT_FALSE(config->is_current(10 + settings.cancel_s, 10));
 }
 
-TEST_F(TeamConfigTest, FaultsAreNamedByTheirKey) {
-    TeamQuota settings{"red", 4, 8, 0, 0};
-    auto fault = [&](double cpus, double cpus_max, double gpus, double gpus_max) {
-        return invalid_quota_reason(settings, {"red", cpus, cpus_max, gpus, gpus_max});
+TEST_F(QuotaConfigUnitTest, InvalidQuotaReasonNamesTheKey) {
+    TeamQuota configured{"red", 4, 8, 0, 0};
+    auto reason = [&](double cpus, double cpus_max, double gpus, double gpus_max) {
+        return invalid_quota_reason(configured, {"red", cpus, cpus_max, gpus, gpus_max});
     };
-    EXPECT_EQ(fault(4, 8, 0, 0), "");
-    EXPECT_EQ(fault(4, 0, 0, 0), "") << "no limit";
-    EXPECT_TRUE(fault(9, 8, 0, 0).starts_with("cpus: above cpus_max"));
-    EXPECT_TRUE(fault(-1, 8, 0, 0).starts_with("cpus:"));
-    EXPECT_TRUE(fault(1, NAN, 0, 0).starts_with("cpus_max:"));
-    EXPECT_TRUE(fault(1, INFINITY, 0, 0).starts_with("cpus_max:"));
-    EXPECT_TRUE(fault(4, 8, 1, 2).starts_with("gpus:")) << "the settings state none";
-    EXPECT_TRUE(fault(0, 0, 0, 0).starts_with("cpus:")) << "the settings state some";
-    settings.name = "a team";
-    EXPECT_TRUE(fault(4, 8, 0, 0).starts_with("team:"));
+    EXPECT_EQ(reason(4, 8, 0, 0), "");
+    EXPECT_EQ(reason(4, 0, 0, 0), "") << "no limit";
+    EXPECT_TRUE(reason(9, 8, 0, 0).starts_with("cpus: above cpus_max"));
+    EXPECT_TRUE(reason(-1, 8, 0, 0).starts_with("cpus:"));
+    EXPECT_TRUE(reason(1, NAN, 0, 0).starts_with("cpus_max:"));
+    EXPECT_TRUE(reason(1, INFINITY, 0, 0).starts_with("cpus_max:"));
+    EXPECT_TRUE(reason(4, 8, 1, 2).starts_with("gpus:")) << "the settings state no GPUs";
+    EXPECT_TRUE(reason(0, 0, 0, 0).starts_with("cpus:")) << "the settings state CPUs";
+    configured.name = "a team";
+    EXPECT_TRUE(reason(4, 8, 0, 0).starts_with("team:"));
 }
 
 } // namespace
