--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -1,4 +1,5 @@
-// Gangs, services and GPU machines: the core against the model of the world.
+// Gangs, services and GPU machines in a simulated cluster: a gang starts as a whole, survives lost
+// commands, machines and leaders, and never runs twice at the same time.
 #include <gtest/gtest.h>
 
 #include "core/machines/slot_lists.h"
@@ -61,7 +62,7 @@
     for (std::uint32_t i = 0; i < 3; ++i) {
         EXPECT_EQ(world.starts({"req-1", i}), 0);
     }
-    world.submit(0, world.job("req-2", 4)); // and its slots are not held back
+    world.submit(0, world.job("req-2", 4)); // the gang must not reserve these slots
     world.run_for(40);
     EXPECT_TRUE(world.all_done("req-2"));
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
@@ -125,9 +126,10 @@
 
 TEST(Gang, ATaskLostWhileTheyWaitIsReplacedUnderTheSameAttempt) {
     World world({.boot_s = 2, .gpus = true});
-    world.run_for(25); // from here on, a machine that is silent alone is given up
+    world.run_for(25); // from then on, one machine without heartbeats is released
     JobSpec g = gang(world, "req-1", 2, 4);
-    // One start never arrives, and the machine is released: its mate waits meanwhile.
+    // One start command is lost and its machine is released, while the other task of the gang
+    // waits.
     std::string lost;
     world.intercept = [&](int, const OutboundBody& body) {
         const auto* orders = std::get_if<WorkerCommands>(&body);
@@ -164,10 +166,10 @@
     JobSpec g = gang(world, "req-1", 2, 4);
     until_it_runs(world, g);
     std::string machine = *world.machines_of({"req-1", 0}).begin();
-    world.cloud_down(true); // so that no release makes it known
+    world.cloud_down(true); // otherwise the machine is released, which proves that the task is gone
     world.cut_machine(machine, true);
     world.run_for(10);
-    // The silent machine may still run it: nothing of the gang may start.
+    // The unreachable machine may still run its task, so no task of the gang may start.
     EXPECT_EQ(world.gang_runs("req-1"), 1);
     EXPECT_EQ(world.starts({"req-1", 1}), 1);
     world.cloud_down(false);
@@ -229,7 +231,7 @@
 TEST(Gang, LeftIncompleteByItsOwnerIsEndedAndStartedAnew) {
     World world({.run_s = 20, .gpus = true});
     int direct = 0;
-    world.intercept = [&](int, const OutboundBody& body) { // one of its starts never goes out
+    world.intercept = [&](int, const OutboundBody& body) { // one of its start commands is lost
         const auto* orders = std::get_if<WorkerCommands>(&body);
         return orders && !orders->commands.empty() &&
                orders->commands[0].type == CommandType::start && ++direct == 2;
@@ -251,7 +253,7 @@
     world.submit(0, world.job("req-1", 30));
     world.run_for(25);
     EXPECT_EQ(world.used("red"), 12);
-    for (int i = 0; i < 2; ++i) { // these count until they are known gone
+    for (int i = 0; i < 2; ++i) { // their tasks count until they are known to be gone
         world.cut_machine(world.machines_up()[static_cast<std::size_t>(i)], true);
     }
     world.run_for(150);
@@ -282,15 +284,15 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-// A full place: without room made for it, the gang would wait until two GPUs of one machine happen
-// to fall free together.
+// In a full cluster, a gang that may not preempt tasks would wait until two GPUs of one machine
+// happen to become free at the same time.
 TEST(Preemption, AGangWithinItsGuaranteeStopsWhatRunsBeyondAnotherTeams) {
     World world({.run_s = 200, .capacity = 4, .gpus = true});
     world.run_for(3);
     world.submit(0, world.job("req-1", 12)); // red is guaranteed 8 GPUs and runs 12
     JobSpec blue = world.job("req-2", 4);
     blue.team = "blue";
-    world.submit(0, blue); // the place is full: 16 GPUs
+    world.submit(0, blue); // now all 16 GPUs are in use
     world.run_for(40);
     ASSERT_EQ(world.used("red") + world.used("blue"), 16);
     JobSpec borrows = gang(world, "req-3", 1, 4); // red runs beyond its guarantee itself
@@ -308,7 +310,8 @@
     EXPECT_TRUE(world.broken.empty()) << world.broken.front();
 }
 
-// Whatever an owner before us started, it was not a job that did not exist yet.
+// Tasks of older jobs that are not reconciled yet must not delay a job submitted after the
+// failover: no earlier leader can have started a task of it.
 TEST(Takeover, AJobThatComesAfterItRunsWhileOlderTasksAreStillInDoubt) {
     World world({.run_s = 60, .limits = 2, .gpus = true});
     world.run_for(3);
@@ -319,10 +322,10 @@
     world.run_for(30);
     int leader = world.owner(partition_of_team(world.facts(0), "red"));
     world.cloud_down(true);
-    world.cancel(1, "req-1"); // so that every part has idle slots
+    world.cancel(1, "req-1"); // every partition then has idle slots
     world.run_for(1);
     world.crash(leader, 1);
-    for (int n = 0; n < 3; ++n) { // no listing of other parts arrives
+    for (int n = 0; n < 3; ++n) { // no inventory of another partition arrives
         world.cut_peers(leader, n, n != leader);
     }
     world.run_for(6);
@@ -348,21 +351,21 @@
 TEST(Slots, OfAGpuMachineAreItsGpus) {
     InstanceType type{"g2", 16, 2, 96, 0, 0, 0, 0, 0, {}};
     EXPECT_EQ(slots_needed(type, 5, 1, 29), 1);
-    EXPECT_EQ(slots_needed(type, 14, 1, 29), 2);     // by its CPUs
-    EXPECT_EQ(min_listed_slots(type, 14, 1, 29), 1); // yet one GPU is enough to look
-    EXPECT_EQ(min_listed_slots(type, 4, 0, 8), 0);   // a task without GPUs fits beside tasks with
+    EXPECT_EQ(slots_needed(type, 14, 1, 29), 2);     // its CPUs decide
+    EXPECT_EQ(min_listed_slots(type, 14, 1, 29), 1); // machines with one idle GPU are listed too
+    EXPECT_EQ(min_listed_slots(type, 4, 0, 8), 0);   // a task without GPUs fits next to GPU tasks
     EXPECT_EQ(idle_slots(2, 1, 60, type), 1);
 }
 
-// Tasks that do not fill their machines, in one zone: what is there is enough by its slots, but not
-// in any one zone. A gang of 19 tasks of 3 CPUs once waited for ever beside fifteen empty machines
-// of 8 CPUs, six in one zone and nine in the other.
+// A one-zone gang whose tasks do not fill their machines: the idle slots suffice in total but not
+// in any one zone, so a scale-out is necessary. A gang of 19 tasks of 3 CPUs once waited forever
+// next to 15 empty machines of 8 CPUs, six in one zone and nine in the other.
 TEST(GangPlacing, OneZoneBeginsWhateverItsSize) {
     for (double cpus : {1.5, 3.0, 5.0}) {
         for (std::uint32_t tasks = 2; tasks <= 20; tasks += 3) {
             World world({.seed = tasks, .nodes = 5, .run_s = 20, .limits = 20, .capacity = 60});
             world.run_for(30);
-            // What came before leaves machines in both zones.
+            // An earlier job leaves machines in both zones.
             world.submit(0, world.job("req-1", tasks * 2, cpus));
             world.run_for(40);
             JobSpec gang = world.job("req-2", tasks, cpus);
