--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -9,8 +9,10 @@
 namespace scheduler::test {
 namespace {
 
-JobSpec gang(const World& world, const std::string& id, std::uint32_t tasks, double gpus = 2) {
-    JobSpec spec = world.job(id, tasks, 4);
+// Returns a gang of GPU tasks in one zone that saves a checkpoint every 4 s.
+JobSpec gang_spec(const World& cluster, const std::string& id, std::uint32_t tasks,
+                  double gpus = 2) {
+    JobSpec spec = cluster.job(id, tasks, 4);
     spec.kind = JobKind::gang;
     spec.gpus = gpus;
     spec.checkpoint_interval_s = 4;
@@ -19,323 +21,328 @@
     return spec;
 }
 
-void until_it_runs(World& world, const JobSpec& spec) {
-    world.run_for(3);
-    world.submit(0, spec);
-    for (int i = 0; i < 600 && world.gang_runs(spec.id) == 0; ++i) {
-        world.run_for(0.1);
+// Submits the gang and returns about 1 s after all of its tasks began to run together.
+void submit_and_await_run(World& cluster, const JobSpec& spec) {
+    cluster.run_for(3);
+    cluster.submit(0, spec);
+    for (int i = 0; i < 600 && cluster.gang_runs(spec.id) == 0; ++i) {
+        cluster.run_for(0.1);
     }
-    world.run_for(1);
+    cluster.run_for(1);
 }
 
-std::set<std::string> machines(const World& world, const JobSpec& spec) {
-    std::set<std::string> out;
+std::set<std::string> machines_of_job(const World& cluster, const JobSpec& spec) {
+    std::set<std::string> names;
     for (std::uint32_t i = 0; i < spec.tasks; ++i) {
-        out.merge(world.machines_of({spec.id, i}));
+        names.merge(cluster.machines_of({spec.id, i}));
     }
-    return out;
+    return names;
 }
 
-TEST(Gang, RunsTogetherInOneZoneAndIsDone) {
-    World world({.gpus = true});
-    JobSpec g = gang(world, "req-1", 4);
-    until_it_runs(world, g);
+TEST(GangScheduling, RunsTogetherInOneZoneAndCompletes) {
+    World cluster({.gpus = true});
+    JobSpec spec = gang_spec(cluster, "req-1", 4);
+    submit_and_await_run(cluster, spec);
     std::set<std::string> zones;
-    for (const auto& m : machines(world, g)) {
-        zones.insert(world.zone_of(m));
+    for (const auto& machine : machines_of_job(cluster, spec)) {
+        zones.insert(cluster.zone_of(machine));
     }
     EXPECT_EQ(zones.size(), 1u);
-    world.run_for(20);
-    EXPECT_EQ(world.outcomes().at("req-1"), Outcome::done);
-    EXPECT_EQ(world.gang_runs("req-1"), 1);
+    cluster.run_for(20);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
+    EXPECT_EQ(cluster.gang_runs("req-1"), 1);
     for (std::uint32_t i = 0; i < 4; ++i) {
-        EXPECT_EQ(world.starts({"req-1", i}), 1);
+        EXPECT_EQ(cluster.starts({"req-1", i}), 1);
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Gang, WithAllButOneOfItsSlotsStartsNothing) {
-    World world({.capacity = 1, .gpus = true});
-    world.run_for(3);
-    world.submit(0, gang(world, "req-1", 3)); // two of the three fit on the only machine
-    world.run_for(60);
+TEST(GangScheduling, StartsNoTaskWhenOneSlotIsMissing) {
+    World cluster({.capacity = 1, .gpus = true});
+    cluster.run_for(3);
+    cluster.submit(0, gang_spec(cluster, "req-1", 3)); // two of the three fit on the only machine
+    cluster.run_for(60);
     for (std::uint32_t i = 0; i < 3; ++i) {
-        EXPECT_EQ(world.starts({"req-1", i}), 0);
+        EXPECT_EQ(cluster.starts({"req-1", i}), 0);
     }
-    world.submit(0, world.job("req-2", 4)); // the gang must not reserve these slots
-    world.run_for(40);
-    EXPECT_TRUE(world.all_done("req-2"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.submit(0, cluster.job("req-2", 4)); // the gang must not reserve these slots
+    cluster.run_for(40);
+    EXPECT_TRUE(cluster.all_done("req-2"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Gang, TwoWithRoomForOneRunOneAfterTheOther) {
-    World world({.capacity = 1, .gpus = true});
-    world.run_for(3);
-    JobSpec other = gang(world, "req-2", 2);
+TEST(GangScheduling, TwoGangsRunInTurnWhenCapacityFitsOne) {
+    World cluster({.capacity = 1, .gpus = true});
+    cluster.run_for(3);
+    JobSpec other = gang_spec(cluster, "req-2", 2);
     other.team = "blue";
-    world.submit(0, gang(world, "req-1", 2));
-    world.submit(1, other);
-    world.run_for(80);
-    EXPECT_EQ(world.outcomes().at("req-1"), Outcome::done);
-    EXPECT_EQ(world.outcomes().at("req-2"), Outcome::done);
-    EXPECT_EQ(world.gang_runs("req-1") + world.gang_runs("req-2"), 2);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.submit(0, gang_spec(cluster, "req-1", 2));
+    cluster.submit(1, other);
+    cluster.run_for(80);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
+    EXPECT_EQ(cluster.outcomes().at("req-2"), Outcome::done);
+    EXPECT_EQ(cluster.gang_runs("req-1") + cluster.gang_runs("req-2"), 2);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-// More tasks than the machines of any one part hold: slots of two owners make one attempt.
-JobSpec across(const World& world) {
-    JobSpec g = gang(world, "req-1", 4, 4);
-    g.one_zone = false;
-    return g;
+// Returns a gang with more tasks than the machines of any one partition hold, so that an attempt
+// needs slots of two partition leaders.
+JobSpec spec_across_partitions(const World& cluster) {
+    JobSpec spec = gang_spec(cluster, "req-1", 4, 4);
+    spec.one_zone = false;
+    return spec;
 }
 
-TEST(Gang, AcrossTwoOwnersWhenOneCrashesAtAnyTime) {
+TEST(GangScheduling, CompletesAcrossTwoPartitionsWhenAnyControllerCrashesAtAnyTime) {
     for (int k = 0; k < 8; ++k) {
-        for (int victim = 0; victim < 3; ++victim) {
-            World world({.seed = 40u + static_cast<unsigned>(k),
-                         .run_s = 12,
-                         .limits = 2,
-                         .capacity = 4,
-                         .gpus = true});
-            JobSpec g = across(world);
-            world.run_for(3);
-            world.submit(0, g);
-            world.run_for(10 + 0.5 * k);
-            world.crash(victim, 5);
-            world.run_for(150);
-            EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-            EXPECT_EQ(world.outcomes().at("req-1"), Outcome::done) << k << " " << victim;
+        for (int crashed = 0; crashed < 3; ++crashed) {
+            World cluster({.seed = 40u + static_cast<unsigned>(k),
+                           .run_s = 12,
+                           .limits = 2,
+                           .capacity = 4,
+                           .gpus = true});
+            JobSpec spec = spec_across_partitions(cluster);
+            cluster.run_for(3);
+            cluster.submit(0, spec);
+            cluster.run_for(10 + 0.5 * k);
+            cluster.crash(crashed, 5);
+            cluster.run_for(150);
+            EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+            EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done) << k << " " << crashed;
         }
     }
 }
 
-TEST(Gang, ALostAnswerToOneStartEndsWell) {
-    World world({.gpus = true});
-    int direct = 0;
-    world.intercept = [&](int, const OutboundBody& body) {
-        const auto* orders = std::get_if<WorkerCommands>(&body);
-        return orders && !orders->commands.empty() &&
-               orders->commands[0].type == CommandType::start && ++direct == 2;
+TEST(GangScheduling, CompletesWhenTheResponseToOneStartIsLost) {
+    World cluster({.gpus = true});
+    int start_commands = 0;
+    cluster.intercept = [&](int, const OutboundBody& body) {
+        const auto* request = std::get_if<WorkerCommands>(&body);
+        return request && !request->commands.empty() &&
+               request->commands[0].type == CommandType::start && ++start_commands == 2;
     };
-    world.run_for(3);
-    world.submit(0, gang(world, "req-1", 4));
-    world.run_for(90);
-    EXPECT_EQ(world.outcomes().at("req-1"), Outcome::done);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(3);
+    cluster.submit(0, gang_spec(cluster, "req-1", 4));
+    cluster.run_for(90);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Gang, ATaskLostWhileTheyWaitIsReplacedUnderTheSameAttempt) {
-    World world({.boot_s = 2, .gpus = true});
-    world.run_for(25); // from then on, one machine without heartbeats is released
-    JobSpec g = gang(world, "req-1", 2, 4);
+TEST(GangScheduling, TaskLostWhileTheGangWaitsIsReplacedInTheSameAttempt) {
+    World cluster({.boot_s = 2, .gpus = true});
+    cluster.run_for(25); // from then on, one machine without heartbeats is released
+    JobSpec spec = gang_spec(cluster, "req-1", 2, 4);
     // One start command is lost and its machine is released, while the other task of the gang
     // waits.
     std::string lost;
-    world.intercept = [&](int, const OutboundBody& body) {
-        const auto* orders = std::get_if<WorkerCommands>(&body);
-        if (!orders || orders->commands.empty()) {
+    cluster.intercept = [&](int, const OutboundBody& body) {
+        const auto* request = std::get_if<WorkerCommands>(&body);
+        if (!request || request->commands.empty()) {
             return false;
         }
-        if (lost.empty() && orders->commands[0].type == CommandType::start) {
-            lost = orders->machine;
-            world.kill_machine(lost);
+        if (lost.empty() && request->commands[0].type == CommandType::start) {
+            lost = request->machine;
+            cluster.kill_machine(lost);
         }
-        return orders->machine == lost;
+        return request->machine == lost;
     };
-    world.submit(0, g);
+    cluster.submit(0, spec);
     for (int i = 0; i < 400 && lost.empty(); ++i) {
-        world.run_for(0.1);
+        cluster.run_for(0.1);
     }
     ASSERT_FALSE(lost.empty());
-    world.run_for(1.5);
-    std::uint64_t first = std::max(world.attempt_of({"req-1", 0}), world.attempt_of({"req-1", 1}));
+    cluster.run_for(1.5);
+    std::uint64_t first =
+        std::max(cluster.attempt_of({"req-1", 0}), cluster.attempt_of({"req-1", 1}));
     ASSERT_NE(first, 0u);
-    for (int i = 0; i < 250 && world.gang_runs("req-1") == 0; ++i) {
-        world.run_for(0.1);
+    for (int i = 0; i < 250 && cluster.gang_runs("req-1") == 0; ++i) {
+        cluster.run_for(0.1);
     }
-    EXPECT_EQ(world.attempt_of({"req-1", 0}), first);
-    EXPECT_EQ(world.attempt_of({"req-1", 1}), first);
-    world.run_for(30);
-    EXPECT_EQ(world.outcomes().at("req-1"), Outcome::done);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_EQ(cluster.attempt_of({"req-1", 0}), first);
+    EXPECT_EQ(cluster.attempt_of({"req-1", 1}), first);
+    cluster.run_for(30);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Gang, ATaskLostWhileTheyRunEndsTheAttemptAndTheNextWaitsUntilItIsKnownGone) {
-    World world({.run_s = 20, .gpus = true});
-    world.cloud_down(false);
-    JobSpec g = gang(world, "req-1", 2, 4);
-    until_it_runs(world, g);
-    std::string machine = *world.machines_of({"req-1", 0}).begin();
-    world.cloud_down(true); // otherwise the machine is released, which proves that the task is gone
-    world.cut_machine(machine, true);
-    world.run_for(10);
+TEST(GangScheduling, TaskLostWhileTheGangRunsDelaysTheNextAttemptUntilItIsGone) {
+    World cluster({.run_s = 20, .gpus = true});
+    cluster.cloud_down(false);
+    JobSpec spec = gang_spec(cluster, "req-1", 2, 4);
+    submit_and_await_run(cluster, spec);
+    std::string machine = *cluster.machines_of({"req-1", 0}).begin();
+    // Otherwise the machine would be released, which proves that the task is gone.
+    cluster.cloud_down(true);
+    cluster.cut_machine(machine, true);
+    cluster.run_for(10);
     // The unreachable machine may still run its task, so no task of the gang may start.
-    EXPECT_EQ(world.gang_runs("req-1"), 1);
-    EXPECT_EQ(world.starts({"req-1", 1}), 1);
-    world.cloud_down(false);
-    world.run_for(80);
-    EXPECT_EQ(world.outcomes().at("req-1"), Outcome::done);
-    EXPECT_EQ(world.gang_runs("req-1"), 2);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_EQ(cluster.gang_runs("req-1"), 1);
+    EXPECT_EQ(cluster.starts({"req-1", 1}), 1);
+    cluster.cloud_down(false);
+    cluster.run_for(80);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
+    EXPECT_EQ(cluster.gang_runs("req-1"), 2);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Gang, IsStoppedInGoodOrderWhenAMachineIsToGo) {
-    World world({.run_s = 30, .gpus = true});
-    JobSpec g = gang(world, "req-1", 3, 4);
-    until_it_runs(world, g);
-    world.take_machine(*world.machines_of({"req-1", 0}).begin(), 10);
-    world.run_for(9);
-    EXPECT_EQ(world.gang_saves("req-1"), 1);
-    world.run_for(80);
-    EXPECT_EQ(world.outcomes().at("req-1"), Outcome::done);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+TEST(GangScheduling, IsCheckpointedOnAPreemptionNotice) {
+    World cluster({.run_s = 30, .gpus = true});
+    JobSpec spec = gang_spec(cluster, "req-1", 3, 4);
+    submit_and_await_run(cluster, spec);
+    cluster.take_machine(*cluster.machines_of({"req-1", 0}).begin(), 10);
+    cluster.run_for(9);
+    EXPECT_EQ(cluster.gang_saves("req-1"), 1);
+    cluster.run_for(80);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Gang, WhoseMatesAreToldTooLateFallsBackAndStillEnds) {
-    World world({.run_s = 30, .gpus = true});
-    JobSpec g = gang(world, "req-1", 3, 4);
-    until_it_runs(world, g);
-    std::string cut = *world.machines_of({"req-1", 1}).begin();
-    world.cut_machine(cut, true);
-    world.take_machine(*world.machines_of({"req-1", 0}).begin(), 10);
-    world.run_for(8);
-    EXPECT_EQ(world.gang_saves("req-1"), 0);
-    world.run_for(120);
-    EXPECT_EQ(world.outcomes().at("req-1"), Outcome::done);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+TEST(GangScheduling, CompletesWithoutACheckpointWhenAPeerTaskIsUnreachable) {
+    World cluster({.run_s = 30, .gpus = true});
+    JobSpec spec = gang_spec(cluster, "req-1", 3, 4);
+    submit_and_await_run(cluster, spec);
+    std::string cut = *cluster.machines_of({"req-1", 1}).begin();
+    cluster.cut_machine(cut, true);
+    cluster.take_machine(*cluster.machines_of({"req-1", 0}).begin(), 10);
+    cluster.run_for(8);
+    EXPECT_EQ(cluster.gang_saves("req-1"), 0);
+    cluster.run_for(120);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Gang, CancelledWhileItGathersStartsNothing) {
-    World world({.capacity = 1, .gpus = true});
-    world.run_for(3);
-    world.submit(0, gang(world, "req-1", 3));
-    world.run_for(20);
-    world.cancel(1, "req-1");
-    world.run_for(60);
-    EXPECT_EQ(world.outcomes().at("req-1"), Outcome::cancelled);
-    EXPECT_EQ(world.starts({"req-1", 0}), 0);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+TEST(GangScheduling, CancelledWhileGatheringSlotsStartsNoTask) {
+    World cluster({.capacity = 1, .gpus = true});
+    cluster.run_for(3);
+    cluster.submit(0, gang_spec(cluster, "req-1", 3));
+    cluster.run_for(20);
+    cluster.cancel(1, "req-1");
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::cancelled);
+    EXPECT_EQ(cluster.starts({"req-1", 0}), 0);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Gang, GoesOnUnderANewOwnerIfItIsWhole) {
-    World world({.run_s = 40, .gpus = true});
-    JobSpec g = gang(world, "req-1", 3, 4);
-    until_it_runs(world, g);
-    world.crash(world.owner(partition_of_team(world.facts(0), "red")), 30);
-    world.run_for(100);
-    EXPECT_EQ(world.outcomes().at("req-1"), Outcome::done);
-    EXPECT_EQ(world.gang_runs("req-1"), 1);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+TEST(GangScheduling, CompleteGangContinuesAfterFailover) {
+    World cluster({.run_s = 40, .gpus = true});
+    JobSpec spec = gang_spec(cluster, "req-1", 3, 4);
+    submit_and_await_run(cluster, spec);
+    cluster.crash(cluster.owner(partition_of_team(cluster.facts(0), "red")), 30);
+    cluster.run_for(100);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
+    EXPECT_EQ(cluster.gang_runs("req-1"), 1);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Gang, LeftIncompleteByItsOwnerIsEndedAndStartedAnew) {
-    World world({.run_s = 20, .gpus = true});
-    int direct = 0;
-    world.intercept = [&](int, const OutboundBody& body) { // one of its start commands is lost
-        const auto* orders = std::get_if<WorkerCommands>(&body);
-        return orders && !orders->commands.empty() &&
-               orders->commands[0].type == CommandType::start && ++direct == 2;
+TEST(GangScheduling, PartlyStartedGangIsRestartedAfterFailover) {
+    World cluster({.run_s = 20, .gpus = true});
+    int start_commands = 0;
+    cluster.intercept = [&](int, const OutboundBody& body) { // one of its start commands is lost
+        const auto* request = std::get_if<WorkerCommands>(&body);
+        return request && !request->commands.empty() &&
+               request->commands[0].type == CommandType::start && ++start_commands == 2;
     };
-    world.run_for(3);
-    world.submit(0, gang(world, "req-1", 2, 4));
-    for (int i = 0; i < 400 && direct < 2; ++i) {
-        world.run_for(0.05);
+    cluster.run_for(3);
+    cluster.submit(0, gang_spec(cluster, "req-1", 2, 4));
+    for (int i = 0; i < 400 && start_commands < 2; ++i) {
+        cluster.run_for(0.05);
     }
-    world.crash(world.owner(partition_of_team(world.facts(0), "red")), 5);
-    world.run_for(120);
-    EXPECT_EQ(world.outcomes().at("req-1"), Outcome::done);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.crash(cluster.owner(partition_of_team(cluster.facts(0), "red")), 5);
+    cluster.run_for(120);
+    EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Teams, WithAGpuLimitOnlyKeepItWithDoubtfulTasks) {
-    World world({.run_s = 40, .capacity = 12, .gpus = true});
-    world.run_for(3);
-    world.submit(0, world.job("req-1", 30));
-    world.run_for(25);
-    EXPECT_EQ(world.used("red"), 12);
+TEST(GpuQuota, LimitHoldsWhileTasksArePossiblyRunning) {
+    World cluster({.run_s = 40, .capacity = 12, .gpus = true});
+    cluster.run_for(3);
+    cluster.submit(0, cluster.job("req-1", 30));
+    cluster.run_for(25);
+    EXPECT_EQ(cluster.used("red"), 12);
     for (int i = 0; i < 2; ++i) { // their tasks count until they are known to be gone
-        world.cut_machine(world.machines_up()[static_cast<std::size_t>(i)], true);
+        cluster.cut_machine(cluster.machines_up()[static_cast<std::size_t>(i)], true);
     }
-    world.run_for(150);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(150);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Service, IsSpreadOverZonesAlsoWhenOneIsCutOff) {
-    World world({.capacity = 12, .gpus = true});
-    JobSpec spec = world.job("req-1", 6);
+TEST(ServiceJob, ReplicasSpreadOverZonesRecoverFromAnUnreachableZone) {
+    World cluster({.capacity = 12, .gpus = true});
+    JobSpec spec = cluster.job("req-1", 6);
     spec.kind = JobKind::service;
     spec.priority = Priority::production;
     spec.spread = true;
     spec.estimated_run_s = 0;
-    world.run_for(3);
-    world.submit(0, spec);
-    world.run_for(25);
-    EXPECT_EQ(world.used("red"), 6);
-    for (const auto& m : world.machines_up()) {
-        world.cut_machine(m, world.zone_of(m) == "b");
+    cluster.run_for(3);
+    cluster.submit(0, spec);
+    cluster.run_for(25);
+    EXPECT_EQ(cluster.used("red"), 6);
+    for (const auto& machine : cluster.machines_up()) {
+        cluster.cut_machine(machine, cluster.zone_of(machine) == "b");
     }
-    world.run_for(15);
-    for (const auto& m : world.machines_up()) {
-        world.cut_machine(m, false);
+    cluster.run_for(15);
+    for (const auto& machine : cluster.machines_up()) {
+        cluster.cut_machine(machine, false);
     }
-    world.run_for(60);
-    EXPECT_EQ(world.used("red"), 6);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(60);
+    EXPECT_EQ(cluster.used("red"), 6);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // In a full cluster, a gang that may not preempt tasks would wait until two GPUs of one machine
 // happen to become free at the same time.
-TEST(Preemption, AGangWithinItsGuaranteeStopsWhatRunsBeyondAnotherTeams) {
-    World world({.run_s = 200, .capacity = 4, .gpus = true});
-    world.run_for(3);
-    world.submit(0, world.job("req-1", 12)); // red is guaranteed 8 GPUs and runs 12
-    JobSpec blue = world.job("req-2", 4);
+TEST(Preemption, GangWithinItsGuaranteePreemptsTasksBeyondAnotherTeamsGuarantee) {
+    World cluster({.run_s = 200, .capacity = 4, .gpus = true});
+    cluster.run_for(3);
+    cluster.submit(0, cluster.job("req-1", 12)); // red is guaranteed 8 GPUs and runs 12
+    JobSpec blue = cluster.job("req-2", 4);
     blue.team = "blue";
-    world.submit(0, blue); // now all 16 GPUs are in use
-    world.run_for(40);
-    ASSERT_EQ(world.used("red") + world.used("blue"), 16);
-    JobSpec borrows = gang(world, "req-3", 1, 4); // red runs beyond its guarantee itself
-    world.submit(0, borrows);
-    world.run_for(20);
-    EXPECT_EQ(world.gang_runs("req-3"), 0);
-    world.cancel(0, "req-2");
-    world.run_for(1);
-    JobSpec within = gang(world, "req-4", 1, 4); // blue is guaranteed 4
-    within.team = "blue";
-    world.submit(0, within);
-    world.run_for(12);
-    EXPECT_EQ(world.gang_runs("req-4"), 1);
-    EXPECT_GE(world.used("red"), 8);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.submit(0, blue); // now all 16 GPUs are in use
+    cluster.run_for(40);
+    ASSERT_EQ(cluster.used("red") + cluster.used("blue"), 16);
+    // Red already exceeds its own guarantee, so its gang must not preempt.
+    JobSpec beyond_guarantee = gang_spec(cluster, "req-3", 1, 4);
+    cluster.submit(0, beyond_guarantee);
+    cluster.run_for(20);
+    EXPECT_EQ(cluster.gang_runs("req-3"), 0);
+    cluster.cancel(0, "req-2");
+    cluster.run_for(1);
+    JobSpec within_guarantee = gang_spec(cluster, "req-4", 1, 4); // blue is guaranteed 4
+    within_guarantee.team = "blue";
+    cluster.submit(0, within_guarantee);
+    cluster.run_for(12);
+    EXPECT_EQ(cluster.gang_runs("req-4"), 1);
+    EXPECT_GE(cluster.used("red"), 8);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // Tasks of older jobs that are not reconciled yet must not delay a job submitted after the
 // failover: no earlier leader can have started a task of it.
-TEST(Takeover, AJobThatComesAfterItRunsWhileOlderTasksAreStillInDoubt) {
-    World world({.run_s = 60, .limits = 2, .gpus = true});
-    world.run_for(3);
-    JobSpec other = world.job("req-1", 32);
+TEST(Failover, JobSubmittedAfterwardsRunsBeforeOlderTasksAreReconciled) {
+    World cluster({.run_s = 60, .limits = 2, .gpus = true});
+    cluster.run_for(3);
+    JobSpec other = cluster.job("req-1", 32);
     other.team = "blue";
-    world.submit(0, other);
-    world.submit(0, world.job("req-2", 4));
-    world.run_for(30);
-    int leader = world.owner(partition_of_team(world.facts(0), "red"));
-    world.cloud_down(true);
-    world.cancel(1, "req-1"); // every partition then has idle slots
-    world.run_for(1);
-    world.crash(leader, 1);
+    cluster.submit(0, other);
+    cluster.submit(0, cluster.job("req-2", 4));
+    cluster.run_for(30);
+    int leader = cluster.owner(partition_of_team(cluster.facts(0), "red"));
+    cluster.cloud_down(true);
+    cluster.cancel(1, "req-1"); // every partition then has idle slots
+    cluster.run_for(1);
+    cluster.crash(leader, 1);
     for (int n = 0; n < 3; ++n) { // no inventory of another partition arrives
-        world.cut_peers(leader, n, n != leader);
+        cluster.cut_peers(leader, n, n != leader);
     }
-    world.run_for(6);
-    world.submit((leader + 1) % 3, world.job("req-3", 1));
-    world.run_for(8);
-    EXPECT_GE(world.starts({"req-3", 0}), 1);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(6);
+    cluster.submit((leader + 1) % 3, cluster.job("req-3", 1));
+    cluster.run_for(8);
+    EXPECT_GE(cluster.starts({"req-3", 0}), 1);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Parts, TeamsThatStateOnlyGpusAreSpreadByThem) {
+TEST(PartitionPlacement, TeamsWithOnlyGpuQuotasAreBalancedByGpus) {
     ClusterSettings settings;
     settings.partitions = {{"n0", "a"}, {"n1", "a"}, {"n2", "b"}};
     settings.teams = {{"w", 0, 0, 1000, 2500},
@@ -348,7 +355,7 @@
     EXPECT_EQ(partition_of_team(settings, "y"), 2);
 }
 
-TEST(Slots, OfAGpuMachineAreItsGpus) {
+TEST(SlotLists, GpuMachineHasOneSlotPerGpu) {
     InstanceType type{"g2", 16, 2, 96, 0, 0, 0, 0, 0, {}};
     EXPECT_EQ(slots_needed(type, 5, 1, 29), 1);
     EXPECT_EQ(slots_needed(type, 14, 1, 29), 2);     // its CPUs decide
@@ -357,27 +364,27 @@
     EXPECT_EQ(idle_slots(2, 1, 60, type), 1);
 }
 
-// A one-zone gang whose tasks do not fill their machines: the idle slots suffice in total but not
-// in any one zone, so a scale-out is necessary. A gang of 19 tasks of 3 CPUs once waited forever
-// next to 15 empty machines of 8 CPUs, six in one zone and nine in the other.
-TEST(GangPlacing, OneZoneBeginsWhateverItsSize) {
+// A one-zone gang whose tasks do not fill their machines must start even if the idle slots suffice
+// in total but not in any one zone. A gang of 19 tasks of 3 CPUs once waited forever next to 15
+// empty machines of 8 CPUs, six in one zone and nine in the other.
+TEST(GangPlacement, OneZoneGangOfAnySizeCompletes) {
     for (double cpus : {1.5, 3.0, 5.0}) {
         for (std::uint32_t tasks = 2; tasks <= 20; tasks += 3) {
-            World world({.seed = tasks, .nodes = 5, .run_s = 20, .limits = 20, .capacity = 60});
-            world.run_for(30);
+            World cluster({.seed = tasks, .nodes = 5, .run_s = 20, .limits = 20, .capacity = 60});
+            cluster.run_for(30);
             // An earlier job leaves machines in both zones.
-            world.submit(0, world.job("req-1", tasks * 2, cpus));
-            world.run_for(40);
-            JobSpec gang = world.job("req-2", tasks, cpus);
-            gang.kind = JobKind::gang;
-            gang.one_zone = true;
-            world.submit(1, gang);
-            world.ask_often();
-            world.run_for(200);
-            EXPECT_TRUE(world.all_done("req-2"))
-                << tasks << " of " << cpus << world.describe("req-2");
-            EXPECT_LT(world.judge().longest_idle(), 90) << world.judge().idlest();
-            EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+            cluster.submit(0, cluster.job("req-1", tasks * 2, cpus));
+            cluster.run_for(40);
+            JobSpec spec = cluster.job("req-2", tasks, cpus);
+            spec.kind = JobKind::gang;
+            spec.one_zone = true;
+            cluster.submit(1, spec);
+            cluster.ask_often();
+            cluster.run_for(200);
+            EXPECT_TRUE(cluster.all_done("req-2"))
+                << tasks << " of " << cpus << cluster.describe("req-2");
+            EXPECT_LT(cluster.judge().longest_idle(), 90) << cluster.judge().idlest();
+            EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
         }
     }
 }
