--- a/tests/history_checker_test.cpp
+++ b/tests/history_checker_test.cpp
@@ -1,4 +1,5 @@
-// Each judge fails on a made history that breaks what it judges, and on no history that keeps it.
+// Each check of the history checker reports a constructed history that violates its rule, and
+// accepts histories that comply with it.
 #include "simulation/judge.h"
 
 #include <gtest/gtest.h>
@@ -31,6 +32,7 @@
         }
         judge.answered(when + 0.1, Response{request, status, body});
     }
+    // Records a submission that is accepted.
     void accept(const JobSpec& spec, Time when = 1) {
         judge.submitted(when, spec);
         tell(when, Ask::submit, spec.id, 201, "pending");
@@ -61,7 +63,7 @@
     accept(job("req-1"));
     judge.completed({"req-1", 0});
     tell(5, Ask::poll, "req-1", 200, "done");
-    judge.asked(5.05, 100, Ask::poll, "req-1"); // asked before that was heard
+    judge.asked(5.05, 100, Ask::poll, "req-1"); // sent before that response was received
     judge.answered(6, Response{100, 200, JobStatusBody{"req-1", "running", {}, {}}});
     EXPECT_TRUE(judge.broken.empty());
     tell(5.2, Ask::submit, "req-1", 200, "pending");
@@ -129,7 +131,7 @@
 TEST_F(JudgeTest, ACancelledTaskThatStaysOrStarts) {
     accept(job("req-1", 3));
     judge.started(3, {"req-1", 0}, 2.9);
-    tell(5, Ask::cancel, "req-1", 200, "cancelled"); // heard at 5.1
+    tell(5, Ask::cancel, "req-1", 200, "cancelled"); // received at 5.1
     judge.started(5.5, {"req-1", 1}, 5.0);
     judge.started(8, {"req-1", 2}, 7.1);
     judge.there(47, {"req-1", 0});
@@ -158,7 +160,8 @@
 TEST_F(JudgeTest, AJobThatWaitsBesideAMachineThatFits) {
     accept(job("req-1", 2));
     EXPECT_EQ(idle({"req-1", 2, {}}, {room(2)}), 90);
-    // Not enough room, none of its kind, its team at its limit, or a task started now and then.
+    // Not counted: too little free capacity, the wrong machines, the team at its limit, or the time
+    // up to the start of a task.
     EXPECT_EQ(idle({"req-1", 2, {}}, {room(1.9), room(1)}), 0);
     EXPECT_EQ(idle({"req-1", 2, {}}, {room(2)}, {23, 0}), 0);
     judge.troubles_over(100);
@@ -184,7 +187,7 @@
     accept(gang);
     EXPECT_EQ(idle({"req-1", 4, {}}, {room(4), room(3)}), 0);
     EXPECT_EQ(idle({"req-1", 4, {}}, {room(4), room(5, "b")}), 90);
-    EXPECT_EQ(idle({"req-1", 2, {{"a", 2}}}, {room(8)}), 0); // under way
+    EXPECT_EQ(idle({"req-1", 2, {{"a", 2}}}, {room(8)}), 0); // partly placed already
     gang.id = "req-2";
     gang.one_zone = true;
     accept(gang);
