--- a/tests/slot_borrowing_test.cpp
+++ b/tests/slot_borrowing_test.cpp
@@ -1,5 +1,6 @@
-// What the owner of jobs may conclude from whose listing: the steps 3 and 4 of the argument in
-// docs/sharding.md, with scripted holders of shares.
+// Which conclusions a borrower may draw from the inventory of which peer (steps 3 and 4 of the
+// argument in docs/sharding.md), and what a lender does with late or repeated requests. The peers
+// are scripted.
 #include <gtest/gtest.h>
 
 #include "core/model/partition_assignment.h"
@@ -116,7 +117,7 @@
     // A reply of the part's owner that covers the share under the term.
     PeerSyncResponse listing(std::uint64_t term, bool accounted, bool whole) const {
         PeerSyncResponse response;
-        response.term = term < 30 ? 6 : 7; // of its claim
+        response.term = term < 30 ? 6 : 7; // of the sender's leadership
         response.no_stale_grants = true;
         response.version = 3;
         response.shards = {{{share, term, accounted, whole}}};
@@ -152,9 +153,10 @@
     }
 };
 
-// A gang's slots are kept while the rest is gathered. Their machine was released meanwhile, which
-// was listed once, before the tasks were started there: they counted as placed for ever, and the
-// gang was never done (seed 1173 of the random moves of shares).
+// The borrower keeps the slots of a gang while it gathers the rest. If their machine is released
+// meanwhile, the lender reports that once, before the tasks are started there. The tasks then
+// counted as placed forever and the gang never completed (seed 1173 of the random shard
+// migrations), so the borrower asks for the complete inventory again.
 TEST(ShareListings, AreWholeOnceAfterSlotsThatWereKeptAreUsed) {
     Owner o;
     std::vector<OutboundRequest> all;
@@ -163,12 +165,12 @@
     const PeerSyncRequest* changes = o.call_to(1, all, 2);
     ASSERT_TRUE(changes);
     EXPECT_EQ(changes->acked_version, 3u);
-    o.borrowing->request_full_resync(1); // while a call is on its way that asks for changes only
+    o.borrowing->request_full_resync(1); // while a request for changes only is in flight
     o.reply(2, 1, all, o.listing(25, true, false));
     const PeerSyncRequest* whole = o.call_to(1, all, 3);
     ASSERT_TRUE(whole);
     EXPECT_EQ(whole->acked_version, 0u);
-    o.reply(3, 2, all, o.listing(25, true, false)); // to part 1 it was lost
+    o.reply(3, 2, all, o.listing(25, true, false)); // the request to partition 1 was lost
     const PeerSyncRequest* again = o.call_to(1, all, 4);
     ASSERT_TRUE(again);
     EXPECT_EQ(again->acked_version, 0u);
@@ -184,13 +186,13 @@
     std::vector<OutboundRequest> all;
     o.call_to(1, all, 2);
     PeerSyncResponse other = o.listing(25, true, true);
-    (*other.shards)[0].shard.number = (o.share.number + 1) % 10; // of another share
+    (*other.shards)[0].shard.number = (o.share.number + 1) % 10; // of another shard
     o.reply(2, 1, all, other);
     o.call_to(2, all, 3);
-    o.reply(3, 2, all, o.listing(40, false, true)); // whole, but not accounted for
+    o.reply(3, 2, all, o.listing(40, false, true)); // complete, but not reconciled
     EXPECT_TRUE(o.ended.empty());
     o.call_to(2, all, 4);
-    o.reply(4, 2, all, o.listing(40, true, false)); // accounted for, but of no machine that changed
+    o.reply(4, 2, all, o.listing(40, true, false)); // reconciled, but without changed machines
     EXPECT_TRUE(o.ended.empty());
     o.call_to(2, all, 5);
     o.reply(5, 2, all, o.listing(40, true, true));
@@ -206,11 +208,11 @@
     now.tasks = {o.held(100, 0)};
     o.reply(2, 2, all, now); // it has moved, and runs
     o.call_to(1, all, 3);
-    o.reply(3, 1, all, o.listing(25, true, true)); // without it
+    o.reply(3, 1, all, o.listing(25, true, true)); // without the task
     EXPECT_TRUE(o.ended.empty());
     o.call_to(1, all, 4);
     PeerSyncResponse late = o.listing(25, true, true);
-    late.tasks = {o.held(77, 3)}; // nor is a task believed to run that it lists
+    late.tasks = {o.held(77, 3)}; // nor does a task that it lists count as running
     o.reply(4, 1, all, late);
     EXPECT_EQ(o.placed(), 1u);
 }
@@ -251,16 +253,17 @@
 }
 
 TEST(ShareListings, AShareThatWeGaveAwayUnknowinglyIsListedAgain) {
-    Owner o; // holds what is at home in part 0, under term 20
+    Owner o; // holds the shards whose home is partition 0, under term 20
     std::vector<OutboundRequest> all;
     const PeerSyncRequest* first = o.call_to(2, all, 1);
     ASSERT_TRUE(first);
     EXPECT_EQ(first->acked_version, 0u);
     PeerSyncResponse response = o.listing(40, true, true);
-    response.shards->push_back({{0, 0}, 40, true, true}); // ours, as far as we know
+    response.shards->push_back(
+        {{0, 0}, 40, true, true}); // held here, as far as this controller knows
     o.reply(1, 2, all, response);
     const PeerSyncRequest* second = o.call_to(2, all, 2);
-    EXPECT_EQ(second->acked_version, 0u); // so nothing has been taken in for good
+    EXPECT_EQ(second->acked_version, 0u); // so the inventory has not been acknowledged
     o.holdings->on_migrated_out({0, 0}, 39);
     o.reply(2, 2, all, response);
     EXPECT_EQ(o.call_to(2, all, 3)->acked_version, 3u);
@@ -284,7 +287,7 @@
     EXPECT_FALSE(o.borrowing->has_complete_inventory({2, 0}));
 }
 
-// The owner of part 1 with one machine that a gang of part 0 has been handed a slot of.
+// The leader of partition 1 with one machine, of which a gang of partition 0 requests a slot.
 struct Lender : SlotLender::Delegate {
     ClusterSettings facts = World({.nodes = 3}).facts(1);
     SchedulingPolicy policy = policy::defaults(facts);
@@ -350,8 +353,8 @@
     }
 };
 
-// The tasks of a gang's attempt share its number, so a slot may come to have the name of one that
-// went back: a call that comes late would give it back while its task starts.
+// The tasks of a gang share the number of its attempt, so a slot may get the identity of one that
+// was returned before. A late request would return the new slot while its task starts.
 TEST(ShareLending, ACallThatComesLateGivesNothingBack) {
     Lender l;
     EXPECT_EQ(l.call(1, false).status, 200);
@@ -359,7 +362,7 @@
     l.lending->lend(1, *l.m, 0, l.want);
     ASSERT_EQ(l.m->lent_slots.size(), 1u);
     EXPECT_EQ(l.call(2, true).status, 409);
-    EXPECT_EQ(l.call(3, true).status, 409); // nor one that comes twice
+    EXPECT_EQ(l.call(3, true).status, 409); // received twice
     EXPECT_EQ(l.m->lent_slots.size(), 1u);
     EXPECT_EQ(l.call(4, true).status, 200);
     EXPECT_TRUE(l.m->lent_slots.empty());
