--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -285,8 +285,8 @@
     table.queue_start(0, machine, task, placement);
     table.on_commands_sent(machine, table.take_commands_for_request(machine), 5);
     table.fence(machine); // the command was not answered
-    heartbeat.sequence =
-        2; // under the token of the start: it may have been sent before the start arrived
+    // A heartbeat under the token of the start may have been sent before the start arrived.
+    heartbeat.sequence = 2;
     EXPECT_TRUE(table.apply_heartbeat(1, machine, heartbeat, 0).removed.empty());
     EXPECT_FALSE(machine.fenced);
     heartbeat.sequence = 3;
@@ -554,9 +554,8 @@
 TEST(ProgressPersistence, ManyJobsAreSavedInTurnUnderASmallLimitOnWrites) {
     World cluster({.nodes = 5, .limits = 20, .capacity = 200});
     std::set<std::string> saved;
-    std::set<std::string>
-        finished; // a job that completes before its first save has no progress to save
-    std::size_t max_chunks = 0; // of one transaction
+    std::set<std::string> finished; // jobs that complete before their first save save no progress
+    std::size_t max_chunks = 0;     // of one transaction
     cluster.intercept = [&](int, const OutboundBody& body) {
         std::size_t chunks = 0;
         if (const auto* transaction = std::get_if<StoreTransaction>(&body)) {
@@ -600,7 +599,7 @@
     for (int n = 0; n < 3; ++n) {
         cluster.cut_peers(leader, n, n != leader);
     }
-    cluster.cloud_down(true); // the machines' leases expire before the machines are released
+    cluster.cloud_down(true); // the leases expire before the machines are released
     for (const auto& machine : cluster.machines_up()) {
         cluster.kill_machine(machine);
     }
--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -132,8 +132,7 @@
     World cluster({.boot_s = 2, .gpus = true});
     cluster.run_for(25); // from then on, one machine without heartbeats is released
     JobSpec spec = gang_spec(cluster, "req-1", 2, 4);
-    // One start command is lost and its machine is released, while the other task of the gang
-    // waits.
+    // One start command is lost and its machine released, while the other task of the gang waits.
     std::string lost;
     cluster.intercept = [&](int, const OutboundBody& body) {
         const auto* request = std::get_if<WorkerCommands>(&body);
--- a/tests/quota_config_test.cpp
+++ b/tests/quota_config_test.cpp
@@ -186,7 +186,7 @@
     EXPECT_TRUE(invariants_hold());
 }
 
-TEST_F(QuotaConfigTest, TasksWithTheLeastLostWorkAreEvictedFirst) {
+TEST_F(QuotaConfigTest, TasksThatLoseTheLeastWorkAreEvictedFirst) {
     cluster.run_for(20);
     JobSpec old = cluster.job("req-1", 40, 2);
     cluster.submit(0, old);
@@ -272,8 +272,8 @@
     wide.max_cpus = 100;
     cluster.configure(wide);
     cluster.run_for(1);
-    JobSpec job = cluster.job(
-        "req-50", 1, 60); // above the limit in force at the controller, and above any machine
+    // Above the limit in force at the controller, and larger than any machine.
+    JobSpec job = cluster.job("req-50", 1, 60);
     job.team = "t9";
     RequestId request_id = cluster.submit(3, job);
     cluster.run_for(2);
@@ -525,9 +525,9 @@
 INSTANTIATE_TEST_SUITE_P(FaultsAndChanges, QuotaConfigFaults,
                          testing::Combine(testing::Range(0, int(kFaultCount)),
                                           testing::Range(0, 3)),
-                         [](const auto& info) {
-                             return std::string(kFaultNames[std::get<0>(info.param)]) + "_" +
-                                    kChangeNames[std::get<1>(info.param)];
+                         [](const auto& param_info) {
+                             return std::string(kFaultNames[std::get<0>(param_info.param)]) + "_" +
+                                    kChangeNames[std::get<1>(param_info.param)];
                          });
 
 // The leader crashes right after the n-th output that follows a lowered limit. Parameter: n.
