--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -3,17 +3,19 @@
 #include <gtest/gtest.h>
 
 #include "core/model/partition_assignment.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
 
 // Returns the partition whose leader places the jobs of team `red`.
-int partition_of_red(const World& cluster) { return partition_of_team(cluster.facts(0), "red"); }
+int partition_of_red(const SimulatedCluster& cluster) {
+    return partition_of_team(cluster.cluster_settings(0), "red");
+}
 
 // Polls the job at the controller. Returns its stage, the response status if that is not 200, or
 // "no answer".
-std::string poll_stage(World& cluster, int node, const std::string& job) {
+std::string poll_stage(SimulatedCluster& cluster, int node, const std::string& job) {
     RequestId id = cluster.poll(node, job);
     cluster.run_for(0.5);
     auto it = cluster.answers.find(id);
@@ -24,7 +26,7 @@
 }
 
 // Submits a job and returns once its first task runs, which includes the scale-out for it.
-void submit_and_await_start(World& cluster, const std::string& id, std::uint32_t tasks) {
+void submit_and_await_start(SimulatedCluster& cluster, const std::string& id, std::uint32_t tasks) {
     cluster.run_for(3);
     RequestId request_id = cluster.submit(0, cluster.job(id, tasks));
     cluster.run_for(0.5);
@@ -36,7 +38,7 @@
 }
 
 TEST(JobLifecycle, JobCompletesAndEveryControllerReportsDone) {
-    World cluster({});
+    SimulatedCluster cluster({});
     submit_and_await_start(cluster, "req-1", 5);
     cluster.run_for(30);
     EXPECT_TRUE(cluster.all_done("req-1"));
@@ -47,7 +49,7 @@
 }
 
 TEST(JobLifecycle, RetriedSubmissionReturnsStatusAndUnknownJobReturns404) {
-    World cluster({});
+    SimulatedCluster cluster({});
     submit_and_await_start(cluster, "req-1", 2);
     RequestId again = cluster.submit(1, cluster.job("req-1", 2));
     RequestId unknown = cluster.poll(2, "req-99");
@@ -61,7 +63,7 @@
 }
 
 TEST(JobLifecycle, RejectsJobsThatCanNeverRun) {
-    World cluster({});
+    SimulatedCluster cluster({});
     cluster.run_for(3);
     JobSpec team = cluster.job("req-1", 1);
     team.team = "nobody";
@@ -79,7 +81,7 @@
 }
 
 TEST(JobLifecycle, TeamStaysWithinItsLimitWithManyTasksWaiting) {
-    World cluster({});
+    SimulatedCluster cluster({});
     submit_and_await_start(cluster, "req-1", 60);
     double max_used = 0;
     for (int i = 0; i < 100; ++i) {
@@ -92,7 +94,7 @@
 }
 
 TEST(AtMostOnceExecution, UnansweredStartIsNotRepeatedUntilFenced) {
-    World cluster({});
+    SimulatedCluster cluster({});
     bool swallow = true;
     int swallowed = 0;
     cluster.intercept = [&](int, const OutboundBody& body) {
@@ -111,7 +113,7 @@
 }
 
 TEST(AtMostOnceExecution, TaskOnUnreachableMachineMovesOnlyAfterItIsGone) {
-    World cluster({.run_s = 60});
+    SimulatedCluster cluster({.run_s = 60});
     submit_and_await_start(cluster, "req-1", 1);
     std::string machine = *cluster.machines_of({"req-1", 0}).begin();
     cluster.cut_machine(machine, true);
@@ -121,7 +123,7 @@
 }
 
 TEST(Failover, RunningTasksContinueWhenTheLeaderCrashes) {
-    World cluster({.run_s = 30});
+    SimulatedCluster cluster({.run_s = 30});
     submit_and_await_start(cluster, "req-1", 6);
     cluster.run_for(1);
     int leader = cluster.owner(partition_of_red(cluster));
@@ -136,10 +138,10 @@
 }
 
 TEST(Failover, TaskOnUnreachableMachineIsNotRestartedBeforeItsLeaseExpires) {
-    World cluster({.run_s = 100});
+    SimulatedCluster cluster({.run_s = 100});
     submit_and_await_start(cluster, "req-1", 1);
     std::string machine = *cluster.machines_of({"req-1", 0}).begin();
-    cluster.cloud_down(true);
+    cluster.set_cloud_down(true);
     cluster.cut_machine(machine, true);
     int leader = cluster.owner(partition_of_red(cluster));
     cluster.crash(leader, 2);
@@ -149,7 +151,7 @@
 }
 
 TEST(Failover, CrashOfAllControllersLosesNoJob) {
-    World cluster({.run_s = 20});
+    SimulatedCluster cluster({.run_s = 20});
     submit_and_await_start(cluster, "req-1", 6);
     for (int i = 0; i < 3; ++i) {
         cluster.crash(i, 6);
@@ -161,32 +163,32 @@
 }
 
 TEST(Leadership, ExpiresDuringAStoreOutageAndIsReacquired) {
-    World cluster({.run_s = 100});
+    SimulatedCluster cluster({.run_s = 100});
     submit_and_await_start(cluster, "req-1", 2);
-    cluster.state_down(true);
+    cluster.set_store_down(true);
     cluster.run_for(60);
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
-    cluster.state_down(false);
+    cluster.set_store_down(false);
     cluster.run_for(250);
     EXPECT_TRUE(cluster.all_done("req-1"));
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(Leadership, MovesWhenTheStoreRejectsOnlyTheLeader) {
-    World cluster({.run_s = 40});
+    SimulatedCluster cluster({.run_s = 40});
     submit_and_await_start(cluster, "req-1", 4);
     int leader = cluster.owner(partition_of_red(cluster));
-    cluster.state_refuses(leader, true);
+    cluster.set_store_refusing(leader, true);
     cluster.run_for(40);
     EXPECT_NE(cluster.owner(partition_of_red(cluster)), leader);
-    cluster.state_refuses(leader, false);
+    cluster.set_store_refusing(leader, false);
     cluster.run_for(100);
     EXPECT_TRUE(cluster.all_done("req-1"));
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(Leadership, MovesWhenNoWorkerReachesTheLeader) {
-    World cluster({.run_s = 40});
+    SimulatedCluster cluster({.run_s = 40});
     submit_and_await_start(cluster, "req-1", 12);
     JobSpec more = cluster.job("req-2", 18);
     more.team = "blue";
@@ -207,7 +209,7 @@
 }
 
 TEST(JobCancellation, StopsTasksIncludingStartsInFlight) {
-    World cluster({.run_s = 200});
+    SimulatedCluster cluster({.run_s = 200});
     submit_and_await_start(cluster, "req-1", 4);
     RequestId id = cluster.cancel(1, "req-1");
     cluster.run_for(10);
@@ -221,7 +223,7 @@
 
 TEST(JobCancellation, RaceWithCompletionHasOnePermanentOutcome) {
     for (int step = 0; step < 20; ++step) { // cancels 0.3 s later each time
-        World cluster({.seed = 100u + step, .run_s = 4});
+        SimulatedCluster cluster({.seed = 100u + step, .run_s = 4});
         submit_and_await_start(cluster, "req-1", 1);
         cluster.run_for(1 + 0.3 * step);
         cluster.cancel(step % 3, "req-1");
@@ -235,7 +237,7 @@
 }
 
 TEST(StoredRecords, UnreadableJobRecordIsNeitherAbsentNorOverwritten) {
-    World cluster({});
+    SimulatedCluster cluster({});
     cluster.put("job/req-7", UnreadableRecord{});
     cluster.run_for(3);
     RequestId poll = cluster.poll(0, "req-7");
@@ -248,7 +250,7 @@
 }
 
 TEST(TaskFailures, AlwaysFailingJobIsRetriedFewTimesAndMachinesRemain) {
-    World cluster({.error = 1.0});
+    SimulatedCluster cluster({.error = 1.0});
     cluster.run_for(3);
     cluster.submit(0, cluster.job("req-1", 1));
     cluster.run_for(120);
@@ -315,7 +317,7 @@
 }
 
 TEST(StoredRecords, LostCompletionBitmapWriteLosesNoResult) {
-    World cluster({.run_s = 6});
+    SimulatedCluster cluster({.run_s = 6});
     bool lose = true;
     cluster.intercept = [&](int, const OutboundBody& body) {
         const auto* transaction = std::get_if<StoreTransaction>(&body);
@@ -380,7 +382,7 @@
 }
 
 TEST(ServiceJob, KeepsItsReplicasUntilCancelled) {
-    World cluster({});
+    SimulatedCluster cluster({});
     cluster.run_for(3);
     JobSpec service = cluster.job("req-1", 6);
     service.kind = JobKind::service;
@@ -405,14 +407,14 @@
 }
 
 TEST(SlotBorrowing, RemoteTasksRunAndTheirCompletionIsReported) {
-    World cluster({.run_s = 20});
+    SimulatedCluster cluster({.run_s = 20});
     submit_and_await_start(cluster, "req-1", 12);
     cluster.run_for(2);
     std::set<int> partitions;
     for (std::uint32_t i = 0; i < 12; ++i) {
         for (const auto& machine : cluster.machines_of({"req-1", i})) {
-            partitions.insert(
-                partition_of_machine(cluster.facts(0), machine, cluster.zone_of(machine)));
+            partitions.insert(partition_of_machine(cluster.cluster_settings(0), machine,
+                                                   cluster.zone_of(machine)));
         }
     }
     EXPECT_GT(partitions.size(), 1u);
@@ -422,7 +424,7 @@
 }
 
 TEST(SlotBorrowing, BorrowerCrashWithUnansweredStartsDoesNotBlockJobs) {
-    World cluster({.run_s = 15});
+    SimulatedCluster cluster({.run_s = 15});
     submit_and_await_start(cluster, "req-1", 12);
     int borrower = cluster.owner(partition_of_red(cluster));
     // The borrower's start commands are lost, and it crashes before these tasks are reconciled.
@@ -441,7 +443,7 @@
 
 TEST(SlotBorrowing, LenderCrashRestartsNoRemoteTask) {
     for (int partition = 0; partition < 3; ++partition) {
-        World cluster({.run_s = 40});
+        SimulatedCluster cluster({.run_s = 40});
         submit_and_await_start(cluster, "req-1", 12);
         cluster.run_for(2);
         cluster.crash(cluster.owner(partition), 30);
@@ -455,7 +457,7 @@
 }
 
 TEST(SlotBorrowing, TasksOfAnUnreachablePeerAreNotRestarted) {
-    World cluster({.run_s = 20});
+    SimulatedCluster cluster({.run_s = 20});
     submit_and_await_start(cluster, "req-1", 12);
     cluster.run_for(2);
     cluster.cut_peers(0, 1, true);
@@ -474,7 +476,7 @@
 }
 
 TEST(SlotBorrowing, CancellationReachesRemoteTasksWhilePeersAreDisconnected) {
-    World cluster({.run_s = 200});
+    SimulatedCluster cluster({.run_s = 200});
     submit_and_await_start(cluster, "req-1", 12);
     cluster.run_for(2);
     cluster.cut_peers(0, 1, true);
@@ -488,7 +490,7 @@
 }
 
 TEST(PartitionPlacement, PartitionReturnsToItsHomeController) {
-    World cluster({.run_s = 20});
+    SimulatedCluster cluster({.run_s = 20});
     submit_and_await_start(cluster, "req-1", 6);
     cluster.crash(1, 40);
     cluster.run_for(30);
@@ -506,9 +508,9 @@
 }
 
 TEST(PartitionPlacement, HomeControllersLeadAfterACrashDuringACloudOutage) {
-    World cluster({.run_s = 30});
+    SimulatedCluster cluster({.run_s = 30});
     submit_and_await_start(cluster, "req-1", 6);
-    cluster.cloud_down(true);
+    cluster.set_cloud_down(true);
     for (int i = 0; i < 3; ++i) {
         cluster.crash(i, 4);
     }
@@ -523,12 +525,12 @@
 TEST(PartitionPlacement, LeadersAreUnchangedAfterAShortStoreOutage) {
     // Workers that get no 200 response keep sending heartbeats, so a controller without a valid
     // leadership lease does not consider itself unreachable.
-    World cluster({.run_s = 100});
+    SimulatedCluster cluster({.run_s = 100});
     submit_and_await_start(cluster, "req-1", 12);
     cluster.run_for(10);
-    cluster.state_down(true);
+    cluster.set_store_down(true);
     cluster.run_for(20);
-    cluster.state_down(false);
+    cluster.set_store_down(false);
     cluster.run_for(3);
     for (int partition = 0; partition < 3; ++partition) {
         EXPECT_EQ(cluster.owner(partition), partition);
@@ -536,23 +538,23 @@
 }
 
 TEST(PartitionPlacement, IsTheSameOnEveryControllerAndInTheZoneOfTheMachine) {
-    World cluster({});
+    SimulatedCluster cluster({});
     for (int i = 0; i < 200; ++i) {
         std::string name = "i-" + std::to_string(i);
-        int partition = partition_of_machine(cluster.facts(0), name, "b");
+        int partition = partition_of_machine(cluster.cluster_settings(0), name, "b");
         EXPECT_EQ(partition, 1); // the only partition whose home is in zone b
-        EXPECT_EQ(partition_of_machine(cluster.facts(1), name, "a"),
-                  partition_of_machine(cluster.facts(2), name, "a"));
+        EXPECT_EQ(partition_of_machine(cluster.cluster_settings(1), name, "a"),
+                  partition_of_machine(cluster.cluster_settings(2), name, "a"));
     }
-    EXPECT_NE(partition_of_team(cluster.facts(0), "red"),
-              partition_of_team(cluster.facts(0), "blue"));
-    EXPECT_EQ(partition_of_team(cluster.facts(0), "nobody"), -1);
+    EXPECT_NE(partition_of_team(cluster.cluster_settings(0), "red"),
+              partition_of_team(cluster.cluster_settings(0), "blue"));
+    EXPECT_EQ(partition_of_team(cluster.cluster_settings(0), "nobody"), -1);
 }
 
 // Twelve changes are more than a fifth of a small limit on writes ever allows at once. With more
 // unsaved bitmap chunks than that, no progress was saved at all.
 TEST(ProgressPersistence, ManyJobsAreSavedInTurnUnderASmallLimitOnWrites) {
-    World cluster({.nodes = 5, .limits = 20, .capacity = 200});
+    SimulatedCluster cluster({.nodes = 5, .limits = 20, .capacity = 200});
     std::set<std::string> saved;
     std::set<std::string> finished; // jobs that complete before their first save save no progress
     std::size_t max_chunks = 0;     // of one transaction
@@ -592,19 +594,19 @@
 // log once lost the end of a remote task when the machine was released while the peer was
 // disconnected, and the borrower counted the task as placed forever.
 TEST(SlotBorrowing, MachineReleasedWhilePeersAreDisconnectedIsReportedLater) {
-    World cluster({.run_s = 60});
+    SimulatedCluster cluster({.run_s = 60});
     submit_and_await_start(cluster, "req-1", 10);
     cluster.run_for(2);
     int leader = cluster.owner(partition_of_red(cluster));
     for (int n = 0; n < 3; ++n) {
         cluster.cut_peers(leader, n, n != leader);
     }
-    cluster.cloud_down(true); // the leases expire before the machines are released
+    cluster.set_cloud_down(true); // the leases expire before the machines are released
     for (const auto& machine : cluster.machines_up()) {
         cluster.kill_machine(machine);
     }
     cluster.run_for(30);
-    cluster.cloud_down(false);
+    cluster.set_cloud_down(false);
     cluster.run_for(30);
     for (int n = 0; n < 3; ++n) {
         cluster.cut_peers(leader, n, false);
@@ -616,8 +618,8 @@
 
 // Returns what five controllers counted within 20 s, the run time of a task, while every slot of
 // the fleet is in use and many tasks wait. Fleet and load grow with `limits`.
-World::Counts count_under_full_load(double limits, std::size_t* machines) {
-    World cluster({.nodes = 5, .run_s = 20, .limits = limits, .capacity = 400});
+SimulatedCluster::Counts count_under_full_load(double limits, std::size_t* machines) {
+    SimulatedCluster cluster({.nodes = 5, .run_s = 20, .limits = limits, .capacity = 400});
     cluster.run_for(3);
     auto tasks = static_cast<std::uint32_t>(60 * limits);
     for (int j = 0; j < 4; ++j) {
@@ -626,9 +628,9 @@
         cluster.submit(j, spec);
     }
     cluster.run_for(45);
-    World::Counts before = cluster.counts();
+    SimulatedCluster::Counts before = cluster.counts();
     cluster.run_for(20);
-    World::Counts after = cluster.counts();
+    SimulatedCluster::Counts after = cluster.counts();
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     *machines = cluster.machines_up().size();
     return {after.reports - before.reports, after.starts - before.starts,
@@ -638,8 +640,8 @@
 TEST(Scalability, WorkPerHeartbeatAndInventoryPerStartDoNotGrowWithTheFleet) {
     std::size_t small_fleet = 0;
     std::size_t large_fleet = 0;
-    World::Counts small = count_under_full_load(8, &small_fleet);
-    World::Counts large = count_under_full_load(24, &large_fleet);
+    SimulatedCluster::Counts small = count_under_full_load(8, &small_fleet);
+    SimulatedCluster::Counts large = count_under_full_load(24, &large_fleet);
     ASSERT_GT(small_fleet, 40u);
     ASSERT_GT(large_fleet, 120u);
     ASSERT_GT(large.starts, 500);
@@ -658,13 +660,13 @@
         int nodes = GetParam().second;
         SCOPED_TRACE("seed " + std::to_string(seed));
         bool gpus = seed % 4 >= 2;
-        World cluster({.seed = seed,
-                       .nodes = nodes,
-                       .drop = 0.03,
-                       .late = 0.03,
-                       .run_s = 10,
-                       .error = 0.02,
-                       .gpus = gpus});
+        SimulatedCluster cluster({.seed = seed,
+                                  .nodes = nodes,
+                                  .drop = 0.03,
+                                  .late = 0.03,
+                                  .run_s = 10,
+                                  .error = 0.02,
+                                  .gpus = gpus});
         std::mt19937_64 random(seed);
         // A random number from 0 to n - 1.
         auto random_below = [&](int n) { return static_cast<int>(random() % n); };
@@ -697,15 +699,15 @@
             switch (random_below(14)) {
             case 9:
                 if (auto up = cluster.machines_up(); !up.empty()) {
-                    cluster.take_machine(up[random_below(static_cast<int>(up.size()))], 6);
+                    cluster.preempt_machine(up[random_below(static_cast<int>(up.size()))], 6);
                 }
                 break;
             case 8:
                 cluster.cut_peers(random_below(nodes), random_below(nodes), random_below(2) != 0);
                 break;
             case 0: cluster.crash(random_below(nodes), 1 + random_below(20)); break;
-            case 1: cluster.state_down(true); break;
-            case 2: cluster.state_refuses(random_below(nodes), true); break;
+            case 1: cluster.set_store_down(true); break;
+            case 2: cluster.set_store_refusing(random_below(nodes), true); break;
             case 3: cluster.cut_workers(random_below(nodes), true); break;
             case 4:
                 if (auto up = cluster.machines_up(); !up.empty()) {
@@ -719,11 +721,11 @@
                 }
                 break;
             case 6: cluster.cancel(random_below(nodes), job); break;
-            case 7: cluster.cloud_down(random_below(2) != 0); break;
+            case 7: cluster.set_cloud_down(random_below(2) != 0); break;
             default:
-                cluster.state_down(false);
+                cluster.set_store_down(false);
                 for (int n = 0; n < nodes; ++n) {
-                    cluster.state_refuses(n, false);
+                    cluster.set_store_refusing(n, false);
                     cluster.cut_workers(n, false);
                 }
                 cluster.poll(random_below(nodes), job);
@@ -731,10 +733,10 @@
             ASSERT_TRUE(cluster.broken.empty())
                 << cluster.broken.front() << " at " << cluster.now();
         }
-        cluster.state_down(false);
-        cluster.cloud_down(false);
+        cluster.set_store_down(false);
+        cluster.set_cloud_down(false);
         for (int n = 0; n < nodes; ++n) {
-            cluster.state_refuses(n, false);
+            cluster.set_store_refusing(n, false);
             cluster.cut_workers(n, false);
             for (int to = 0; to < nodes; ++to) {
                 cluster.cut_peers(n, to, false);
--- a/tests/gang_scheduling_test.cpp
+++ b/tests/gang_scheduling_test.cpp
@@ -4,13 +4,13 @@
 
 #include "core/machines/slot_lists.h"
 #include "core/model/partition_assignment.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
 
 // Returns a gang of GPU tasks in one zone that saves a checkpoint every 4 s.
-JobSpec gang_spec(const World& cluster, const std::string& id, std::uint32_t tasks,
+JobSpec gang_spec(const SimulatedCluster& cluster, const std::string& id, std::uint32_t tasks,
                   double gpus = 2) {
     JobSpec spec = cluster.job(id, tasks, 4);
     spec.kind = JobKind::gang;
@@ -22,7 +22,7 @@
 }
 
 // Submits the gang and returns about 1 s after all of its tasks began to run together.
-void submit_and_await_run(World& cluster, const JobSpec& spec) {
+void submit_and_await_run(SimulatedCluster& cluster, const JobSpec& spec) {
     cluster.run_for(3);
     cluster.submit(0, spec);
     for (int i = 0; i < 600 && cluster.gang_runs(spec.id) == 0; ++i) {
@@ -31,7 +31,7 @@
     cluster.run_for(1);
 }
 
-std::set<std::string> machines_of_job(const World& cluster, const JobSpec& spec) {
+std::set<std::string> machines_of_job(const SimulatedCluster& cluster, const JobSpec& spec) {
     std::set<std::string> names;
     for (std::uint32_t i = 0; i < spec.tasks; ++i) {
         names.merge(cluster.machines_of({spec.id, i}));
@@ -40,7 +40,7 @@
 }
 
 TEST(GangScheduling, RunsTogetherInOneZoneAndCompletes) {
-    World cluster({.gpus = true});
+    SimulatedCluster cluster({.gpus = true});
     JobSpec spec = gang_spec(cluster, "req-1", 4);
     submit_and_await_run(cluster, spec);
     std::set<std::string> zones;
@@ -58,7 +58,7 @@
 }
 
 TEST(GangScheduling, StartsNoTaskWhenOneSlotIsMissing) {
-    World cluster({.capacity = 1, .gpus = true});
+    SimulatedCluster cluster({.capacity = 1, .gpus = true});
     cluster.run_for(3);
     cluster.submit(0, gang_spec(cluster, "req-1", 3)); // two of the three fit on the only machine
     cluster.run_for(60);
@@ -72,7 +72,7 @@
 }
 
 TEST(GangScheduling, TwoGangsRunInTurnWhenCapacityFitsOne) {
-    World cluster({.capacity = 1, .gpus = true});
+    SimulatedCluster cluster({.capacity = 1, .gpus = true});
     cluster.run_for(3);
     JobSpec other = gang_spec(cluster, "req-2", 2);
     other.team = "blue";
@@ -87,7 +87,7 @@
 
 // Returns a gang with more tasks than the machines of any one partition hold, so that an attempt
 // needs slots of two partition leaders.
-JobSpec spec_across_partitions(const World& cluster) {
+JobSpec spec_across_partitions(const SimulatedCluster& cluster) {
     JobSpec spec = gang_spec(cluster, "req-1", 4, 4);
     spec.one_zone = false;
     return spec;
@@ -96,11 +96,11 @@
 TEST(GangScheduling, CompletesAcrossTwoPartitionsWhenAnyControllerCrashesAtAnyTime) {
     for (int k = 0; k < 8; ++k) {
         for (int crashed = 0; crashed < 3; ++crashed) {
-            World cluster({.seed = 40u + static_cast<unsigned>(k),
-                           .run_s = 12,
-                           .limits = 2,
-                           .capacity = 4,
-                           .gpus = true});
+            SimulatedCluster cluster({.seed = 40u + static_cast<unsigned>(k),
+                                      .run_s = 12,
+                                      .limits = 2,
+                                      .capacity = 4,
+                                      .gpus = true});
             JobSpec spec = spec_across_partitions(cluster);
             cluster.run_for(3);
             cluster.submit(0, spec);
@@ -114,7 +114,7 @@
 }
 
 TEST(GangScheduling, CompletesWhenTheResponseToOneStartIsLost) {
-    World cluster({.gpus = true});
+    SimulatedCluster cluster({.gpus = true});
     int start_commands = 0;
     cluster.intercept = [&](int, const OutboundBody& body) {
         const auto* request = std::get_if<WorkerCommands>(&body);
@@ -129,7 +129,7 @@
 }
 
 TEST(GangScheduling, TaskLostWhileTheGangWaitsIsReplacedInTheSameAttempt) {
-    World cluster({.boot_s = 2, .gpus = true});
+    SimulatedCluster cluster({.boot_s = 2, .gpus = true});
     cluster.run_for(25); // from then on, one machine without heartbeats is released
     JobSpec spec = gang_spec(cluster, "req-1", 2, 4);
     // One start command is lost and its machine released, while the other task of the gang waits.
@@ -165,19 +165,19 @@
 }
 
 TEST(GangScheduling, TaskLostWhileTheGangRunsDelaysTheNextAttemptUntilItIsGone) {
-    World cluster({.run_s = 20, .gpus = true});
-    cluster.cloud_down(false);
+    SimulatedCluster cluster({.run_s = 20, .gpus = true});
+    cluster.set_cloud_down(false);
     JobSpec spec = gang_spec(cluster, "req-1", 2, 4);
     submit_and_await_run(cluster, spec);
     std::string machine = *cluster.machines_of({"req-1", 0}).begin();
     // Otherwise the machine would be released, which proves that the task is gone.
-    cluster.cloud_down(true);
+    cluster.set_cloud_down(true);
     cluster.cut_machine(machine, true);
     cluster.run_for(10);
     // The unreachable machine may still run its task, so no task of the gang may start.
     EXPECT_EQ(cluster.gang_runs("req-1"), 1);
     EXPECT_EQ(cluster.starts({"req-1", 1}), 1);
-    cluster.cloud_down(false);
+    cluster.set_cloud_down(false);
     cluster.run_for(80);
     EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
     EXPECT_EQ(cluster.gang_runs("req-1"), 2);
@@ -185,10 +185,10 @@
 }
 
 TEST(GangScheduling, IsCheckpointedOnAPreemptionNotice) {
-    World cluster({.run_s = 30, .gpus = true});
+    SimulatedCluster cluster({.run_s = 30, .gpus = true});
     JobSpec spec = gang_spec(cluster, "req-1", 3, 4);
     submit_and_await_run(cluster, spec);
-    cluster.take_machine(*cluster.machines_of({"req-1", 0}).begin(), 10);
+    cluster.preempt_machine(*cluster.machines_of({"req-1", 0}).begin(), 10);
     cluster.run_for(9);
     EXPECT_EQ(cluster.gang_saves("req-1"), 1);
     cluster.run_for(80);
@@ -197,12 +197,12 @@
 }
 
 TEST(GangScheduling, CompletesWithoutACheckpointWhenAPeerTaskIsUnreachable) {
-    World cluster({.run_s = 30, .gpus = true});
+    SimulatedCluster cluster({.run_s = 30, .gpus = true});
     JobSpec spec = gang_spec(cluster, "req-1", 3, 4);
     submit_and_await_run(cluster, spec);
     std::string cut = *cluster.machines_of({"req-1", 1}).begin();
     cluster.cut_machine(cut, true);
-    cluster.take_machine(*cluster.machines_of({"req-1", 0}).begin(), 10);
+    cluster.preempt_machine(*cluster.machines_of({"req-1", 0}).begin(), 10);
     cluster.run_for(8);
     EXPECT_EQ(cluster.gang_saves("req-1"), 0);
     cluster.run_for(120);
@@ -211,7 +211,7 @@
 }
 
 TEST(GangScheduling, CancelledWhileGatheringSlotsStartsNoTask) {
-    World cluster({.capacity = 1, .gpus = true});
+    SimulatedCluster cluster({.capacity = 1, .gpus = true});
     cluster.run_for(3);
     cluster.submit(0, gang_spec(cluster, "req-1", 3));
     cluster.run_for(20);
@@ -223,10 +223,10 @@
 }
 
 TEST(GangScheduling, CompleteGangContinuesAfterFailover) {
-    World cluster({.run_s = 40, .gpus = true});
+    SimulatedCluster cluster({.run_s = 40, .gpus = true});
     JobSpec spec = gang_spec(cluster, "req-1", 3, 4);
     submit_and_await_run(cluster, spec);
-    cluster.crash(cluster.owner(partition_of_team(cluster.facts(0), "red")), 30);
+    cluster.crash(cluster.owner(partition_of_team(cluster.cluster_settings(0), "red")), 30);
     cluster.run_for(100);
     EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
     EXPECT_EQ(cluster.gang_runs("req-1"), 1);
@@ -234,7 +234,7 @@
 }
 
 TEST(GangScheduling, PartlyStartedGangIsRestartedAfterFailover) {
-    World cluster({.run_s = 20, .gpus = true});
+    SimulatedCluster cluster({.run_s = 20, .gpus = true});
     int start_commands = 0;
     cluster.intercept = [&](int, const OutboundBody& body) { // one of its start commands is lost
         const auto* request = std::get_if<WorkerCommands>(&body);
@@ -246,14 +246,14 @@
     for (int i = 0; i < 400 && start_commands < 2; ++i) {
         cluster.run_for(0.05);
     }
-    cluster.crash(cluster.owner(partition_of_team(cluster.facts(0), "red")), 5);
+    cluster.crash(cluster.owner(partition_of_team(cluster.cluster_settings(0), "red")), 5);
     cluster.run_for(120);
     EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::done);
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 TEST(GpuQuota, LimitHoldsWhileTasksArePossiblyRunning) {
-    World cluster({.run_s = 40, .capacity = 12, .gpus = true});
+    SimulatedCluster cluster({.run_s = 40, .capacity = 12, .gpus = true});
     cluster.run_for(3);
     cluster.submit(0, cluster.job("req-1", 30));
     cluster.run_for(25);
@@ -267,7 +267,7 @@
 }
 
 TEST(ServiceJob, ReplicasSpreadOverZonesRecoverFromAnUnreachableZone) {
-    World cluster({.capacity = 12, .gpus = true});
+    SimulatedCluster cluster({.capacity = 12, .gpus = true});
     JobSpec spec = cluster.job("req-1", 6);
     spec.kind = JobKind::service;
     spec.priority = Priority::production;
@@ -292,7 +292,7 @@
 // In a full cluster, a gang that may not preempt tasks would wait until two GPUs of one machine
 // happen to become free at the same time.
 TEST(Preemption, GangWithinItsGuaranteePreemptsTasksBeyondAnotherTeamsGuarantee) {
-    World cluster({.run_s = 200, .capacity = 4, .gpus = true});
+    SimulatedCluster cluster({.run_s = 200, .capacity = 4, .gpus = true});
     cluster.run_for(3);
     cluster.submit(0, cluster.job("req-1", 12)); // red is guaranteed 8 GPUs and runs 12
     JobSpec blue = cluster.job("req-2", 4);
@@ -319,15 +319,15 @@
 // Tasks of older jobs that are not reconciled yet must not delay a job submitted after the
 // failover: no earlier leader can have started a task of it.
 TEST(Failover, JobSubmittedAfterwardsRunsBeforeOlderTasksAreReconciled) {
-    World cluster({.run_s = 60, .limits = 2, .gpus = true});
+    SimulatedCluster cluster({.run_s = 60, .limits = 2, .gpus = true});
     cluster.run_for(3);
     JobSpec other = cluster.job("req-1", 32);
     other.team = "blue";
     cluster.submit(0, other);
     cluster.submit(0, cluster.job("req-2", 4));
     cluster.run_for(30);
-    int leader = cluster.owner(partition_of_team(cluster.facts(0), "red"));
-    cluster.cloud_down(true);
+    int leader = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red"));
+    cluster.set_cloud_down(true);
     cluster.cancel(1, "req-1"); // every partition then has idle slots
     cluster.run_for(1);
     cluster.crash(leader, 1);
@@ -369,7 +369,8 @@
 TEST(GangPlacement, OneZoneGangOfAnySizeCompletes) {
     for (double cpus : {1.5, 3.0, 5.0}) {
         for (std::uint32_t tasks = 2; tasks <= 20; tasks += 3) {
-            World cluster({.seed = tasks, .nodes = 5, .run_s = 20, .limits = 20, .capacity = 60});
+            SimulatedCluster cluster(
+                {.seed = tasks, .nodes = 5, .run_s = 20, .limits = 20, .capacity = 60});
             cluster.run_for(30);
             // An earlier job leaves machines in both zones.
             cluster.submit(0, cluster.job("req-1", tasks * 2, cpus));
@@ -378,11 +379,12 @@
             spec.kind = JobKind::gang;
             spec.one_zone = true;
             cluster.submit(1, spec);
-            cluster.ask_often();
+            cluster.start_polling_open_jobs();
             cluster.run_for(200);
             EXPECT_TRUE(cluster.all_done("req-2"))
                 << tasks << " of " << cpus << cluster.describe("req-2");
-            EXPECT_LT(cluster.judge().longest_idle(), 90) << cluster.judge().idlest();
+            EXPECT_LT(cluster.history_checker().longest_idle(), 90)
+                << cluster.history_checker().longest_idle_job();
             EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
         }
     }
--- a/tests/history_checker_test.cpp
+++ b/tests/history_checker_test.cpp
@@ -1,13 +1,13 @@
 // Each check of the history checker reports a constructed history that violates its rule, and
 // accepts histories that comply with it.
-#include "simulation/judge.h"
+#include "simulation/history_checker.h"
 
 #include <gtest/gtest.h>
 
 namespace scheduler::test {
 namespace {
 
-using Ask = Judge::Ask;
+using RequestKind = HistoryChecker::RequestKind;
 
 class HistoryCheckerTest : public testing::Test {
   protected:
@@ -25,7 +25,7 @@
     }
     // Records a user request at `when` that is answered 0.1 s later. An empty `stage` stands for a
     // response without a job status.
-    void record_answered_request(Time when, Ask kind, const std::string& id, int status,
+    void record_answered_request(Time when, RequestKind kind, const std::string& id, int status,
                                  const char* stage) {
         checker.asked(when, ++request, kind, id);
         ResponseBody body = TextBody{};
@@ -37,79 +37,81 @@
     // Records a submission that is accepted.
     void accept(const JobSpec& spec, Time when = 1) {
         checker.submitted(when, spec);
-        record_answered_request(when, Ask::submit, spec.id, 201, "pending");
+        record_answered_request(when, RequestKind::submit, spec.id, 201, "pending");
         ASSERT_TRUE(checker.broken.empty()) << checker.broken.front();
     }
     // Returns whether exactly one violation was reported and its text starts with `prefix`.
     bool reported_only(const std::string& prefix) const {
         return checker.broken.size() == 1 && checker.broken[0].starts_with(prefix);
     }
-    Judge::Room free_capacity(double cpus, const char* zone = "a", bool spot = true) {
+    HistoryChecker::Room free_capacity(double cpus, const char* zone = "a", bool spot = true) {
         return {zone, spot, &type, cpus, 0, 32};
     }
     // Returns for how many of 90 s the checker counts the job as waiting next to this free
     // capacity.
-    double idle_seconds(const Judge::Standing& standing, const std::vector<Judge::Room>& capacities,
+    double idle_seconds(const HistoryChecker::WaitingJob& waiting_job,
+                        const std::vector<HistoryChecker::Room>& capacities,
                         std::pair<double, double> used = {0, 0}) {
-        checker.troubles_over(100);
+        checker.faults_ended(100);
         for (Time t = 100; t <= 190; t += 1) {
-            checker.look(t, capacities, {standing}, {{"red", used}});
+            checker.look(t, capacities, {waiting_job}, {{"red", used}});
         }
         return checker.longest_idle();
     }
 
     InstanceType type{"m8", 8, 0, 32, 20, 1, 1.0, 0.4, 10, {"a", "b"}};
-    Judge checker{42, {{"red", 16, 24, 0, 0}}, {type}};
+    HistoryChecker checker{42, {{"red", 16, 24, 0, 0}}, {type}};
     RequestId request = 0;
 };
 
 TEST_F(HistoryCheckerTest, ReportsAnOlderStageThanOneReceivedBeforeTheRequest) {
     accept(job("req-1"));
     checker.completed({"req-1", 0});
-    record_answered_request(5, Ask::poll, "req-1", 200, "done");
-    checker.asked(5.05, 100, Ask::poll, "req-1"); // sent before that response was received
+    record_answered_request(5, RequestKind::poll, "req-1", 200, "done");
+    checker.asked(5.05, 100, RequestKind::poll, "req-1"); // sent before that response was received
     checker.answered(6, Response{100, 200, JobStatusBody{"req-1", "running", {}, {}}});
     EXPECT_TRUE(checker.broken.empty());
-    record_answered_request(5.2, Ask::submit, "req-1", 200, "pending");
+    record_answered_request(5.2, RequestKind::submit, "req-1", 200, "pending");
     EXPECT_TRUE(reported_only("went_back req-1 done pending"));
 }
 
 TEST_F(HistoryCheckerTest, ReportsTwoOutcomesOfOneJob) {
     accept(job("req-1"));
     checker.completed({"req-1", 0});
-    checker.asked(5, 100, Ask::cancel, "req-1");
-    record_answered_request(5, Ask::poll, "req-1", 200, "done");
+    checker.asked(5, 100, RequestKind::cancel, "req-1");
+    record_answered_request(5, RequestKind::poll, "req-1", 200, "done");
     checker.answered(5.2, Response{100, 200, JobStatusBody{"req-1", "cancelled", {}, {}}});
     EXPECT_TRUE(reported_only("went_back req-1 done cancelled"));
 }
 
 TEST_F(HistoryCheckerTest, ReportsACancellationThatNoUserRequested) {
     accept(job("req-1"));
-    record_answered_request(5, Ask::poll, "req-1", 200, "cancelled");
+    record_answered_request(5, RequestKind::poll, "req-1", 200, "cancelled");
     EXPECT_TRUE(reported_only("went_back req-1 cancelled by nobody"));
 }
 
 TEST_F(HistoryCheckerTest, ReportsAJobDoneBeforeItsTasks) {
     accept(job("req-1", 2));
     checker.completed({"req-1", 0});
-    record_answered_request(5, Ask::poll, "req-1", 200, "done");
+    record_answered_request(5, RequestKind::poll, "req-1", 200, "done");
     EXPECT_TRUE(reported_only("not_done"));
 }
 
 TEST_F(HistoryCheckerTest, ReportsAnAcceptedJobThatIsLaterRejectedUnknownOrAcceptedAgain) {
     for (int status : {404, 400, 422, 201}) {
         accept(job("req-1"));
-        record_answered_request(5, Ask::submit, "req-1", status, status == 201 ? "pending" : "");
+        record_answered_request(5, RequestKind::submit, "req-1", status,
+                                status == 201 ? "pending" : "");
         EXPECT_TRUE(reported_only("forgotten")) << status;
         checker.broken.clear();
     }
     accept(job("req-2"));
-    record_answered_request(5, Ask::cancel, "req-2", 404, "");
+    record_answered_request(5, RequestKind::cancel, "req-2", 404, "");
     EXPECT_TRUE(reported_only("forgotten"));
 }
 
 TEST_F(HistoryCheckerTest, ReportsAJobThatNoUserSubmitted) {
-    record_answered_request(5, Ask::poll, "req-9", 200, "pending");
+    record_answered_request(5, RequestKind::poll, "req-9", 200, "pending");
     EXPECT_TRUE(reported_only("invented"));
 }
 
@@ -124,9 +126,9 @@
     for (std::size_t i = 0; i < unfit.size(); ++i) {
         unfit[i].id = "req-" + std::to_string(i);
         checker.submitted(1, unfit[i]);
-        record_answered_request(1, Ask::submit, unfit[i].id, 422, "");
+        record_answered_request(1, RequestKind::submit, unfit[i].id, 422, "");
         EXPECT_TRUE(checker.broken.empty());
-        record_answered_request(2, Ask::submit, unfit[i].id, 201, "pending");
+        record_answered_request(2, RequestKind::submit, unfit[i].id, 201, "pending");
         EXPECT_TRUE(reported_only("accepted though it cannot run")) << i;
         checker.broken.clear();
     }
@@ -135,16 +137,16 @@
 TEST_F(HistoryCheckerTest, ReportsATaskThatRunsTooLongAfterItsCancellation) {
     accept(job("req-1", 3));
     checker.started(3, {"req-1", 0}, 2.9);
-    record_answered_request(5, Ask::cancel, "req-1", 200, "cancelled"); // received at 5.1
+    record_answered_request(5, RequestKind::cancel, "req-1", 200, "cancelled"); // received at 5.1
     checker.started(5.5, {"req-1", 1}, 5.0);
     checker.started(8, {"req-1", 2}, 7.1);
     checker.there(47, {"req-1", 0});
     EXPECT_TRUE(checker.broken.empty());
-    const Judge::LateStarts& late_starts = checker.late_starts();
-    EXPECT_EQ(late_starts.left_before, 1);
-    EXPECT_EQ(late_starts.left_after, 1);
+    const HistoryChecker::LateStarts& late_starts = checker.late_starts();
+    EXPECT_EQ(late_starts.sent_before_response, 1);
+    EXPECT_EQ(late_starts.sent_after_response, 1);
     EXPECT_NEAR(late_starts.longest_s, 2.9, 1e-9);
-    EXPECT_NEAR(late_starts.longest_left, 2, 1e-9);
+    EXPECT_NEAR(late_starts.longest_sent_s, 2, 1e-9);
     checker.there(47.2, {"req-1", 0});
     EXPECT_TRUE(reported_only("ran_cancelled"));
     EXPECT_NEAR(checker.longest_cancelled(), 42.1, 1e-9);
@@ -153,11 +155,11 @@
 TEST_F(HistoryCheckerTest, MeasuresTheLongestTimeWithoutAnAnsweredRequest) {
     accept(job("req-1"));
     accept(job("req-2"));
-    checker.troubles_over(10);
-    record_answered_request(20, Ask::poll, "req-1", 200, "running");
-    record_answered_request(20, Ask::poll, "req-2", 200, "running");
-    record_answered_request(50, Ask::poll, "req-1", 503, "");
-    record_answered_request(50, Ask::poll, "req-2", 200, "running");
+    checker.faults_ended(10);
+    record_answered_request(20, RequestKind::poll, "req-1", 200, "running");
+    record_answered_request(20, RequestKind::poll, "req-2", 200, "running");
+    record_answered_request(50, RequestKind::poll, "req-1", 503, "");
+    record_answered_request(50, RequestKind::poll, "req-2", 200, "running");
     EXPECT_NEAR(checker.longest_unanswered(100), 79.9, 1e-9);
 }
 
@@ -168,7 +170,7 @@
     // up to the start of a task.
     EXPECT_EQ(idle_seconds({"req-1", 2, {}}, {free_capacity(1.9), free_capacity(1)}), 0);
     EXPECT_EQ(idle_seconds({"req-1", 2, {}}, {free_capacity(2)}, {23, 0}), 0);
-    checker.troubles_over(100);
+    checker.faults_ended(100);
     for (Time t = 100; t <= 190; t += 1) {
         checker.look(t, {free_capacity(2)}, {{"req-1", 2, {}}}, {});
         if (t == 150) {
@@ -184,7 +186,7 @@
                            {free_capacity(8), free_capacity(8, "a", false), free_capacity(8, "b")}),
               0);
     EXPECT_EQ(idle_seconds({"req-2", 1, {}}, {free_capacity(8, "b", false)}), 90);
-    EXPECT_EQ(checker.idlest(), "req-2");
+    EXPECT_EQ(checker.longest_idle_job(), "req-2");
 }
 
 TEST_F(HistoryCheckerTest, CountsAGangAsIdleOnlyNextToCapacityForAllOfIt) {
@@ -217,11 +219,12 @@
             checker.completed({id, 0});
         }
     }
-    EXPECT_EQ(checker.served_under(0.5), std::vector<std::string>{"largest of scan: 0 of 2"});
-    EXPECT_EQ(checker.served_under(0.8).size(), 3u); // the class and the team, too
+    EXPECT_EQ(checker.groups_served_below(0.5),
+              std::vector<std::string>{"largest of scan: 0 of 2"});
+    EXPECT_EQ(checker.groups_served_below(0.8).size(), 3u); // the class and the team, too
     checker.started(200, {"req-0", 0}, 199);
-    EXPECT_EQ(checker.begun_later_than(240, 240), std::vector<std::string>{});
-    EXPECT_EQ(checker.begun_later_than(240, 242), std::vector<std::string>{"req-1"});
+    EXPECT_EQ(checker.largest_jobs_started_after(240, 240), std::vector<std::string>{});
+    EXPECT_EQ(checker.largest_jobs_started_after(240, 242), std::vector<std::string>{"req-1"});
 }
 
 } // namespace
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "core/model/partition_assignment.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
@@ -23,13 +23,14 @@
 
 TEST_P(Overload, HalfOfTheJobsOfEachClassAndTeamComplete) {
     auto [overloaded_class, factor] = GetParam();
-    World cluster({.nodes = 3,
-                   .run_s = 10,
-                   .limits = 2.5,
-                   .capacity = 10,
-                   .objectives = {{ServiceLevelObjective::Kind::finished, "scan", 60},
-                                  {ServiceLevelObjective::Kind::wait, "urgent", 10},
-                                  {ServiceLevelObjective::Kind::finished, "thesis", 90}}});
+    SimulatedCluster cluster(
+        {.nodes = 3,
+         .run_s = 10,
+         .limits = 2.5,
+         .capacity = 10,
+         .objectives = {{ServiceLevelObjective::Kind::finished, "scan", 60},
+                        {ServiceLevelObjective::Kind::wait, "urgent", 10},
+                        {ServiceLevelObjective::Kind::finished, "thesis", 90}}});
     cluster.run_for(20);
     int jobs = 0;
     std::map<std::string, std::pair<std::string, std::string>> submitted; // class and team, by job
@@ -54,7 +55,7 @@
         if (cluster.now() >= begin + 60 &&
             cluster.machines_up().size() > 7) { // three of the ten machines are lost permanently
             cluster.kill_machine(cluster.machines_up().front());
-            cluster.limit_cloud(7);
+            cluster.set_cloud_capacity(7);
         }
         cluster.run_for(0.5);
     }
@@ -76,12 +77,12 @@
 // The largest job of a class has the most work left. When not all jobs can complete in time, `plan`
 // moves it behind each small job that arrives, so it could wait forever. It must start nonetheless.
 TEST(OverloadLargestJob, StartsWithinFourMinutesBehindAStreamOfSmallJobs) {
-    World cluster({.nodes = 3,
-                   .run_s = 10,
-                   .limits = 2.5,
-                   .capacity = 8,
-                   .objectives = {{ServiceLevelObjective::Kind::finished, "scan", 60},
-                                  {ServiceLevelObjective::Kind::wait, "urgent", 10}}});
+    SimulatedCluster cluster({.nodes = 3,
+                              .run_s = 10,
+                              .limits = 2.5,
+                              .capacity = 8,
+                              .objectives = {{ServiceLevelObjective::Kind::finished, "scan", 60},
+                                             {ServiceLevelObjective::Kind::wait, "urgent", 10}}});
     cluster.run_for(20);
     int jobs = 0;
     std::vector<std::string> largest_jobs;
@@ -107,8 +108,8 @@
     }
     ASSERT_GT(cluster.now(), begin + 380);
     for (const auto& id : largest_jobs) {
-        ASSERT_TRUE(cluster.began_after(id)) << id;
-        EXPECT_LT(*cluster.began_after(id), 240) << id;
+        ASSERT_TRUE(cluster.seconds_to_first_start(id)) << id;
+        EXPECT_LT(*cluster.seconds_to_first_start(id), 240) << id;
     }
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
--- a/tests/quota_config_test.cpp
+++ b/tests/quota_config_test.cpp
@@ -8,7 +8,7 @@
 #include "core/model/partition_assignment.h"
 #include "core/quotas/quota_config.h"
 #include "policy/default_policy.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
@@ -18,16 +18,16 @@
 constexpr double kMaxPropagationDelay_s = 9;
 constexpr double kRun_s = 400;
 
-WorldOptions options(std::uint64_t seed = 1) {
+SimulationOptions options(std::uint64_t seed = 1) {
     return {.seed = seed,
             .nodes = 5,
             .run_s = kRun_s,
             .limits = 10,
-            .more_teams = 278,
+            .extra_teams = 278,
             .capacity = 60,
             .state_rps = 250,
             .state_write_rps = 50,
-            .notices = true};
+            .cancellation_broadcasts = true};
 }
 
 class QuotaConfigTest : public testing::Test {
@@ -45,7 +45,7 @@
             small.team = "t" + std::to_string(t);
             cluster.submit(t, small);
         }
-        cluster.ask_often();
+        cluster.start_polling_open_jobs();
         cluster.run_for(60);
         ASSERT_EQ(cluster.used("red"), 220);
     }
@@ -63,16 +63,18 @@
         }
         return cluster.broken.empty();
     }
-    int leader_of_red() const { return cluster.owner(partition_of_team(cluster.facts(0), "red")); }
+    int leader_of_red() const {
+        return cluster.owner(partition_of_team(cluster.cluster_settings(0), "red"));
+    }
 
-    World cluster;
+    SimulatedCluster cluster;
 };
 
 TEST_F(QuotaConfigTest, LoweredLimitTakesEffectAtOnceAndExcessTasksAreEvicted) {
     fill();
     cluster.configure(quota_of_red(100));
     cluster.run_for(2);
-    EXPECT_EQ(cluster.in_force_after().size(), 5U);
+    EXPECT_EQ(cluster.quota_delays_s().size(), 5U);
     cluster.run_for(10);
     EXPECT_LE(cluster.used("red"), 100);
     EXPECT_GE(cluster.used("red"), 98) << "more tasks were evicted than exceed the limit";
@@ -95,7 +97,7 @@
 
 TEST_F(QuotaConfigTest, ChangedGuaranteeMovesNoTeamToAnotherPartition) {
     fill();
-    auto partitions = partitions_of_teams(cluster.facts(0));
+    auto partitions = partitions_of_teams(cluster.cluster_settings(0));
     int leader = leader_of_red();
     TeamQuota quota = cluster.team("red");
     quota.guaranteed_cpus = 1;
@@ -105,7 +107,7 @@
     cluster.configure(blue);
     cluster.run_for(60);
     EXPECT_EQ(leader_of_red(), leader);
-    EXPECT_EQ(partitions_of_teams(cluster.facts(0)), partitions);
+    EXPECT_EQ(partitions_of_teams(cluster.cluster_settings(0)), partitions);
     EXPECT_EQ(cluster.used("red"), 220);
     EXPECT_TRUE(invariants_hold());
 }
@@ -134,8 +136,8 @@
     }
     cluster.run_for(60);
     EXPECT_LE(cluster.used("red"), cluster.team("red").max_cpus);
-    EXPECT_EQ(cluster.in_force_after().size(), 5U * 200U);
-    EXPECT_LE(*std::max_element(cluster.in_force_after().begin(), cluster.in_force_after().end()),
+    EXPECT_EQ(cluster.quota_delays_s().size(), 5U * 200U);
+    EXPECT_LE(*std::max_element(cluster.quota_delays_s().begin(), cluster.quota_delays_s().end()),
               kMaxPropagationDelay_s);
     EXPECT_TRUE(invariants_hold());
 }
@@ -143,8 +145,8 @@
 TEST_F(QuotaConfigTest, SecondOfTwoConcurrentWritersIsRejected) {
     fill();
     std::uint64_t seen = cluster.version_of("config/team/red");
-    EXPECT_EQ(cluster.configure_over(quota_of_red(120), seen), 200);
-    EXPECT_EQ(cluster.configure_over(quota_of_red(200), seen), 409);
+    EXPECT_EQ(cluster.configure_if_version(quota_of_red(120), seen), 200);
+    EXPECT_EQ(cluster.configure_if_version(quota_of_red(200), seen), 409);
     cluster.run_for(60);
     EXPECT_EQ(cluster.used("red"), 120);
     EXPECT_TRUE(invariants_hold());
@@ -169,7 +171,7 @@
     gang.checkpoint_interval_s = 5;
     gang.save_duration_s = 2;
     cluster.submit(0, gang);
-    cluster.ask_often();
+    cluster.start_polling_open_jobs();
     cluster.run_for(60);
     ASSERT_EQ(cluster.gang_runs("req-1"), 1);
     TeamQuota before = cluster.team("red");
@@ -178,7 +180,7 @@
     EXPECT_EQ(cluster.used("red"), 0);
     EXPECT_EQ(cluster.gang_saves("req-1"), 1);
     cluster.run_for(100);
-    EXPECT_LT(cluster.judge().longest_unanswered(cluster.now()), 75);
+    EXPECT_LT(cluster.history_checker().longest_unanswered(cluster.now()), 75);
     EXPECT_EQ(cluster.outcomes().at("req-1"), Outcome::none);
     cluster.configure(before);
     cluster.run_for(kRun_s + 120);
@@ -364,13 +366,13 @@
 TEST_F(QuotaConfigTest, ControllerRejectedByTheStoreLearnsChangesFromItsPeers) {
     fill();
     int leader = leader_of_red();
-    cluster.state_refuses(leader, true);
+    cluster.set_store_refusing(leader, true);
     cluster.run_for(2);
     cluster.configure(quota_of_red(100));
     cluster.run_for(kMaxPropagationDelay_s);
-    EXPECT_EQ(cluster.in_force_after().size(), 5U);
+    EXPECT_EQ(cluster.quota_delays_s().size(), 5U);
     cluster.run_for(60);
-    cluster.state_refuses(leader, false);
+    cluster.set_store_refusing(leader, false);
     cluster.run_for(30);
     EXPECT_LE(cluster.used("red"), 100);
     EXPECT_TRUE(invariants_hold());
@@ -412,7 +414,7 @@
         : QuotaConfigTest(3 + static_cast<std::uint64_t>(std::get<0>(GetParam()))) {}
     // Cuts the controller off from the store and its peers, or reconnects it.
     void disconnect(int node, bool cut) {
-        cluster.state_silent(node, cut);
+        cluster.set_store_silent(node, cut);
         for (int to = 0; to < 5; ++to) {
             cluster.cut_peers(node, to, cut);
         }
@@ -429,7 +431,7 @@
     auto unreachable = cluster.machines_up();
     unreachable.resize(unreachable.size() / 3);
     switch (fault) {
-    case leader_rejected_by_store: cluster.state_refuses(leader, true); break;
+    case leader_rejected_by_store: cluster.set_store_refusing(leader, true); break;
     case leader_disconnected: disconnect(leader, true); break;
     case leader_frozen: cluster.freeze(leader, 25); break;
     case peers_disconnected:
@@ -444,8 +446,8 @@
             cluster.cut_machine(machine, true);
         }
         break;
-    case store_responses_lost: cluster.troubles.lost_answers = 0.4; break;
-    case store_writes_delayed: cluster.troubles.late_writes = 0.4; break;
+    case store_responses_lost: cluster.random_faults.lost_responses = 0.4; break;
+    case store_writes_delayed: cluster.random_faults.late_writes = 0.4; break;
     case store_watches_lost:
         cluster.intercept = [](int, const OutboundBody& call) {
             const auto* watch = std::get_if<StoreWatch>(&call);
@@ -466,10 +468,10 @@
     }
     ASSERT_TRUE(cluster.configure(quota));
     switch (fault) {
-    case store_outage_at_once: cluster.state_down(true); break;
+    case store_outage_at_once: cluster.set_store_down(true); break;
     case store_outage_after_3_s:
         cluster.run_for(3);
-        cluster.state_down(true);
+        cluster.set_store_down(true);
         break;
     case leader_crashes: cluster.crash(leader, 8); break;
     case leader_crashes_twice:
@@ -483,7 +485,7 @@
         }
         break;
     case shards_migrate: {
-        int partition = partition_of_team(cluster.facts(0), "red");
+        int partition = partition_of_team(cluster.cluster_settings(0), "red");
         for (const auto& shard : cluster.shares(partition)) {
             cluster.give(partition, shard, (partition + 1) % 5);
             cluster.run_for(0.2);
@@ -493,8 +495,8 @@
     default: break;
     }
     cluster.run_for(60);
-    cluster.state_down(false);
-    cluster.state_refuses(leader, false);
+    cluster.set_store_down(false);
+    cluster.set_store_refusing(leader, false);
     disconnect(leader, false);
     for (int a = 0; a < 5; ++a) {
         for (int b = 0; b < 5; ++b) {
@@ -504,14 +506,14 @@
     for (const auto& machine : cluster.machines_up()) { // without those released meanwhile
         cluster.cut_machine(machine, false);
     }
-    cluster.troubles = {};
+    cluster.random_faults = {};
     cluster.intercept = nullptr;
     cluster.run_for(75);
     EXPECT_LE(cluster.used("red"), limit);
     EXPECT_GE(cluster.used("red"), limit - 4) << "all that the limit allows runs";
-    EXPECT_LT(cluster.judge().longest_unanswered(cluster.now()), 75);
+    EXPECT_LT(cluster.history_checker().longest_unanswered(cluster.now()), 75);
     EXPECT_TRUE(invariants_hold());
-    const auto& delays_s = cluster.in_force_after();
+    const auto& delays_s = cluster.quota_delays_s();
     ASSERT_GE(delays_s.size(), 5U);
     double longest = *std::max_element(delays_s.begin(), delays_s.end());
     std::printf("%s: in force at the last of %zu after %.2f s\n", kFaultNames[fault],
--- a/tests/slot_borrowing_test.cpp
+++ b/tests/slot_borrowing_test.cpp
@@ -7,7 +7,7 @@
 #include "core/stealing/slot_borrower.h"
 #include "core/stealing/slot_lender.h"
 #include "policy/default_policy.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
@@ -15,7 +15,7 @@
 // The leader of partition 0 with a job of ten tasks. Partitions 1 and 2 hold the shard of
 // `machine`, one after the other.
 struct Borrower : SlotBorrower::Delegate {
-    ClusterSettings settings = World({.nodes = 3}).facts(0);
+    ClusterSettings settings = SimulatedCluster({.nodes = 3}).cluster_settings(0);
     SchedulingPolicy policy = policy::defaults(settings);
     StoreRateLimiter rate_limiter{1000, 1000, 1};
     OutboundRequests requests{rate_limiter, 1};
@@ -61,7 +61,7 @@
         slot_borrower = std::make_unique<SlotBorrower>(
             *leadership, settings, policy, partition_map, *owned_shards, jobs, quotas, gangs,
             *pending_queue, *demand_tracker, requests, *this);
-        JobSpec spec = World({}).job("req-1", 10, 2);
+        JobSpec spec = SimulatedCluster({}).job("req-1", 10, 2);
         jobs.add(0, spec, 7);
         for (int i = 0; machine.empty(); ++i) {
             std::string name = "i-" + std::to_string(i);
@@ -298,7 +298,7 @@
 
 // The leader of partition 1 with one machine, of which a gang of partition 0 requests a slot.
 struct Lender : SlotLender::Delegate {
-    ClusterSettings settings = World({.nodes = 3}).facts(1);
+    ClusterSettings settings = SimulatedCluster({.nodes = 3}).cluster_settings(1);
     SchedulingPolicy policy = policy::defaults(settings);
     StoreRateLimiter rate_limiter{1000, 1000, 1};
     OutboundRequests requests{rate_limiter, 1};
