--- a/tests/core_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,4 +1,5 @@
-// The core against scripted peers and a fake clock.
+// Tests of whole controllers in a simulated cluster with a fake clock and injected faults: job
+// lifecycle, failover, leadership, cancellation, slot borrowing and partition placement.
 #include <gtest/gtest.h>
 
 #include "core/model/partition_assignment.h"
@@ -7,12 +8,14 @@
 namespace scheduler::test {
 namespace {
 
-// The part whose owner places the jobs of the team `red`.
-int red(const SimulatedCluster& cluster) {
+// Returns the partition whose leader places the jobs of team `red`.
+int partition_of_red(const SimulatedCluster& cluster) {
     return partition_of_team(cluster.cluster_settings(0), "red");
 }
 
-std::string stage(SimulatedCluster& cluster, int node, const std::string& job) {
+// Polls the job at the controller. Returns its stage, the response status if that is not 200, or
+// "no answer".
+std::string poll_stage(SimulatedCluster& cluster, int node, const std::string& job) {
     RequestId id = cluster.poll(node, job);
     cluster.run_for(0.5);
     auto it = cluster.answers.find(id);
@@ -22,8 +25,8 @@
     return std::get<JobStatusBody>(it->second.body).stage;
 }
 
-// A cluster where the machines for the first job are up and its tasks run.
-void start(SimulatedCluster& cluster, const std::string& id, std::uint32_t tasks) {
+// Submits a job and returns once its first task runs, which includes the scale-out for it.
+void submit_and_await_start(SimulatedCluster& cluster, const std::string& id, std::uint32_t tasks) {
     cluster.run_for(3);
     RequestId request_id = cluster.submit(0, cluster.job(id, tasks));
     cluster.run_for(0.5);
@@ -34,20 +37,20 @@
     ASSERT_EQ(cluster.machines_of({id, 0}).size(), 1u);
 }
 
-TEST(Service, RunsAJobToItsEndAndEveryNodeSaysSo) {
+TEST(JobLifecycle, JobCompletesAndEveryControllerReportsDone) {
     SimulatedCluster cluster({});
-    start(cluster, "req-1", 5);
+    submit_and_await_start(cluster, "req-1", 5);
     cluster.run_for(30);
     EXPECT_TRUE(cluster.all_done("req-1"));
     for (int node = 0; node < 3; ++node) {
-        EXPECT_EQ(stage(cluster, node, "req-1"), "done");
+        EXPECT_EQ(poll_stage(cluster, node, "req-1"), "done");
     }
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Service, AnswersARetryWithTheStateAndAnUnknownJobWith404) {
+TEST(JobLifecycle, RetriedSubmissionReturnsStatusAndUnknownJobReturns404) {
     SimulatedCluster cluster({});
-    start(cluster, "req-1", 2);
+    submit_and_await_start(cluster, "req-1", 2);
     RequestId again = cluster.submit(1, cluster.job("req-1", 2));
     RequestId unknown = cluster.poll(2, "req-99");
     cluster.run_for(0.5);
@@ -59,14 +62,14 @@
     EXPECT_EQ(std::get<JobStatusBody>(cluster.answers.at(later).body).stage, "done");
 }
 
-TEST(Service, RefusesWhatCanNeverRun) {
+TEST(JobLifecycle, RejectsJobsThatCanNeverRun) {
     SimulatedCluster cluster({});
     cluster.run_for(3);
     JobSpec team = cluster.job("req-1", 1);
     team.team = "nobody";
     JobSpec large = cluster.job("req-2", 1, 9);
     JobSpec limit = cluster.job("req-3", 1, 25);
-    JobSpec gang = cluster.job("req-4", 13); // each task would do
+    JobSpec gang = cluster.job("req-4", 13); // each single task is within the team's limit
     gang.kind = JobKind::gang;
     std::vector<RequestId> ids{cluster.submit(0, team), cluster.submit(0, large),
                                cluster.submit(0, limit), cluster.submit(0, gang)};
@@ -77,20 +80,20 @@
     EXPECT_EQ(cluster.answers.at(ids[3]).status, 422);
 }
 
-TEST(Service, KeepsATeamWithinItsLimitWithManyTasksWaiting) {
+TEST(JobLifecycle, TeamStaysWithinItsLimitWithManyTasksWaiting) {
     SimulatedCluster cluster({});
-    start(cluster, "req-1", 60);
-    double most = 0;
+    submit_and_await_start(cluster, "req-1", 60);
+    double max_used = 0;
     for (int i = 0; i < 100; ++i) {
         cluster.run_for(0.5);
-        most = std::max(most, cluster.used("red"));
+        max_used = std::max(max_used, cluster.used("red"));
     }
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
-    EXPECT_GT(most, 16);
-    EXPECT_LE(most, 24);
+    EXPECT_GT(max_used, 16);
+    EXPECT_LE(max_used, 24);
 }
 
-TEST(NeverTwice, AStartWithoutAnAnswerIsNotRepeatedUntilFenced) {
+TEST(AtMostOnceExecution, UnansweredStartIsNotRepeatedUntilFenced) {
     SimulatedCluster cluster({});
     bool swallow = true;
     int swallowed = 0;
@@ -109,9 +112,9 @@
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(NeverTwice, ASilentMachinesTaskMovesOnlyAfterItIsGone) {
+TEST(AtMostOnceExecution, TaskOnUnreachableMachineMovesOnlyAfterItIsGone) {
     SimulatedCluster cluster({.run_s = 60});
-    start(cluster, "req-1", 1);
+    submit_and_await_start(cluster, "req-1", 1);
     std::string machine = *cluster.machines_of({"req-1", 0}).begin();
     cluster.cut_machine(machine, true);
     cluster.run_for(40);
@@ -119,14 +122,14 @@
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Takeover, TasksGoOnWhenTheOwnerCrashes) {
+TEST(Failover, RunningTasksContinueWhenTheLeaderCrashes) {
     SimulatedCluster cluster({.run_s = 30});
-    start(cluster, "req-1", 6);
+    submit_and_await_start(cluster, "req-1", 6);
     cluster.run_for(1);
-    int leader = cluster.owner(red(cluster));
+    int leader = cluster.owner(partition_of_red(cluster));
     cluster.crash(leader, 60);
     cluster.run_for(80);
-    EXPECT_NE(cluster.owner(red(cluster)), -1);
+    EXPECT_NE(cluster.owner(partition_of_red(cluster)), -1);
     EXPECT_TRUE(cluster.all_done("req-1"));
     for (std::uint32_t i = 0; i < 6; ++i) {
         EXPECT_EQ(cluster.starts({"req-1", i}), 1);
@@ -134,34 +137,34 @@
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Takeover, WithASilentMachineNothingOfItIsStartedBeforeItsLeaseIsOver) {
+TEST(Failover, TaskOnUnreachableMachineIsNotRestartedBeforeItsLeaseExpires) {
     SimulatedCluster cluster({.run_s = 100});
-    start(cluster, "req-1", 1);
+    submit_and_await_start(cluster, "req-1", 1);
     std::string machine = *cluster.machines_of({"req-1", 0}).begin();
     cluster.set_cloud_down(true);
     cluster.cut_machine(machine, true);
-    int leader = cluster.owner(red(cluster));
+    int leader = cluster.owner(partition_of_red(cluster));
     cluster.crash(leader, 2);
     cluster.run_for(60);
     EXPECT_GE(cluster.starts({"req-1", 0}), 1);
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Takeover, AllNodesAtOnceLoseNothing) {
+TEST(Failover, CrashOfAllControllersLosesNoJob) {
     SimulatedCluster cluster({.run_s = 20});
-    start(cluster, "req-1", 6);
+    submit_and_await_start(cluster, "req-1", 6);
     for (int i = 0; i < 3; ++i) {
         cluster.crash(i, 6);
     }
     cluster.run_for(60);
     EXPECT_TRUE(cluster.all_done("req-1"));
-    EXPECT_EQ(stage(cluster, 1, "req-1"), "done");
+    EXPECT_EQ(poll_stage(cluster, 1, "req-1"), "done");
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Authority, EndsWithoutTheStateServiceAndComesBack) {
+TEST(Leadership, ExpiresDuringAStoreOutageAndIsReacquired) {
     SimulatedCluster cluster({.run_s = 100});
-    start(cluster, "req-1", 2);
+    submit_and_await_start(cluster, "req-1", 2);
     cluster.set_store_down(true);
     cluster.run_for(60);
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
@@ -171,42 +174,43 @@
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Authority, MovesWhenTheStateServiceRefusesTheOwnerAlone) {
+TEST(Leadership, MovesWhenTheStoreRejectsOnlyTheLeader) {
     SimulatedCluster cluster({.run_s = 40});
-    start(cluster, "req-1", 4);
-    int leader = cluster.owner(red(cluster));
+    submit_and_await_start(cluster, "req-1", 4);
+    int leader = cluster.owner(partition_of_red(cluster));
     cluster.set_store_refusing(leader, true);
     cluster.run_for(40);
-    EXPECT_NE(cluster.owner(red(cluster)), leader);
+    EXPECT_NE(cluster.owner(partition_of_red(cluster)), leader);
     cluster.set_store_refusing(leader, false);
     cluster.run_for(100);
     EXPECT_TRUE(cluster.all_done("req-1"));
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Authority, MovesWhenNoWorkerReachesTheOwner) {
+TEST(Leadership, MovesWhenNoWorkerReachesTheLeader) {
     SimulatedCluster cluster({.run_s = 40});
-    start(cluster, "req-1", 12);
+    submit_and_await_start(cluster, "req-1", 12);
     JobSpec more = cluster.job("req-2", 18);
     more.team = "blue";
     cluster.submit(0, more);
     cluster.run_for(20);
-    int leader = cluster.owner(red(cluster));
-    std::size_t released = cluster.log_count("event=machine_released");
+    int leader = cluster.owner(partition_of_red(cluster));
+    std::size_t released = cluster.logged("event=machine_released");
     cluster.cut_workers(leader, true);
     cluster.run_for(8);
-    // The first machine to miss its report was once released, with what it ran, and then the next.
-    EXPECT_EQ(cluster.log_count("event=machine_released"), released);
+    // A leader that no worker reaches must not treat its machines as failed. It once released them
+    // one after the other, each with the tasks that it ran.
+    EXPECT_EQ(cluster.logged("event=machine_released"), released);
     cluster.run_for(17);
-    EXPECT_NE(cluster.owner(red(cluster)), leader);
+    EXPECT_NE(cluster.owner(partition_of_red(cluster)), leader);
     cluster.run_for(120);
     EXPECT_TRUE(cluster.all_done("req-1"));
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Cancel, StopsTasksEvenThoseWhoseStartIsInFlight) {
+TEST(JobCancellation, StopsTasksIncludingStartsInFlight) {
     SimulatedCluster cluster({.run_s = 200});
-    start(cluster, "req-1", 4);
+    submit_and_await_start(cluster, "req-1", 4);
     RequestId id = cluster.cancel(1, "req-1");
     cluster.run_for(10);
     EXPECT_EQ(std::get<JobStatusBody>(cluster.answers.at(id).body).stage, "cancelled");
@@ -214,25 +218,25 @@
         EXPECT_TRUE(cluster.machines_of({"req-1", i}).empty());
     }
     EXPECT_EQ(cluster.used("red"), 0);
-    EXPECT_EQ(stage(cluster, 2, "req-1"), "cancelled");
+    EXPECT_EQ(poll_stage(cluster, 2, "req-1"), "cancelled");
 }
 
-TEST(Cancel, AgainstAFinishOneOfTheTwoHoldsForEver) {
-    for (int k = 0; k < 20; ++k) {
-        SimulatedCluster cluster({.seed = 100u + k, .run_s = 4});
-        start(cluster, "req-1", 1);
-        cluster.run_for(1 + 0.3 * k);
-        cluster.cancel(k % 3, "req-1");
+TEST(JobCancellation, RaceWithCompletionHasOnePermanentOutcome) {
+    for (int step = 0; step < 20; ++step) { // cancels 0.3 s later each time
+        SimulatedCluster cluster({.seed = 100u + step, .run_s = 4});
+        submit_and_await_start(cluster, "req-1", 1);
+        cluster.run_for(1 + 0.3 * step);
+        cluster.cancel(step % 3, "req-1");
         cluster.run_for(2);
-        std::string first = stage(cluster, 0, "req-1");
+        std::string first = poll_stage(cluster, 0, "req-1");
         EXPECT_TRUE(first == "done" || first == "cancelled") << first;
         cluster.run_for(10);
-        EXPECT_EQ(stage(cluster, 1, "req-1"), first);
+        EXPECT_EQ(poll_stage(cluster, 1, "req-1"), first);
         EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
 }
 
-TEST(State, AnUnreadableRecordIsNeitherAbsentNorOverwritten) {
+TEST(StoredRecords, UnreadableJobRecordIsNeitherAbsentNorOverwritten) {
     SimulatedCluster cluster({});
     cluster.put("job/req-7", UnreadableRecord{});
     cluster.run_for(3);
@@ -245,7 +249,7 @@
     EXPECT_EQ(cluster.answers.at(submit).status, 503);
 }
 
-TEST(Job, ThatFailsEverywhereTakesNoMachineDownWithIt) {
+TEST(TaskFailures, AlwaysFailingJobIsRetriedFewTimesAndMachinesRemain) {
     SimulatedCluster cluster({.error = 1.0});
     cluster.run_for(3);
     cluster.submit(0, cluster.job("req-1", 1));
@@ -256,51 +260,53 @@
 
 constexpr std::uint64_t kTerm = 7;
 
-// A machine of a lease of 17 s that has just reported for the first time, with that report.
-struct OneMachine {
+// A machine table with a worker lease of 17 s, its only machine, and the first heartbeat of that
+// machine, which has been applied.
+struct SingleMachineTable {
     MachineTable table{17, 1};
-    Machine& m =
+    Machine& machine =
         table.add(0, "i-1", {"m8", 8, 0, 32, 20, 1, 1, 1, 10, {"a"}}, "a", false, {}, kTerm);
-    Heartbeat r;
+    Heartbeat heartbeat;
 
-    OneMachine() {
-        r.machine = "i-1";
-        r.agent_epoch = 1;
-        r.sequence = 1;
-        r.fencing_token = make_fencing_token(kTerm, 0);
-        table.apply_heartbeat(0, m, r, 0);
+    SingleMachineTable() {
+        heartbeat.machine = "i-1";
+        heartbeat.agent_epoch = 1;
+        heartbeat.sequence = 1;
+        heartbeat.fencing_token = make_fencing_token(kTerm, 0);
+        table.apply_heartbeat(0, machine, heartbeat, 0);
     }
 };
 
-TEST(MachineTable, ADirectStartIsGoneOnlyUnderAHigherToken) {
-    OneMachine one;
-    auto& [table, machine, heartbeat] = one;
+TEST(MachineTable, DirectStartIsRemovedOnlyUnderAHigherFencingToken) {
+    SingleMachineTable single;
+    auto& [table, machine, heartbeat] = single;
     EXPECT_TRUE(machine.fenced);
     TaskId task{"req-1", 0};
     Placement placement;
     placement.attempt = 1;
     table.queue_start(0, machine, task, placement);
     table.on_commands_sent(machine, table.take_commands_for_request(machine), 5);
-    table.fence(machine);   // no answer came
-    heartbeat.sequence = 2; // a report under the token that the start carries proves nothing
+    table.fence(machine); // the command was not answered
+    // A heartbeat under the token of the start may have been sent before the start arrived.
+    heartbeat.sequence = 2;
     EXPECT_TRUE(table.apply_heartbeat(1, machine, heartbeat, 0).removed.empty());
     EXPECT_FALSE(machine.fenced);
     heartbeat.sequence = 3;
     heartbeat.fencing_token = make_fencing_token(kTerm, 1);
     EXPECT_EQ(table.apply_heartbeat(2, machine, heartbeat, 0).removed.size(), 1u);
     EXPECT_TRUE(machine.fenced);
-    // A token of an earlier term is never ours, however high its sequence.
+    // A token of an earlier term does not fence, however high its sequence.
     heartbeat.sequence = 4;
     heartbeat.fencing_token = make_fencing_token(kTerm - 1, 1000);
     table.apply_heartbeat(3, machine, heartbeat, 0);
     EXPECT_FALSE(machine.fenced);
 }
 
-// A start into a session that only the answer to a direct command has told of: counted by the lease
-// of the session before, the task would be taken for gone while it runs.
-TEST(MachineTable, ASessionHeardOfByADirectAnswerHasALeaseOfItsOwn) {
-    OneMachine one;
-    auto& [table, machine, heartbeat] = one;
+// A task may be started in an agent epoch that only the response to a direct command has revealed.
+// Judged by the lease of the previous epoch, it would be considered gone while it still runs.
+TEST(MachineTable, AgentEpochLearnedFromACommandResponseHasItsOwnLease) {
+    SingleMachineTable single;
+    auto& [table, machine, heartbeat] = single;
     table.on_lease_renewed(0, machine);
     heartbeat.agent_epoch = 2;
     heartbeat.sequence = 2;
@@ -310,7 +316,7 @@
     EXPECT_TRUE(table.lease_expired(16 + 20, machine));
 }
 
-TEST(State, DoneBitsThatAreLostCostNoResult) {
+TEST(StoredRecords, LostCompletionBitmapWriteLosesNoResult) {
     SimulatedCluster cluster({.run_s = 6});
     bool lose = true;
     cluster.intercept = [&](int, const OutboundBody& body) {
@@ -318,21 +324,23 @@
         return lose && transaction && !transaction->writes.empty() &&
                transaction->writes[0].key.starts_with("done/");
     };
-    start(cluster, "req-1", 40); // more than the limit lets run at once
+    // More tasks than the team's limit lets run at once.
+    submit_and_await_start(cluster, "req-1", 40);
     cluster.run_for(10);
-    cluster.crash(cluster.owner(red(cluster)), 4);
+    cluster.crash(cluster.owner(partition_of_red(cluster)), 4);
     cluster.run_for(10);
     lose = false;
     cluster.run_for(60);
-    EXPECT_EQ(stage(cluster, 0, "req-1"), "done");
+    EXPECT_EQ(poll_stage(cluster, 0, "req-1"), "done");
     for (std::uint32_t i = 0; i < 40; ++i) {
-        // Not cleared at its worker before its bit is durable, so never run again.
+        // The worker keeps the result until its bit in the bitmap is durable, so no task runs
+        // again.
         EXPECT_EQ(cluster.starts({"req-1", i}), 1);
     }
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Budget, RenewalsGoOutEvenWhenUsersUseEverything) {
+TEST(StoreRateLimiter, AllowsRenewalsWhenUserRequestsExhaustTheLimit) {
     StoreRateLimiter rate_limiter(100, 20, 3);
     int users = 0;
     while (rate_limiter.try_acquire(1, StoreRateLimiter::Use::user, 1)) {
@@ -347,8 +355,9 @@
     EXPECT_TRUE(rate_limiter.try_acquire(1.1, StoreRateLimiter::Use::renewal, 0));
 }
 
-// A call made with the time of an earlier input once let the time after it count again.
-TEST(Budget, ATimeThatGoesBackGivesNothing) {
+// A request with the time of an earlier input must not move the clock back: the time after it was
+// once credited a second time.
+TEST(StoreRateLimiter, GrantsNothingWhenTimeGoesBackwards) {
     StoreRateLimiter rate_limiter(10, 10, 1);
     while (rate_limiter.try_acquire(10, StoreRateLimiter::Use::user, 0)) {
     }
@@ -356,7 +365,7 @@
     EXPECT_FALSE(rate_limiter.try_acquire(10, StoreRateLimiter::Use::user, 0));
 }
 
-TEST(Slots, AreCountedByCpuAndMemoryAndFoundFewestFirst) {
+TEST(SlotLists, CountsSlotsByCpuAndMemoryAndFindsTheLeastIdleMachine) {
     InstanceType type{"m8", 8, 0, 32, 0, 0, 0, 0, 0, {}};
     EXPECT_EQ(slots_needed(type, 2, 0, 4), 2);
     EXPECT_EQ(slots_needed(type, 2, 0, 13), 4);
@@ -372,7 +381,7 @@
     EXPECT_EQ(lists.find_least_idle(kind, 4, any), nullptr);
 }
 
-TEST(Services, KeepTheirReplicasUntilCancelled) {
+TEST(ServiceJob, KeepsItsReplicasUntilCancelled) {
     SimulatedCluster cluster({});
     cluster.run_for(3);
     JobSpec service = cluster.job("req-1", 6);
@@ -387,19 +396,19 @@
         EXPECT_EQ(cluster.machines_of({"req-1", i}).size(), 1u);
     }
     EXPECT_GE(cluster.starts({"req-1", 0}), 2);
-    EXPECT_EQ(stage(cluster, cluster.owner(red(cluster)), "req-1"), "running");
+    EXPECT_EQ(poll_stage(cluster, cluster.owner(partition_of_red(cluster)), "req-1"), "running");
     cluster.cancel(2, "req-1");
     cluster.run_for(20);
     for (std::uint32_t i = 0; i < 6; ++i) {
         EXPECT_TRUE(cluster.machines_of({"req-1", i}).empty());
     }
-    EXPECT_EQ(stage(cluster, 0, "req-1"), "cancelled");
+    EXPECT_EQ(poll_stage(cluster, 0, "req-1"), "cancelled");
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Stealing, ATaskRunsOnAnotherPartsMachineAndItsEndComesBack) {
+TEST(SlotBorrowing, RemoteTasksRunAndTheirCompletionIsReported) {
     SimulatedCluster cluster({.run_s = 20});
-    start(cluster, "req-1", 12);
+    submit_and_await_start(cluster, "req-1", 12);
     cluster.run_for(2);
     std::set<int> partitions;
     for (std::uint32_t i = 0; i < 12; ++i) {
@@ -410,15 +419,15 @@
     }
     EXPECT_GT(partitions.size(), 1u);
     cluster.run_for(60);
-    EXPECT_EQ(stage(cluster, 0, "req-1"), "done");
+    EXPECT_EQ(poll_stage(cluster, 0, "req-1"), "done");
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Stealing, AThiefThatCrashesHoldingSlotsCostsNothingForLong) {
+TEST(SlotBorrowing, BorrowerCrashWithUnansweredStartsDoesNotBlockJobs) {
     SimulatedCluster cluster({.run_s = 15});
-    start(cluster, "req-1", 12);
-    int borrower = cluster.owner(red(cluster));
-    // Its starts with stolen slots are lost, and it dies with them in doubt.
+    submit_and_await_start(cluster, "req-1", 12);
+    int borrower = cluster.owner(partition_of_red(cluster));
+    // The borrower's start commands are lost, and it crashes before these tasks are reconciled.
     cluster.intercept = [&](int node, const OutboundBody& body) {
         return node == borrower && std::holds_alternative<WorkerCommands>(body);
     };
@@ -432,24 +441,24 @@
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-TEST(Stealing, AnOwnerThatCrashesWithStolenStartsRunningLosesNone) {
+TEST(SlotBorrowing, LenderCrashRestartsNoRemoteTask) {
     for (int partition = 0; partition < 3; ++partition) {
         SimulatedCluster cluster({.run_s = 40});
-        start(cluster, "req-1", 12);
+        submit_and_await_start(cluster, "req-1", 12);
         cluster.run_for(2);
         cluster.crash(cluster.owner(partition), 30);
         cluster.run_for(120);
         EXPECT_TRUE(cluster.all_done("req-1"));
         for (std::uint32_t i = 0; i < 12; ++i) {
-            EXPECT_EQ(cluster.starts({"req-1", i}), 1) << "part " << partition;
+            EXPECT_EQ(cluster.starts({"req-1", i}), 1) << "partition " << partition;
         }
         EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
 }
 
-TEST(Stealing, APeerThatCannotBeReachedIsNotTakenForDead) {
+TEST(SlotBorrowing, TasksOfAnUnreachablePeerAreNotRestarted) {
     SimulatedCluster cluster({.run_s = 20});
-    start(cluster, "req-1", 12);
+    submit_and_await_start(cluster, "req-1", 12);
     cluster.run_for(2);
     cluster.cut_peers(0, 1, true);
     cluster.cut_peers(0, 2, true);
@@ -466,9 +475,9 @@
     EXPECT_TRUE(cluster.all_done("req-1"));
 }
 
-TEST(Stealing, ACancelReachesStolenTasksThoughTheOwnersCannotTalk) {
+TEST(SlotBorrowing, CancellationReachesRemoteTasksWhilePeersAreDisconnected) {
     SimulatedCluster cluster({.run_s = 200});
-    start(cluster, "req-1", 12);
+    submit_and_await_start(cluster, "req-1", 12);
     cluster.run_for(2);
     cluster.cut_peers(0, 1, true);
     cluster.cut_peers(0, 2, true);
@@ -480,27 +489,27 @@
     }
 }
 
-TEST(Parts, GoBackToTheirHomeNode) {
+TEST(PartitionPlacement, PartitionReturnsToItsHomeController) {
     SimulatedCluster cluster({.run_s = 20});
-    start(cluster, "req-1", 6);
+    submit_and_await_start(cluster, "req-1", 6);
     cluster.crash(1, 40);
     cluster.run_for(30);
     EXPECT_NE(cluster.owner(1), 1);
     for (int i = 0; i < 90 && cluster.owner(1) != 1; ++i) {
         cluster.run_for(1);
     }
-    // Once back it stays: a node that no worker had reason to call before is not deaf.
+    // It stays there: a controller that no worker had a reason to call before is not unreachable.
     for (int i = 0; i < 40; ++i) {
         EXPECT_EQ(cluster.owner(1), 1);
         cluster.submit(i % 3, cluster.job("req-" + std::to_string(100 + i), 3));
         cluster.run_for(1);
     }
-    EXPECT_EQ(stage(cluster, 2, "req-1"), "done");
+    EXPECT_EQ(poll_stage(cluster, 2, "req-1"), "done");
 }
 
-TEST(Parts, AreTakenByTheirHomeNodeAfterACrashThoughTheCloudIsDown) {
+TEST(PartitionPlacement, HomeControllersLeadAfterACrashDuringACloudOutage) {
     SimulatedCluster cluster({.run_s = 30});
-    start(cluster, "req-1", 6);
+    submit_and_await_start(cluster, "req-1", 6);
     cluster.set_cloud_down(true);
     for (int i = 0; i < 3; ++i) {
         cluster.crash(i, 4);
@@ -510,13 +519,14 @@
         EXPECT_EQ(cluster.owner(partition), partition);
     }
     cluster.run_for(60);
-    EXPECT_EQ(stage(cluster, 0, "req-1"), "done");
+    EXPECT_EQ(poll_stage(cluster, 0, "req-1"), "done");
 }
 
-TEST(Parts, StayWhereTheyAreThroughAStateOutage) {
-    // Workers that get no 200 go on calling, so a node without a valid lease is not deaf.
+TEST(PartitionPlacement, LeadersAreUnchangedAfterAShortStoreOutage) {
+    // Workers that get no 200 response keep sending heartbeats, so a controller without a valid
+    // leadership lease does not consider itself unreachable.
     SimulatedCluster cluster({.run_s = 100});
-    start(cluster, "req-1", 12);
+    submit_and_await_start(cluster, "req-1", 12);
     cluster.run_for(10);
     cluster.set_store_down(true);
     cluster.run_for(20);
@@ -527,12 +537,12 @@
     }
 }
 
-TEST(Parts, AreTheSameForEveryNodeAndNearTheirMachines) {
+TEST(PartitionPlacement, IsTheSameOnEveryControllerAndInTheZoneOfTheMachine) {
     SimulatedCluster cluster({});
     for (int i = 0; i < 200; ++i) {
         std::string name = "i-" + std::to_string(i);
         int partition = partition_of_machine(cluster.cluster_settings(0), name, "b");
-        EXPECT_EQ(partition, 1); // the only part with its home in zone b
+        EXPECT_EQ(partition, 1); // the only partition whose home is in zone b
         EXPECT_EQ(partition_of_machine(cluster.cluster_settings(1), name, "a"),
                   partition_of_machine(cluster.cluster_settings(2), name, "a"));
     }
@@ -541,27 +551,28 @@
     EXPECT_EQ(partition_of_team(cluster.cluster_settings(0), "nobody"), -1);
 }
 
-// Twelve changes are more than a fifth of a small limit ever gives at once: with more dirty chunks
-// than that, nothing was saved at all.
-TEST(Progress, OfManyJobsIsSavedInTurnWithinASmallLimitOfChanges) {
+// Twelve changes are more than a fifth of a small limit on writes ever allows at once. With more
+// unsaved bitmap chunks than that, no progress was saved at all.
+TEST(ProgressPersistence, ManyJobsAreSavedInTurnUnderASmallLimitOnWrites) {
     SimulatedCluster cluster({.nodes = 5, .limits = 20, .capacity = 200});
     std::set<std::string> saved;
-    std::set<std::string> finished; // over before its first save, a job has nothing to save
-    std::size_t most = 0;
+    std::set<std::string> finished; // jobs that complete before their first save save no progress
+    std::size_t max_chunks = 0;     // of one transaction
     cluster.intercept = [&](int, const OutboundBody& body) {
-        std::size_t here = 0;
+        std::size_t chunks = 0;
         if (const auto* transaction = std::get_if<StoreTransaction>(&body)) {
-            for (const auto& c : transaction->writes) {
-                if (c.value && c.key.starts_with("done/")) {
-                    saved.insert(c.key.substr(5, c.key.find('/', 5) - 5));
-                    ++here;
-                } else if (const auto* job = c.value ? std::get_if<JobRecord>(&*c.value) : nullptr;
+            for (const auto& write : transaction->writes) {
+                if (write.value && write.key.starts_with("done/")) {
+                    saved.insert(write.key.substr(5, write.key.find('/', 5) - 5));
+                    ++chunks;
+                } else if (const auto* job =
+                               write.value ? std::get_if<JobRecord>(&*write.value) : nullptr;
                            job && job->outcome == Outcome::done) {
-                    finished.insert(c.key.substr(4));
+                    finished.insert(write.key.substr(4));
                 }
             }
         }
-        most = std::max(most, here);
+        max_chunks = std::max(max_chunks, chunks);
         return false;
     };
     cluster.run_for(3);
@@ -574,23 +585,23 @@
         std::string id = "req-" + std::to_string(j);
         EXPECT_TRUE(saved.contains(id) || finished.contains(id)) << id;
     }
-    EXPECT_GT(most, 1u);
-    EXPECT_LE(most, 5u);
+    EXPECT_GT(max_chunks, 1u);
+    EXPECT_LE(max_chunks, 5u);
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-// What a peer has not heard of yet must not be forgotten with the machine: its owner's log of
-// changed listings once lost the end of a task when the machine was released before the peer was
-// heard again, and the task counted as placed for ever.
-TEST(Stealing, AMachineReleasedWhilePeersAreCutIsToldAfterwards) {
+// Inventory changes that a peer has not received yet must outlive their machine. A leader's change
+// log once lost the end of a remote task when the machine was released while the peer was
+// disconnected, and the borrower counted the task as placed forever.
+TEST(SlotBorrowing, MachineReleasedWhilePeersAreDisconnectedIsReportedLater) {
     SimulatedCluster cluster({.run_s = 60});
-    start(cluster, "req-1", 10);
+    submit_and_await_start(cluster, "req-1", 10);
     cluster.run_for(2);
-    int leader = cluster.owner(red(cluster));
+    int leader = cluster.owner(partition_of_red(cluster));
     for (int n = 0; n < 3; ++n) {
         cluster.cut_peers(leader, n, n != leader);
     }
-    cluster.set_cloud_down(true); // so that the machines lapse first
+    cluster.set_cloud_down(true); // the leases expire before the machines are released
     for (const auto& machine : cluster.machines_up()) {
         cluster.kill_machine(machine);
     }
@@ -605,8 +616,9 @@
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-// Five owners with a fleet in which every slot is taken and much waits.
-SimulatedCluster::Counts a_while_of(double limits, std::size_t* machines) {
+// Returns what five controllers counted within 20 s, the run time of a task, while every slot of
+// the fleet is in use and many tasks wait. Fleet and load grow with `limits`.
+SimulatedCluster::Counts count_under_full_load(double limits, std::size_t* machines) {
     SimulatedCluster cluster({.nodes = 5, .run_s = 20, .limits = limits, .capacity = 400});
     cluster.run_for(3);
     auto tasks = static_cast<std::uint32_t>(60 * limits);
@@ -617,7 +629,7 @@
     }
     cluster.run_for(45);
     SimulatedCluster::Counts before = cluster.counts();
-    cluster.run_for(20); // as long as a task
+    cluster.run_for(20);
     SimulatedCluster::Counts after = cluster.counts();
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     *machines = cluster.machines_up().size();
@@ -625,23 +637,24 @@
             after.listed - before.listed, after.effort - before.effort};
 }
 
-TEST(Scale, WorkAndWordsForAReportAndAStartDoNotGrowWithTheFleet) {
-    std::size_t few = 0;
-    std::size_t many = 0;
-    SimulatedCluster::Counts small = a_while_of(8, &few);
-    SimulatedCluster::Counts large = a_while_of(24, &many);
-    ASSERT_GT(few, 40u);
-    ASSERT_GT(many, 120u);
+TEST(Scalability, WorkPerHeartbeatAndInventoryPerStartDoNotGrowWithTheFleet) {
+    std::size_t small_fleet = 0;
+    std::size_t large_fleet = 0;
+    SimulatedCluster::Counts small = count_under_full_load(8, &small_fleet);
+    SimulatedCluster::Counts large = count_under_full_load(24, &large_fleet);
+    ASSERT_GT(small_fleet, 40u);
+    ASSERT_GT(large_fleet, 120u);
     ASSERT_GT(large.starts, 500);
     EXPECT_LT(large.effort / large.reports, 1.5 * small.effort / small.reports);
     EXPECT_LT(large.listed / large.starts, 1.5 * small.listed / small.starts);
 }
 
-// Several cores against lost, late and repeated messages, crashes, cuts, outages and drift. The
-// cluster checks the rules at every step; afterwards all work must come to its end.
-class Random : public testing::TestWithParam<std::pair<int, int>> {}; // seed, nodes
+// Random jobs meet lost, late and repeated messages, crashes, network partitions, outages and clock
+// drift. The simulation checks its invariants at every step; afterwards every job must end.
+// Parameters: the seed and the number of controllers.
+class ControllerRandomFaults : public testing::TestWithParam<std::pair<int, int>> {};
 
-TEST_P(Random, RulesHoldUnderMixedFaults) {
+TEST_P(ControllerRandomFaults, InvariantsHoldAndEveryJobEnds) {
     {
         auto seed = static_cast<std::uint64_t>(GetParam().first);
         int nodes = GetParam().second;
@@ -655,62 +668,67 @@
                                   .error = 0.02,
                                   .gpus = gpus});
         std::mt19937_64 random(seed);
-        auto any = [&](int n) { return static_cast<int>(random() % n); };
+        // A random number from 0 to n - 1.
+        auto random_below = [&](int n) { return static_cast<int>(random() % n); };
         int jobs = 0;
         std::set<std::string> services;
         for (int k = 0; k < 60; ++k) {
             cluster.run_for(4);
             if (k < 40) {
-                JobSpec spec = cluster.job("req-" + std::to_string(++jobs), 1 + any(8), 1 + any(3));
-                spec.team = any(2) ? "red" : "blue";
-                spec.spot = any(2) != 0;
-                int kind = any(4);
+                JobSpec spec = cluster.job("req-" + std::to_string(++jobs), 1 + random_below(8),
+                                           1 + random_below(3));
+                spec.team = random_below(2) ? "red" : "blue";
+                spec.spot = random_below(2) != 0;
+                int kind = random_below(4);
                 if (kind == 0) {
                     spec.kind = JobKind::gang;
-                    spec.tasks = 1 + static_cast<std::uint32_t>(any(4));
-                    spec.gpus = gpus ? 1 + any(2) : 0;
-                    spec.one_zone = any(2) != 0;
+                    spec.tasks = 1 + static_cast<std::uint32_t>(random_below(4));
+                    spec.gpus = gpus ? 1 + random_below(2) : 0;
+                    spec.one_zone = random_below(2) != 0;
                     spec.checkpoint_interval_s = 3;
-                    spec.save_duration_s = any(2);
+                    spec.save_duration_s = random_below(2);
                 } else if (kind == 1) {
                     spec.kind = JobKind::service;
-                    spec.tasks = 1 + static_cast<std::uint32_t>(any(3));
-                    spec.spread = any(2) != 0;
+                    spec.tasks = 1 + static_cast<std::uint32_t>(random_below(3));
+                    spec.spread = random_below(2) != 0;
                     services.insert(spec.id);
                 }
-                cluster.submit(any(nodes), spec);
+                cluster.submit(random_below(nodes), spec);
             }
-            std::string job = "req-" + std::to_string(1 + any(std::max(1, jobs)));
-            switch (any(14)) {
+            std::string job = "req-" + std::to_string(1 + random_below(std::max(1, jobs)));
+            switch (random_below(14)) {
             case 9:
                 if (auto up = cluster.machines_up(); !up.empty()) {
-                    cluster.preempt_machine(up[any(static_cast<int>(up.size()))], 6);
+                    cluster.preempt_machine(up[random_below(static_cast<int>(up.size()))], 6);
                 }
                 break;
-            case 8: cluster.cut_peers(any(nodes), any(nodes), any(2) != 0); break;
-            case 0: cluster.crash(any(nodes), 1 + any(20)); break;
+            case 8:
+                cluster.cut_peers(random_below(nodes), random_below(nodes), random_below(2) != 0);
+                break;
+            case 0: cluster.crash(random_below(nodes), 1 + random_below(20)); break;
             case 1: cluster.set_store_down(true); break;
-            case 2: cluster.set_store_refusing(any(nodes), true); break;
-            case 3: cluster.cut_workers(any(nodes), true); break;
+            case 2: cluster.set_store_refusing(random_below(nodes), true); break;
+            case 3: cluster.cut_workers(random_below(nodes), true); break;
             case 4:
                 if (auto up = cluster.machines_up(); !up.empty()) {
-                    cluster.cut_machine(up[any(static_cast<int>(up.size()))], any(2) != 0);
+                    cluster.cut_machine(up[random_below(static_cast<int>(up.size()))],
+                                        random_below(2) != 0);
                 }
                 break;
             case 5:
                 if (auto up = cluster.machines_up(); !up.empty()) {
-                    cluster.kill_machine(up[any(static_cast<int>(up.size()))]);
+                    cluster.kill_machine(up[random_below(static_cast<int>(up.size()))]);
                 }
                 break;
-            case 6: cluster.cancel(any(nodes), job); break;
-            case 7: cluster.set_cloud_down(any(2) != 0); break;
+            case 6: cluster.cancel(random_below(nodes), job); break;
+            case 7: cluster.set_cloud_down(random_below(2) != 0); break;
             default:
                 cluster.set_store_down(false);
                 for (int n = 0; n < nodes; ++n) {
                     cluster.set_store_refusing(n, false);
                     cluster.cut_workers(n, false);
                 }
-                cluster.poll(any(nodes), job);
+                cluster.poll(random_below(nodes), job);
             }
             ASSERT_TRUE(cluster.broken.empty())
                 << cluster.broken.front() << " at " << cluster.now();
@@ -725,7 +743,8 @@
             }
         }
         cluster.run_for(30);
-        for (const auto& id : services) { // these would run for ever; a user asks until it is told
+        // Services run until they are cancelled; the user repeats the request at each controller.
+        for (const auto& id : services) {
             for (int n = 0; n < nodes; ++n) {
                 cluster.cancel(n, id);
                 cluster.run_for(0.2);
@@ -739,14 +758,14 @@
     }
 }
 
-std::vector<std::pair<int, int>> seeds_and_nodes() {
+std::vector<std::pair<int, int>> seeds_and_controllers() {
     std::vector<std::pair<int, int>> out;
     for (int seed = 1; seed <= 16; ++seed) {
         out.emplace_back(seed, seed % 2 ? 3 : 5);
     }
     return out;
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, Random, testing::ValuesIn(seeds_and_nodes()));
+INSTANTIATE_TEST_SUITE_P(Seeds, ControllerRandomFaults, testing::ValuesIn(seeds_and_controllers()));
 
 } // namespace
 } // namespace scheduler::test
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,4 +1,4 @@
-// Lasting overload with capacity lost: no class and no team may starve.
+// Sustained overload with a permanent loss of capacity: no job class and no team may starve.
 #include <gtest/gtest.h>
 
 #include "core/model/partition_assignment.h"
@@ -7,22 +7,22 @@
 namespace scheduler::test {
 namespace {
 
-struct Kind {
+struct JobClass {
     const char* name;
     Priority priority;
     std::uint32_t tasks;
     double cpus;
-    double every_s; // between arrivals on an ordinary day
+    double arrival_interval_s; // without overload
 };
-constexpr Kind kKinds[] = {{"scan", Priority::normal, 6, 1, 8},
-                           {"urgent", Priority::high, 4, 2, 7},
-                           {"thesis", Priority::normal, 24, 1, 24}};
+constexpr JobClass kJobClasses[] = {{"scan", Priority::normal, 6, 1, 8},
+                                    {"urgent", Priority::high, 4, 2, 7},
+                                    {"thesis", Priority::normal, 24, 1, 24}};
 
-// Class that comes more often, and how many times.
+// Parameters: the index of the class that arrives more often, and by which factor.
 class Overload : public testing::TestWithParam<std::tuple<int, int>> {};
 
-TEST_P(Overload, LeavesEveryClassAndTeamHalfServed) {
-    auto [busy, factor] = GetParam();
+TEST_P(Overload, HalfOfTheJobsOfEachClassAndTeamComplete) {
+    auto [overloaded_class, factor] = GetParam();
     SimulatedCluster cluster(
         {.nodes = 3,
          .run_s = 10,
@@ -33,34 +33,37 @@
                         {ServiceLevelObjective::Kind::finished, "thesis", 90}}});
     cluster.run_for(20);
     int jobs = 0;
-    std::map<std::string, std::pair<std::string, std::string>> sent; // class and team, by job
-    Time from = cluster.now();
-    std::vector<Time> next(std::size(kKinds), from);
-    while (cluster.now() < from + 240) {
-        for (std::size_t k = 0; k < std::size(kKinds); ++k) {
-            const Kind& kind = kKinds[k];
-            if (cluster.now() < next[k]) {
+    std::map<std::string, std::pair<std::string, std::string>> submitted; // class and team, by job
+    Time begin = cluster.now();
+    std::vector<Time> next_arrival(std::size(kJobClasses), begin);
+    while (cluster.now() < begin + 240) {
+        for (std::size_t k = 0; k < std::size(kJobClasses); ++k) {
+            const JobClass& job_class = kJobClasses[k];
+            if (cluster.now() < next_arrival[k]) {
                 continue;
             }
-            next[k] += kind.every_s / (static_cast<int>(k) == busy ? factor : 1);
-            JobSpec spec = cluster.job("req-" + std::to_string(++jobs), kind.tasks, kind.cpus);
-            spec.job_class = kind.name;
-            spec.priority = kind.priority;
+            bool overloaded = static_cast<int>(k) == overloaded_class;
+            next_arrival[k] += job_class.arrival_interval_s / (overloaded ? factor : 1);
+            JobSpec spec =
+                cluster.job("req-" + std::to_string(++jobs), job_class.tasks, job_class.cpus);
+            spec.job_class = job_class.name;
+            spec.priority = job_class.priority;
             spec.team = jobs % 2 ? "red" : "blue";
-            sent[spec.id] = {spec.job_class, spec.team};
+            submitted[spec.id] = {spec.job_class, spec.team};
             cluster.submit(jobs % 3, spec);
         }
-        if (cluster.now() >= from + 60 &&
-            cluster.machines_up().size() > 7) { // three of ten go for good
+        if (cluster.now() >= begin + 60 &&
+            cluster.machines_up().size() > 7) { // three of the ten machines are lost permanently
             cluster.kill_machine(cluster.machines_up().front());
             cluster.set_cloud_capacity(7);
         }
         cluster.run_for(0.5);
     }
     cluster.run_for(60);
-    std::map<std::string, std::pair<int, int>> served; // of all, by class and by team
+    std::map<std::string, std::pair<int, int>>
+        served; // completed and all jobs, by class and by team
     for (const auto& [id, outcome] : cluster.outcomes()) {
-        for (const auto& name : {sent.at(id).first, sent.at(id).second}) {
+        for (const auto& name : {submitted.at(id).first, submitted.at(id).second}) {
             served[name].first += outcome == Outcome::done;
             ++served[name].second;
         }
@@ -70,10 +73,10 @@
     }
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
-// The largest job of a class has most work left, and most of what is left when not all can be done
-// in time: `plan` puts it behind again with each small one that comes. It has to begin all the
-// same.
-TEST(OverloadLargest, BeginWithinFourMinutesBehindAStreamOfSmallOnes) {
+
+// The largest job of a class has the most work left. When not all jobs can complete in time, `plan`
+// moves it behind each small job that arrives, so it could wait forever. It must start nonetheless.
+TEST(OverloadLargestJob, StartsWithinFourMinutesBehindAStreamOfSmallJobs) {
     SimulatedCluster cluster({.nodes = 3,
                               .run_s = 10,
                               .limits = 2.5,
@@ -82,10 +85,10 @@
                                              {ServiceLevelObjective::Kind::wait, "urgent", 10}}});
     cluster.run_for(20);
     int jobs = 0;
-    std::vector<std::string> largest;
-    Time from = cluster.now();
+    std::vector<std::string> largest_jobs;
+    Time begin = cluster.now();
     for (int k = 0; k < 500; ++k) {
-        bool huge = k == 60 || k == 100; // of the same class, and of one without any aim
+        bool huge = k == 60 || k == 100; // of the same class, and of one without an objective
         bool urgent = k % 2 != 0;
         JobSpec spec = cluster.job("req-" + std::to_string(++jobs),
                                    huge     ? 3000
@@ -99,19 +102,19 @@
         spec.team = jobs % 3 ? "red" : "blue";
         cluster.submit(jobs % 3, spec);
         if (huge) {
-            largest.push_back(spec.id);
+            largest_jobs.push_back(spec.id);
         }
         cluster.run_for(0.8);
     }
-    ASSERT_GT(cluster.now(), from + 380);
-    for (const auto& id : largest) {
+    ASSERT_GT(cluster.now(), begin + 380);
+    for (const auto& id : largest_jobs) {
         ASSERT_TRUE(cluster.seconds_to_first_start(id)) << id;
         EXPECT_LT(*cluster.seconds_to_first_start(id), 240) << id;
     }
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-INSTANTIATE_TEST_SUITE_P(Days, Overload,
+INSTANTIATE_TEST_SUITE_P(Classes, Overload,
                          testing::Combine(testing::Range(0, 3), testing::Values(3, 5)));
 
 } // namespace
