--- a/tests/fault_pair_scenarios_test.cpp
+++ b/tests/fault_pair_scenarios_test.cpp
@@ -1,6 +1,7 @@
-// One test for each meeting of the table in docs/meetings.md, by the name that stands there: five
-// controllers, sixty machines, arrays, gangs, replicas, guests on lent slots; nobody, the owner,
-// the node that confirms cancellations or both end in it, and it falls into different instants.
+// One scenario of concurrent faults for each row of the table in docs/meetings.md, on five
+// controllers and sixty machines that run arrays, gangs, replicas and remote tasks on lent slots.
+// Each scenario is played at several instants, and with a crash of no controller, of the partition
+// leader, of the controller that confirms cancellations, or of both.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -17,13 +18,13 @@
     return partition_of_team(cluster.facts(0), team);
 }
 
-// A fleet at work, and what a row does with it.
+// A simulated cluster that runs jobs of all kinds, and the actions that scenarios take on it.
 struct LoadedCluster {
     explicit LoadedCluster(std::uint64_t seed, WorldOptions options = usual())
         : cluster(with_seed(options, seed)), random(seed) {
         cluster.run_for(40);
         for (const char* team : {"red", "blue"}) {
-            submit(JobKind::array, 30, team, 2); // on the machines of all parts
+            submit(JobKind::array, 30, team, 2); // runs on the machines of all partitions
             submit(JobKind::array, 3, team, 1);
             submit(JobKind::array, 2, team, 1);
             submit(JobKind::gang, 6, team, 2);
@@ -61,7 +62,8 @@
         submit_until_accepted(spec, 30);
         return spec.id;
     }
-    // As users do: again, at another node, until it is accepted.
+    // Submits the job again every two seconds, each time at a random controller, until it is
+    // accepted or `tries` retries have been made.
     void submit_until_accepted(const JobSpec& spec, int tries) {
         RequestId request_id = cluster.submit(random_below(5), spec);
         cluster.at(cluster.now() + 2, [this, spec, request_id, tries] {
@@ -72,12 +74,13 @@
             }
         });
     }
-    // A third of the jobs, of each kind.
+    // Sends the controller a cancellation for every third job, which includes jobs of each kind.
     void cancel_a_third(int node) {
         for (int k = 1 + random_below(3); k <= jobs; k += 3) {
             cluster.cancel(node, "req-" + std::to_string(k));
         }
     }
+    // Returns each running machine with a probability of 1 / `one_in`.
     std::vector<std::string> random_machines(int one_in) {
         std::vector<std::string> out;
         for (const auto& machine : cluster.machines_up()) {
@@ -87,6 +90,7 @@
         }
         return out;
     }
+    // Cuts the controller off from all of its peers, or connects it again.
     void cut_all_peers(int node, bool cut) {
         for (int n = 0; n < 5; ++n) {
             cluster.cut_peers(node, n, cut);
@@ -99,17 +103,17 @@
     int jobs = 0;
     int leader = -1;
     int confirming_controller = -1;
-    std::vector<std::function<void()>> undo; // what the row did
+    std::vector<std::function<void()>> undo; // revert the faults of the scenario
 };
 
-// What ends in it.
+// The controllers that crash during a scenario.
 enum class Crashed { none, leader, confirming_controller, both };
 constexpr double kRestartDelays_s[] = {0, 0.02, 0.3, 6};
 
 struct Scenario {
     const char* name;
-    // The trouble; `end` ends who is to end, once, and may be called at any instant. `instant`: 0,
-    // 1 or 2, early to late.
+    // Injects the faults. `instant` (0, 1 or 2, early to late) selects when they happen; `crash`
+    // crashes the controllers chosen by `Crashed` at the time of the call.
     std::function<void(LoadedCluster&, int instant, const std::function<void()>& crash)> play;
     WorldOptions options = LoadedCluster::usual();
 };
@@ -119,7 +123,7 @@
     return options;
 }
 WorldOptions small_quotas(WorldOptions options = LoadedCluster::usual()) {
-    options.limits = 2; // every team is at its limit
+    options.limits = 2; // every team is at its quota
     return options;
 }
 
@@ -133,7 +137,7 @@
              loaded.cancel_a_third(loaded.confirming_controller);
              loaded.cluster.run_for(0.5);
              crash();
-             loaded.cancel_a_third(loaded.leader); // users reach it too: 503
+             loaded.cancel_a_third(loaded.leader); // users still reach it and get 503
              loaded.cluster.run_for(2 * loaded.lease());
              loaded.cluster.state_silent(loaded.leader, false);
              loaded.cut_all_peers(loaded.leader, false);
@@ -143,17 +147,18 @@
              for (int k = 0; k < 12; ++k) {
                  loaded.submit(JobKind::array, 2 + k % 2, k % 2 ? "red" : "blue", 1);
              }
-             loaded.cluster.run_for(
-                 std::array{25.0, 40.0, 55.0}[instant]); // tasks end after 30 to 90 s
+             // Tasks end after 30 to 90 s.
+             loaded.cluster.run_for(std::array{25.0, 40.0, 55.0}[instant]);
              crash();
-             loaded.cluster.crash(loaded.leader, 30); // its part changes hands, and back
+             loaded.cluster.crash(loaded.leader, 30); // its partition fails over and is handed back
              loaded.cluster.run_for(40);
              crash();
              loaded.cluster.run_for(20);
          }},
         {"WorkersCannotReachControllers",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             loaded.cluster.troubles.mute_boots = 0.5; // also from their boot on
+             // Some machines are unreachable from their boot on.
+             loaded.cluster.troubles.mute_boots = 0.5;
              for (const auto& machine : loaded.random_machines(4)) {
                  loaded.cluster.mute(machine, true);
              }
@@ -201,7 +206,7 @@
          [](LoadedCluster& loaded, int instant, const auto& crash) {
              loaded.cluster.cut_zone(instant % 2 ? "a" : "b");
              loaded.cluster.run_for(std::array{1.0, 6.0, 20.0}[instant]);
-             loaded.cancel_a_third(instant % 2 ? 1 : 0); // in the other zone
+             loaded.cancel_a_third(instant % 2 ? 1 : 0); // a controller of the other zone
              for (int k = 0; k < 4; ++k) {
                  loaded.submit(JobKind::array, 4, "blue", 2);
              }
@@ -294,16 +299,16 @@
                      loaded.cluster.hang(machine, 4 + loaded.random_below(30));
                  }
              }
-             auto change = [&] {
+             auto fail_over = [&] {
                  loaded.cluster.crash(loaded.cluster.owner(partition_of(loaded.cluster, "red")),
                                       25);
              };
-             if (instant == 0) { // seen before, during or after the takeover's reading
+             if (instant == 0) { // cancel before, during or after the new leader reads the jobs
                  loaded.cancel_a_third(loaded.confirming_controller);
                  loaded.cluster.run_for(0.2);
-                 change();
+                 fail_over();
              } else {
-                 change();
+                 fail_over();
                  loaded.cluster.run_for(instant == 1 ? 11.3 : 20.0);
                  loaded.cancel_a_third(loaded.confirming_controller);
              }
@@ -321,8 +326,8 @@
                  loaded.submit(JobKind::gang, 4, "blue", 2);
              }
              loaded.cluster.run_for(std::array{0.5, 2.0, 4.0}[instant]);
-             loaded.cluster.crash(loaded.cluster.owner(0),
-                                  std::array{0.02, 6.0, 20.0}[instant]); // who rents for all
+             // This leader requests machines for all partitions.
+             loaded.cluster.crash(loaded.cluster.owner(0), std::array{0.02, 6.0, 20.0}[instant]);
              crash();
              loaded.cluster.run_for(6);
              crash();
@@ -335,7 +340,9 @@
              for (int k = 0; k < 4; ++k) {
                  loaded.submit(JobKind::array, 8, "red", 1);
                  loaded.cluster.run_for(5);
-                 for (const auto& machine : loaded.random_machines(8)) { // earlier sessions
+                 // Half of these hang for longer than the lease and come back with a new agent
+                 // epoch.
+                 for (const auto& machine : loaded.random_machines(8)) {
                      loaded.cluster.hang(machine, 1.3 * loaded.lease() * loaded.random_below(2));
                  }
              }
@@ -343,7 +350,7 @@
              loaded.cancel_a_third(loaded.confirming_controller);
              loaded.cluster.crash(loaded.leader, 14);
              crash();
-             loaded.cluster.run_for(30); // claimed, and home again: both get them
+             loaded.cluster.run_for(30); // failover and handback: both leaders get old heartbeats
              loaded.cluster.crash((loaded.leader + 2) % 5, 0.02);
              loaded.cluster.run_for(20);
          },
@@ -371,8 +378,8 @@
                                      partition_of(loaded.cluster, "blue"));
              }
              loaded.cluster.crash(loaded.leader, 8);
-             loaded.cluster.run_for(
-                 std::array{9.0, 14.0, 32.0}[instant]); // about when it is handed back
+             // Around the handback of the partition.
+             loaded.cluster.run_for(std::array{9.0, 14.0, 32.0}[instant]);
              loaded.cancel_a_third(loaded.confirming_controller);
              loaded.cluster.run_for(0.03);
              int first = loaded.random_below(5);
@@ -385,8 +392,8 @@
          }},
         {"CancellationsThroughoutAFailover",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             // Away, claimed by another, read, listed, settled, and handed home: one cancellation
-             // in each fifth of a second of it.
+             // The leader crashes; a peer acquires the partition, loads and reconciles it and hands
+             // it back. Cancellations are sent throughout, one every 0.8 s.
              loaded.cluster.crash(loaded.leader, std::array{0.3, 13.0, 22.0}[instant]);
              int id = 0;
              for (int k = 0; k < 200; ++k) {
@@ -418,8 +425,8 @@
              loaded.cluster.run_for(8);
              loaded.cancel_a_third(loaded.confirming_controller);
              crash();
-             loaded.cluster.run_for(
-                 std::array{6.0, 12.0, 30.0}[instant]); // within the lease and beyond it
+             // Shorter and longer than the worker lease.
+             loaded.cluster.run_for(std::array{6.0, 12.0, 30.0}[instant]);
              auto up = loaded.cluster.machines_up();
              for (const auto& machine : machines) {
                  if (std::find(up.begin(), up.end(), machine) != up.end()) {
@@ -489,7 +496,7 @@
     }
     ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
     cluster.run_for(cluster.facts(0).cancel_s);
-    cluster.ask_often(); // the troubles are over
+    cluster.ask_often(); // all faults have been reverted
     cluster.run_for(260);
     for (const auto& [id, outcome] : cluster.outcomes()) {
         if (cluster.spec_of(id).kind == JobKind::service && outcome == Outcome::none) {
@@ -509,8 +516,9 @@
 
 class FaultPairScenarios : public testing::TestWithParam<int> {};
 
-// In CI each row is played at each instant, with another one that ends each time; all crossings
-// with SCHEDULER_SEEDS.
+// Without SCHEDULER_SEEDS each scenario is played once at each instant, with a different
+// combination of crashed controllers and restart delay each time; with SCHEDULER_SEEDS all
+// combinations are played.
 TEST_P(FaultPairScenarios, InvariantsHoldAndEveryJobFinishes) {
     const Scenario& scenario = scenarios().at(static_cast<std::size_t>(GetParam()));
     bool play_all = seeds_asked() > 0;
@@ -521,7 +529,7 @@
                 continue;
             }
             SCOPED_TRACE(std::string(scenario.name) + " instant " + std::to_string(instant) +
-                         " ends " + std::to_string(k / 4) + " back " +
+                         " crashed " + std::to_string(k / 4) + " restart after " +
                          std::to_string(kRestartDelays_s[k % 4]));
             play(scenario, instant, static_cast<Crashed>(k / 4), kRestartDelays_s[k % 4],
                  1 + static_cast<std::uint64_t>(instant * 16 + k));
@@ -536,14 +544,14 @@
                              return scenarios().at(static_cast<std::size_t>(p.param)).name;
                          });
 
-// ---- Only the answer is lost ----
+// ---- Lost responses of the store ----
 
 bool all_digits(const std::string& s) {
     return !s.empty() &&
            std::all_of(s.begin(), s.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-// Each of our transactions, by what it changes.
+// A kind of store transaction, recognised by one of its writes.
 struct TransactionKind {
     const char* name;
     std::function<bool(const StoreCondition* when, const StoreWrite&)> matches;
@@ -601,13 +609,15 @@
 
 class LostStoreResponses : public testing::TestWithParam<int> {};
 
-// Of one transaction each, the first, the second, every other one and all of a minute; the writer
-// goes on or ends. Users look closely at all nodes.
+// The store executes a transaction and its response is lost, so that the writer cannot know the
+// outcome. Lost are the responses to the first, the second, every other or all transactions of one
+// kind within a minute; the writer keeps running or crashes and restarts. Meanwhile users make
+// concurrent status reads at all controllers.
 TEST_P(LostStoreResponses, WriterRereadsAndUsersSeeConsistentHistory) {
     const TransactionKind& kind = transaction_kinds().at(static_cast<std::size_t>(GetParam()));
     for (int which = 0; which < 4; ++which) {
         for (double restart_s : {-1.0, 0.02, 6.0}) {
-            SCOPED_TRACE(std::string(kind.name) + " " + std::to_string(which) + " back " +
+            SCOPED_TRACE(std::string(kind.name) + " " + std::to_string(which) + " restart after " +
                          std::to_string(restart_s));
             LoadedCluster loaded(17, short_tasks());
             World& cluster = loaded.cluster;
@@ -630,8 +640,9 @@
                 }
                 return lose_this;
             };
-            // All that there is to write: jobs, ends, cancellations, machines that come and go, a
-            // part that changes hands while calls are refused, goes home, and shares that move.
+            // Cause every kind of transaction: submissions, finished and cancelled jobs, machines
+            // that are added and lost, a failover while peers cannot reach each other, the handback
+            // of the partition, and shard migrations.
             for (int k = 0; k < 4; ++k) {
                 loaded.submit(k % 2 ? JobKind::gang : JobKind::array, 3, "red", 2);
             }
@@ -650,7 +661,7 @@
             for (const auto& machine : loaded.random_machines(8)) {
                 cluster.kill_machine(machine);
             }
-            cluster.crash((loaded.leader + 3) % 5, 0.02); // it fetches the types again
+            cluster.crash((loaded.leader + 3) % 5, 0.02); // it fetches the instance types again
             for (int k = 0; k < 6; ++k) {
                 loaded.submit(JobKind::array, 40, k % 2 ? "red" : "blue", 2);
                 cluster.run_for(6);
@@ -687,8 +698,9 @@
 
 // ---- One-task jobs ----
 
-// Four a second for ten minutes, a quarter cancelled, with an outage and an end in it, at the
-// limits of the smallest deployment: 100 requests and 20 changes a second for all.
+// Four submissions per second for ten minutes, a quarter of them cancelled, with a store outage and
+// a leader crash, at the store's rate limits for the smallest deployment: 100 requests and 20
+// writes per second for all controllers together.
 TEST(OneTaskJobs, FourPerSecondForTenMinutesWithAQuarterCancelledAllFinish) {
     World cluster(
         {.seed = 5, .nodes = 3, .run_s = 6, .limits = 4, .capacity = 14, .notices = true});
@@ -697,7 +709,8 @@
         return static_cast<int>(random() % static_cast<unsigned>(n));
     };
     cluster.run_for(30);
-    std::map<std::string, std::pair<RequestId, int>> open; // submissions without a 20x, tries
+    // Submissions not accepted yet, with their request and the number of checks so far.
+    std::map<std::string, std::pair<RequestId, int>> open;
     cluster.ask_often();
     int jobs = 0;
     Time from = cluster.now();
@@ -723,7 +736,8 @@
             cluster.crash(node = cluster.owner(partition_of_team(cluster.facts(0), "red")), 0.3);
         }
         cluster.run_for(0.25);
-        for (auto it = open.begin(); it != open.end();) { // again after a second or two
+        // Submissions are repeated after eight checks, which are two seconds.
+        for (auto it = open.begin(); it != open.end();) {
             auto answer = cluster.answers.find(it->second.first);
             bool accepted = answer != cluster.answers.end() && answer->second.status < 500;
             if (!accepted && ++it->second.second % 8 == 0) {
@@ -744,8 +758,8 @@
         unfinished += outcome == Outcome::none;
     }
     EXPECT_EQ(unfinished, 0u);
-    EXPECT_EQ(leaderships_acquired,
-              1); // by the process that had ended: no lease was lost by the load
+    // Acquired by the crashed controller; no other lost its lease under the load.
+    EXPECT_EQ(leaderships_acquired, 1);
     std::printf("%zu transactions, %zu reads, %zu compared or watched; last task of a cancelled "
                 "job after %.1f s; "
                 "longest unanswered %.1f s\n",
