--- a/tests/concurrent_faults_test.cpp
+++ b/tests/concurrent_faults_test.cpp
@@ -14,237 +14,241 @@
 namespace scheduler::test {
 namespace {
 
-int red(const World& world) { return partition_of_team(world.facts(0), "red"); }
+int red_partition(const World& cluster) { return partition_of_team(cluster.facts(0), "red"); }
 
 // What meets the refusal of the leader, the cancellations and the outage.
-enum class With {
-    nothing,
-    confirming_node_ends_briefly, // right after its answer, back after 0.02 s
-    confirming_node_ends,         // back after 0.3 s
-    confirming_node_ends_long,    // back after 6 s
-    peers_refuse,
-    sibling_cut_off,
+enum class Fault {
+    none,
+    confirming_controller_restarts_in_20_ms,  // right after its answer, back after 0.02 s
+    confirming_controller_restarts_in_300_ms, // back after 0.3 s
+    confirming_controller_restarts_in_6_s,    // back after 6 s
+    all_peers_disconnected,
+    one_peer_disconnected,
     leader_frozen,
     many_cancellations,
-    deaf_machines,
-    late_reports,
-    late_writes,
-    held_orders,
-    share_moves,
-    leader_ends,
-    confirmed_in_the_outage_too, // by the nodes that reach the state service at its end
-    silent_state,                // the leader gets no answers instead of refusals
+    machines_miss_responses,
+    delayed_heartbeats,
+    delayed_writes,
+    delayed_commands,
+    shard_migration,
+    leader_crashes,
+    cancellation_in_a_gap_of_the_outage, // by the nodes that reach the state service at its end
+    store_silent,                        // the leader gets no answers instead of refusals
     count
 };
-constexpr const char* kWith[] = {"nothing",
-                                 "confirming_node_ends_briefly",
-                                 "confirming_node_ends",
-                                 "confirming_node_ends_long",
-                                 "peers_refuse",
-                                 "sibling_cut_off",
-                                 "leader_frozen",
-                                 "many_cancellations",
-                                 "deaf_machines",
-                                 "late_reports",
-                                 "late_writes",
-                                 "held_orders",
-                                 "share_moves",
-                                 "leader_ends",
-                                 "confirmed_in_the_outage_too",
-                                 "silent_state"};
-constexpr int kWiths = static_cast<int>(With::count);
+constexpr const char* kFaultNames[] = {"none",
+                                       "confirming_controller_restarts_in_20_ms",
+                                       "confirming_controller_restarts_in_300_ms",
+                                       "confirming_controller_restarts_in_6_s",
+                                       "all_peers_disconnected",
+                                       "one_peer_disconnected",
+                                       "leader_frozen",
+                                       "many_cancellations",
+                                       "machines_miss_responses",
+                                       "delayed_heartbeats",
+                                       "delayed_writes",
+                                       "delayed_commands",
+                                       "shard_migration",
+                                       "leader_crashes",
+                                       "cancellation_in_a_gap_of_the_outage",
+                                       "store_silent"};
+constexpr int kFaultCount = static_cast<int>(Fault::count);
 
 // The lease times of the deployments, with the largest of the three ratios of lease to cancel_s.
-struct Times {
-    double report_s, lease_s, cancel_s;
+struct Timing {
+    double heartbeat_interval_s, lease_s, cancel_s;
 };
-constexpr Times kTimes[] = {{3, 17, 42}, {6, 31, 56}, {8, 38, 63}};
+constexpr Timing kTimings[] = {{3, 17, 42}, {6, 31, 56}, {8, 38, 63}};
 
-struct Day {
-    With with = With::nothing;
-    int times = 0;
-    double refused_s = 4; // before the outage
-    double told_at = 0;   // of that time: when the users are told
-    bool by_several = false;
+struct Scenario {
+    Fault fault = Fault::none;
+    int timing = 0;
+    double refused_s = 4;    // before the outage
+    double cancelled_at = 0; // of that time: when the users are told
+    bool at_several_controllers = false;
 };
 
 // A leader that the state service refuses alone; cancellations confirmed by others; then an outage
 // for all, longer than `cancel_s`. Long tasks: arrays, a gang and replicas, of two teams, on the
 // machines of all parts. Returns how long the last task of a cancelled job was left.
-double play(const Day& day) {
-    const Times& t = kTimes[day.times];
-    bool many = day.with == With::many_cancellations;
-    World world({.seed = 1 + static_cast<std::uint64_t>(day.with),
-                 .nodes = 5,
-                 .run_s = 3000,
-                 .limits = 30,
-                 .capacity = 60,
-                 .report_s = t.report_s,
-                 .lease_s = t.lease_s,
-                 .cancel_s = t.cancel_s,
-                 .state_rps = many ? 4000.0 : 300.0,
-                 .state_write_rps = many ? 2000.0 : 100.0});
-    world.run_for(t.lease_s + 3);
+double play(const Scenario& scenario) {
+    const Timing& timing = kTimings[scenario.timing];
+    bool many = scenario.fault == Fault::many_cancellations;
+    World cluster({.seed = 1 + static_cast<std::uint64_t>(scenario.fault),
+                   .nodes = 5,
+                   .run_s = 3000,
+                   .limits = 30,
+                   .capacity = 60,
+                   .report_s = timing.heartbeat_interval_s,
+                   .lease_s = timing.lease_s,
+                   .cancel_s = timing.cancel_s,
+                   .state_rps = many ? 4000.0 : 300.0,
+                   .state_write_rps = many ? 2000.0 : 100.0});
+    cluster.run_for(timing.lease_s + 3);
     std::vector<std::string> to_cancel;
     auto submit = [&](const std::string& id, JobKind kind, std::uint32_t tasks, const char* team) {
-        JobSpec spec = world.job(id, tasks);
+        JobSpec spec = cluster.job(id, tasks);
         spec.kind = kind;
         spec.team = team;
-        world.submit(static_cast<int>(to_cancel.size()) % 5, spec);
+        cluster.submit(static_cast<int>(to_cancel.size()) % 5, spec);
         to_cancel.push_back(id);
     };
     for (const char* team : {"red", "blue"}) {
-        std::string n = team;
-        submit("arr-" + n, JobKind::array, 30, team);
-        submit("gang-" + n, JobKind::gang, 6, team);
-        submit("svc-" + n, JobKind::service, 6, team);
-        submit("stay-" + n, JobKind::array, 20, team);
+        std::string name = team;
+        submit("arr-" + name, JobKind::array, 30, team);
+        submit("gang-" + name, JobKind::gang, 6, team);
+        submit("svc-" + name, JobKind::service, 6, team);
+        submit("stay-" + name, JobKind::array, 20, team);
         to_cancel.pop_back(); // that one is not cancelled
     }
-    world.run_for(6 * t.report_s + 40);
+    cluster.run_for(6 * timing.heartbeat_interval_s + 40);
     for (int i = 0; many && i < 1100; ++i) {
         submit("more-" + std::to_string(i), JobKind::array, 1, "red");
-        world.run_for(0.02);
+        cluster.run_for(0.02);
     }
-    int leader = world.owner(red(world));
-    auto other = [&](int n) { return (leader + 1 + n % 4) % 5; };
+    int leader = cluster.owner(red_partition(cluster));
+    auto peer = [&](int n) { return (leader + 1 + n % 4) % 5; };
     EXPECT_GE(leader, 0);
     for (const auto& id : to_cancel) {
         if (!id.starts_with("more-")) {
-            EXPECT_EQ(world.machines_of({id, 0}).size(), 1u) << id;
+            EXPECT_EQ(cluster.machines_of({id, 0}).size(), 1u) << id;
         }
     }
 
-    if (day.with == With::share_moves) {
-        auto shards = world.shares(red(world));
+    if (scenario.fault == Fault::shard_migration) {
+        auto shards = cluster.shares(red_partition(cluster));
         for (std::size_t i = 0; i < shards.size() / 2; ++i) {
-            world.give(red(world), shards[i], partition_of_team(world.facts(0), "blue"));
+            cluster.give(red_partition(cluster), shards[i],
+                         partition_of_team(cluster.facts(0), "blue"));
         }
     }
-    if (day.with == With::late_reports) {
-        world.troubles.late_reports = 0.3;
+    if (scenario.fault == Fault::delayed_heartbeats) {
+        cluster.troubles.late_reports = 0.3;
     }
-    if (day.with == With::late_writes) {
-        world.troubles.late_writes = 0.2;
+    if (scenario.fault == Fault::delayed_writes) {
+        cluster.troubles.late_writes = 0.2;
     }
-    if (day.with == With::held_orders) {
-        world.troubles.held_orders = 0.5;
+    if (scenario.fault == Fault::delayed_commands) {
+        cluster.troubles.held_orders = 0.5;
     }
-    if (day.with == With::deaf_machines) {
-        int n = 0;
-        for (const auto& machine : world.machines_up()) {
-            if (++n % 4 == 0) {
-                world.deafen(machine, true);
+    if (scenario.fault == Fault::machines_miss_responses) {
+        int number = 0;
+        for (const auto& machine : cluster.machines_up()) {
+            if (++number % 4 == 0) {
+                cluster.deafen(machine, true);
             }
         }
     }
-    bool silent = day.with == With::silent_state;
-    silent ? world.state_silent(leader, true) : world.state_refuses(leader, true);
-    Time refused = world.now();
-    world.run_for(day.refused_s * day.told_at);
-    int n = 0;
-    std::vector<std::pair<std::string, RequestId>> asked;
+    bool store_silent = scenario.fault == Fault::store_silent;
+    store_silent ? cluster.state_silent(leader, true) : cluster.state_refuses(leader, true);
+    Time refused_at = cluster.now();
+    cluster.run_for(scenario.refused_s * scenario.cancelled_at);
+    int sent = 0;
+    std::vector<std::pair<std::string, RequestId>> cancellations;
     for (const auto& id : to_cancel) {
-        asked.emplace_back(id, world.cancel(other(day.by_several ? n++ : 0), id));
+        cancellations.emplace_back(
+            id, cluster.cancel(peer(scenario.at_several_controllers ? sent++ : 0), id));
     }
-    std::optional<double> back;
-    switch (day.with) {
-    case With::confirming_node_ends_briefly: back = 0.02; break;
-    case With::confirming_node_ends: back = 0.3; break;
-    case With::confirming_node_ends_long: back = 6; break;
+    std::optional<double> restart_s;
+    switch (scenario.fault) {
+    case Fault::confirming_controller_restarts_in_20_ms: restart_s = 0.02; break;
+    case Fault::confirming_controller_restarts_in_300_ms: restart_s = 0.3; break;
+    case Fault::confirming_controller_restarts_in_6_s: restart_s = 6; break;
     default: break;
     }
-    if (back) {
-        world.after_output = [&, back](int node, const OutboundRequest*,
-                                       const Response* a) -> std::optional<double> {
-            const auto* body = a ? std::get_if<JobStatusBody>(&a->body) : nullptr;
-            return body && body->stage == "cancelled" && node == other(0) ? back : std::nullopt;
+    if (restart_s) {
+        cluster.after_output = [&, restart_s](int node, const OutboundRequest*,
+                                              const Response* response) -> std::optional<double> {
+            const auto* body = response ? std::get_if<JobStatusBody>(&response->body) : nullptr;
+            return body && body->stage == "cancelled" && node == peer(0) ? restart_s : std::nullopt;
         };
     }
     // An answer takes a moment, and there may be many.
-    world.run_for(std::max(0.3, refused + day.refused_s - world.now()));
-    world.after_output = nullptr;
-    world.state_down(true);
-    std::size_t told = 0;
-    for (const auto& [id, request] : asked) {
-        auto answer = world.answers.find(request);
-        told += answer != world.answers.end() && answer->second.status == 200;
+    cluster.run_for(std::max(0.3, refused_at + scenario.refused_s - cluster.now()));
+    cluster.after_output = nullptr;
+    cluster.state_down(true);
+    std::size_t confirmed = 0;
+    for (const auto& [id, request] : cancellations) {
+        auto answer = cluster.answers.find(request);
+        confirmed += answer != cluster.answers.end() && answer->second.status == 200;
     }
-    EXPECT_GE(told, 1u);
-    switch (day.with) {
-    case With::peers_refuse:
-    case With::sibling_cut_off:
+    EXPECT_GE(confirmed, 1u);
+    switch (scenario.fault) {
+    case Fault::all_peers_disconnected:
+    case Fault::one_peer_disconnected:
         for (int a = 0; a < 5; ++a) {
-            for (int b = 0; b < (day.with == With::peers_refuse ? 5 : 1); ++b) {
-                world.cut_peers(a, day.with == With::peers_refuse ? b : other(1), true);
+            for (int b = 0; b < (scenario.fault == Fault::all_peers_disconnected ? 5 : 1); ++b) {
+                cluster.cut_peers(a, scenario.fault == Fault::all_peers_disconnected ? b : peer(1),
+                                  true);
             }
         }
         break;
-    case With::leader_frozen: world.freeze(leader, t.lease_s); break;
-    case With::leader_ends: world.crash(leader, 0.3); break;
+    case Fault::leader_frozen: cluster.freeze(leader, timing.lease_s); break;
+    case Fault::leader_crashes: cluster.crash(leader, 0.3); break;
     default: break;
     }
-    world.run_for(t.cancel_s + 30);
-    if (day.with == With::confirmed_in_the_outage_too) {
+    cluster.run_for(timing.cancel_s + 30);
+    if (scenario.fault == Fault::cancellation_in_a_gap_of_the_outage) {
         // Back for the others and not for the leader, for as long as it takes to tell a user; the
         // promises that the leader had have not ended.
-        world.state_down(false);
-        world.run_for(0.4);
-        world.cancel(other(1), "stay-red");
-        world.cancel(other(2), "stay-blue");
-        world.run_for(0.4);
-        world.state_down(true);
-        world.run_for(t.cancel_s + 30);
+        cluster.state_down(false);
+        cluster.run_for(0.4);
+        cluster.cancel(peer(1), "stay-red");
+        cluster.cancel(peer(2), "stay-blue");
+        cluster.run_for(0.4);
+        cluster.state_down(true);
+        cluster.run_for(timing.cancel_s + 30);
     }
-    world.state_down(false);
-    world.state_silent(leader, false);
-    world.state_refuses(leader, false);
-    world.troubles = {};
-    for (const auto& machine : world.machines_up()) {
-        world.deafen(machine, false);
+    cluster.state_down(false);
+    cluster.state_silent(leader, false);
+    cluster.state_refuses(leader, false);
+    cluster.troubles = {};
+    for (const auto& machine : cluster.machines_up()) {
+        cluster.deafen(machine, false);
     }
     for (int a = 0; a < 5; ++a) {
         for (int b = 0; b < 5; ++b) {
-            world.cut_peers(a, b, false);
+            cluster.cut_peers(a, b, false);
         }
     }
-    world.run_for(t.cancel_s + 3 * t.lease_s);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    for (const auto& [id, request] : asked) {
-        auto answer = world.answers.find(request);
-        if (answer != world.answers.end() && answer->second.status == 200) {
-            EXPECT_EQ(world.outcomes().at(id), Outcome::cancelled) << id;
+    cluster.run_for(timing.cancel_s + 3 * timing.lease_s);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    for (const auto& [id, request] : cancellations) {
+        auto answer = cluster.answers.find(request);
+        if (answer != cluster.answers.end() && answer->second.status == 200) {
+            EXPECT_EQ(cluster.outcomes().at(id), Outcome::cancelled) << id;
         }
     }
-    if (day.with != With::confirmed_in_the_outage_too) {
+    if (scenario.fault != Fault::cancellation_in_a_gap_of_the_outage) {
         for (const char* id : {"stay-red", "stay-blue"}) { // not lost with the others
-            EXPECT_EQ(world.machines_of({id, 0}).size(), 1u) << id << world.describe(id);
+            EXPECT_EQ(cluster.machines_of({id, 0}).size(), 1u) << id << cluster.describe(id);
         }
     }
-    return world.longest_cancelled() / t.cancel_s;
+    return cluster.longest_cancelled() / timing.cancel_s;
 }
 
-class Meetings : public testing::TestWithParam<int> {};
+class ConcurrentFaults : public testing::TestWithParam<int> {};
 
-TEST_P(Meetings, OfARefusalOfOneAndAnOutageOfAllKeepNoCancelledTask) {
-    int with = GetParam();
+TEST_P(ConcurrentFaults, RefusedLeaderAndStoreOutageLeaveNoCancelledTask) {
+    int fault = GetParam();
     int rounds = seeds_asked() > 0 ? 27 : 3;
     double longest = 0;
     int round = 0;
-    for (int times = 0; times < 3; ++times) {
-        const Times& t = kTimes[times];
+    for (int timing_index = 0; timing_index < 3; ++timing_index) {
+        const Timing& timing = kTimings[timing_index];
         // From half a second to longer than the part's lease.
-        const double refused[] = {0.5, 0.4 * t.lease_s, 0.8 * t.lease_s};
+        const double refused_s[] = {0.5, 0.4 * timing.lease_s, 0.8 * timing.lease_s};
         for (int r = 0; r < 3; ++r) {
-            for (double told_at : {0.0, 0.5, 0.95}) {
+            for (double cancelled_at : {0.0, 0.5, 0.95}) {
                 // In CI one of nine for each of the times, another one with each trouble.
-                int k = static_cast<int>(told_at * 2 + 0.2) + 3 * r;
-                if (rounds == 27 || k == (with * 4 + times * 5) % 9) {
-                    SCOPED_TRACE(std::string(kWith[with]) + " lease " + std::to_string(t.lease_s) +
-                                 " refused " + std::to_string(refused[r]) + " told at " +
-                                 std::to_string(told_at));
-                    longest = std::max(longest, play({static_cast<With>(with), times, refused[r],
-                                                      told_at, round % 2 != 0}));
+                int k = static_cast<int>(cancelled_at * 2 + 0.2) + 3 * r;
+                if (rounds == 27 || k == (fault * 4 + timing_index * 5) % 9) {
+                    SCOPED_TRACE(std::string(kFaultNames[fault]) + " lease " +
+                                 std::to_string(timing.lease_s) + " refused " +
+                                 std::to_string(refused_s[r]) + " cancelled at " +
+                                 std::to_string(cancelled_at));
+                    longest = std::max(longest, play({static_cast<Fault>(fault), timing_index,
+                                                      refused_s[r], cancelled_at, round % 2 != 0}));
                     ++round;
                 }
             }
@@ -254,254 +258,263 @@
     std::printf("last task of a cancelled job gone after %.2f of cancel_s\n", longest);
     RecordProperty("longest_of_cancel_s", std::to_string(longest));
 }
-INSTANTIATE_TEST_SUITE_P(Troubles, Meetings, testing::Range(0, kWiths),
-                         [](const auto& p) { return kWith[p.param]; });
+INSTANTIATE_TEST_SUITE_P(Faults, ConcurrentFaults, testing::Range(0, kFaultCount),
+                         [](const auto& p) { return kFaultNames[p.param]; });
 
 // ---- At random ----
 
 // An operator changes both teams' limits and guarantees again and again, within a second at times,
 // until `end`; then they are as at first.
-void change_limits(World& world, std::shared_ptr<std::mt19937_64> random, Time end) {
+void change_quotas(World& cluster, std::shared_ptr<std::mt19937_64> random, Time end) {
     auto between = [&](double from, double to) {
         return std::uniform_real_distribution<>(from, to)(*random);
     };
-    for (TeamQuota quota : world.facts(0).teams) {
-        if (world.now() < end) {
+    for (TeamQuota quota : cluster.facts(0).teams) {
+        if (cluster.now() < end) {
             quota.max_cpus *= between(0.15, 1.3);
             quota.guaranteed_cpus = between(0, quota.max_cpus);
         }
-        world.configure(quota); // refused in an outage, as its writer is
+        cluster.configure(quota); // refused in an outage, as its writer is
     }
-    if (world.now() < end) {
-        world.at(world.now() + between(0, 1) * between(0, 20),
-                 [&world, random, end] { change_limits(world, random, end); });
+    if (cluster.now() < end) {
+        cluster.at(cluster.now() + between(0, 1) * between(0, 20),
+                   [&cluster, random, end] { change_quotas(cluster, random, end); });
     }
 }
 
 // Three troubles at once, again and again, with users who submit, ask and cancel; then none.
-void play_at_random(std::uint64_t seed, bool limits_change = false) {
-    const Times& t = kTimes[seed % 3];
-    World world({.seed = seed,
-                 .nodes = 5,
-                 .drop = seed % 2 ? 0.01 : 0.0,
-                 .run_s = 30,
-                 .limits = 12,
-                 .capacity = 60,
-                 .report_s = t.report_s,
-                 .lease_s = t.lease_s,
-                 .cancel_s = t.cancel_s,
-                 .state_rps = 250,
-                 .state_write_rps = 50,
-                 .notices = seed % 4 < 2});
+void play_at_random(std::uint64_t seed, bool quotas_change = false) {
+    const Timing& timing = kTimings[seed % 3];
+    World cluster({.seed = seed,
+                   .nodes = 5,
+                   .drop = seed % 2 ? 0.01 : 0.0,
+                   .run_s = 30,
+                   .limits = 12,
+                   .capacity = 60,
+                   .report_s = timing.heartbeat_interval_s,
+                   .lease_s = timing.lease_s,
+                   .cancel_s = timing.cancel_s,
+                   .state_rps = 250,
+                   .state_write_rps = 50,
+                   .notices = seed % 4 < 2});
     std::mt19937_64 random(seed * 7919);
-    auto any = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
-    auto up = [&] {
-        auto all = world.machines_up();
+    auto random_below = [&](int n) {
+        return static_cast<int>(random() % static_cast<unsigned>(n));
+    };
+    auto quarter_of_machines = [&] {
+        auto all = cluster.machines_up();
         std::shuffle(all.begin(), all.end(), random);
         all.resize(all.size() / 4);
         return all;
     };
-    world.run_for(t.lease_s + 3);
-    world.ask_often();
-    if (limits_change) {
-        change_limits(world, std::make_shared<std::mt19937_64>(seed), 300);
+    cluster.run_for(timing.lease_s + 3);
+    cluster.ask_often();
+    if (quotas_change) {
+        change_quotas(cluster, std::make_shared<std::mt19937_64>(seed), 300);
     }
     int jobs = 0;
     auto submit = [&] {
-        JobSpec spec =
-            world.job("req-" + std::to_string(++jobs), 2 + any(any(3) ? 2 : 20), 1 + any(3));
-        spec.team = any(2) ? "red" : "blue";
-        spec.kind = any(5) ? JobKind::array : any(2) ? JobKind::gang : JobKind::service;
-        spec.one_zone = spec.kind == JobKind::gang && any(2) != 0;
-        world.submit(any(5), spec);
+        JobSpec spec = cluster.job("req-" + std::to_string(++jobs),
+                                   2 + random_below(random_below(3) ? 2 : 20), 1 + random_below(3));
+        spec.team = random_below(2) ? "red" : "blue";
+        spec.kind = random_below(5)   ? JobKind::array
+                    : random_below(2) ? JobKind::gang
+                                      : JobKind::service;
+        spec.one_zone = spec.kind == JobKind::gang && random_below(2) != 0;
+        cluster.submit(random_below(5), spec);
+    };
+    auto cancel = [&] {
+        cluster.cancel(random_below(5), "req-" + std::to_string(1 + random_below(jobs)));
     };
-    auto cancel = [&] { world.cancel(any(5), "req-" + std::to_string(1 + any(jobs))); };
     for (int round = 0; round < 4; ++round) {
         for (int k = 0; k < 5; ++k) {
             submit();
-            world.run_for(2);
+            cluster.run_for(2);
         }
         std::vector<std::function<void()>> undo;
-        std::set<std::string> cut;
-        int node = any(5); // most troubles are this one's
-        for (int k = 2 + any(3); k > 0; --k) {
-            switch (any(26)) {
+        std::set<std::string> disconnected;
+        int node = random_below(5); // most troubles are this one's
+        for (int k = 2 + random_below(3); k > 0; --k) {
+            switch (random_below(26)) {
             case 0:
-                world.state_refuses(node, true);
-                undo.emplace_back([&world, node] { world.state_refuses(node, false); });
+                cluster.state_refuses(node, true);
+                undo.emplace_back([&cluster, node] { cluster.state_refuses(node, false); });
                 break;
             case 1: // from state service and peers, not from workers and users
-                world.state_silent(node, true);
+                cluster.state_silent(node, true);
                 for (int to = 0; to < 5; ++to) {
-                    world.cut_peers(node, to, true);
+                    cluster.cut_peers(node, to, true);
                 }
-                undo.emplace_back([&world, node] {
-                    world.state_silent(node, false);
+                undo.emplace_back([&cluster, node] {
+                    cluster.state_silent(node, false);
                     for (int to = 0; to < 5; ++to) {
-                        world.cut_peers(node, to, false);
+                        cluster.cut_peers(node, to, false);
                     }
                 });
                 break;
-            case 2: world.troubles.late_writes = 0.2; break;
-            case 3: world.troubles.late_reports = 0.3; break;
-            case 4: world.troubles.held_orders = 0.4; break;
-            case 5: world.troubles.state_slow_s = 0.2 * t.report_s * (1 + any(4)); break;
+            case 2: cluster.troubles.late_writes = 0.2; break;
+            case 3: cluster.troubles.late_reports = 0.3; break;
+            case 4: cluster.troubles.held_orders = 0.4; break;
+            case 5:
+                cluster.troubles.state_slow_s =
+                    0.2 * timing.heartbeat_interval_s * (1 + random_below(4));
+                break;
             case 6:
-                for (const auto& machine : up()) {
-                    world.deafen(machine, true);
-                    cut.insert(machine);
+                for (const auto& machine : quarter_of_machines()) {
+                    cluster.deafen(machine, true);
+                    disconnected.insert(machine);
                 }
                 break;
             case 7:
-                for (const auto& machine : up()) {
-                    world.cut_machine(machine, true);
-                    cut.insert(machine);
+                for (const auto& machine : quarter_of_machines()) {
+                    cluster.cut_machine(machine, true);
+                    disconnected.insert(machine);
                 }
                 break;
-            case 8: world.crash(node, any(2) ? 0.02 : any(8)); break;
+            case 8: cluster.crash(node, random_below(2) ? 0.02 : random_below(8)); break;
             case 9:
                 for (int n = 0; n < 5; ++n) { // all end, one is back within a second
-                    world.crash(n, n == node ? 0.2 : 2 + any(10));
+                    cluster.crash(n, n == node ? 0.2 : 2 + random_below(10));
                 }
                 break;
-            case 10: world.freeze(node, 2 + any(30)); break;
+            case 10: cluster.freeze(node, 2 + random_below(30)); break;
             case 11:
-                world.cut_workers(node, true);
-                undo.emplace_back([&world, node] { world.cut_workers(node, false); });
+                cluster.cut_workers(node, true);
+                undo.emplace_back([&cluster, node] { cluster.cut_workers(node, false); });
                 break;
             case 12:
                 for (int a = 0; a < 5; ++a) {
                     for (int b = 0; b < 5; ++b) {
-                        world.cut_peers(a, b, true);
+                        cluster.cut_peers(a, b, true);
                     }
                 }
-                undo.emplace_back([&world] {
+                undo.emplace_back([&cluster] {
                     for (int a = 0; a < 5; ++a) {
                         for (int b = 0; b < 5; ++b) {
-                            world.cut_peers(a, b, false);
+                            cluster.cut_peers(a, b, false);
                         }
                     }
                 });
                 break;
-            case 14: world.troubles.lost_answers = 0.3; break;
-            case 15: world.troubles.reports_for_next = 0.3; break;
-            case 16: world.troubles.quick_boots = 0.8; break;
-            case 17: world.troubles.mute_boots = 0.2; break;
-            case 18: world.troubles.slow_links_s = 0.1 * t.report_s; break;
-            case 19: world.troubles.close_looks = 0.5; break;
-            case 20: world.troubles.cancel_at_end = 0.5; break;
+            case 14: cluster.troubles.lost_answers = 0.3; break;
+            case 15: cluster.troubles.reports_for_next = 0.3; break;
+            case 16: cluster.troubles.quick_boots = 0.8; break;
+            case 17: cluster.troubles.mute_boots = 0.2; break;
+            case 18: cluster.troubles.slow_links_s = 0.1 * timing.heartbeat_interval_s; break;
+            case 19: cluster.troubles.close_looks = 0.5; break;
+            case 20: cluster.troubles.cancel_at_end = 0.5; break;
             case 21: // up to a quarter hangs within the lease or beyond it
-                for (const auto& machine : up()) {
-                    world.hang(machine, t.lease_s * (1 + any(15)) / 10);
+                for (const auto& machine : quarter_of_machines()) {
+                    cluster.hang(machine, timing.lease_s * (1 + random_below(15)) / 10);
                 }
                 break;
             case 22:
-                for (const auto& machine : up()) {
-                    world.mute(machine, true);
-                    cut.insert(machine);
+                for (const auto& machine : quarter_of_machines()) {
+                    cluster.mute(machine, true);
+                    disconnected.insert(machine);
                 }
                 break;
             case 23: // many called off at once that run and have long to go; their machines hang
                 for (int n = 0; n < 6 && jobs > 0; ++n) {
-                    std::string id = "req-" + std::to_string(1 + any(jobs));
-                    for (const auto& machine : world.machines_of({id, 0})) {
-                        world.hang(machine, t.lease_s * (1 + any(15)) / 10);
+                    std::string id = "req-" + std::to_string(1 + random_below(jobs));
+                    for (const auto& machine : cluster.machines_of({id, 0})) {
+                        cluster.hang(machine, timing.lease_s * (1 + random_below(15)) / 10);
                     }
-                    world.cancel(any(5), id);
+                    cluster.cancel(random_below(5), id);
                 }
                 break;
             case 24:
                 for (int n = 0; n < 5; ++n) {
-                    world.odd_requests("req-" + std::to_string(1 + any(jobs)));
+                    cluster.odd_requests("req-" + std::to_string(1 + random_below(jobs)));
                 }
                 break;
             case 25: // leaders change again and again
                 for (int n = 0; n < 10; ++n) {
-                    world.at(world.now() + n * 12, [&world, n, node] {
-                        world.crash((node + n) % 5, n % 3 == 0 ? 0.02 : 6);
+                    cluster.at(cluster.now() + n * 12, [&cluster, n, node] {
+                        cluster.crash((node + n) % 5, n % 3 == 0 ? 0.02 : 6);
                     });
                 }
                 break;
             case 13: {
-                auto shards = world.shares(node);
+                auto shards = cluster.shares(node);
                 for (std::size_t i = 0; i < shards.size() / 2; ++i) {
-                    world.give(node, shards[i], any(5));
+                    cluster.give(node, shards[i], random_below(5));
                 }
                 break;
             }
             }
-            world.run_for(any(4));
+            cluster.run_for(random_below(4));
             cancel();
         }
-        world.run_for(any(static_cast<int>(t.lease_s)));
-        if (any(2)) {
-            world.state_down(true);
-            world.run_for(5 + any(static_cast<int>(t.cancel_s + 20)));
+        cluster.run_for(random_below(static_cast<int>(timing.lease_s)));
+        if (random_below(2)) {
+            cluster.state_down(true);
+            cluster.run_for(5 + random_below(static_cast<int>(timing.cancel_s + 20)));
             cancel();
-            world.state_down(false);
+            cluster.state_down(false);
         }
-        world.run_for(any(10));
+        cluster.run_for(random_below(10));
         cancel();
-        for (const auto& back : undo) {
-            back();
+        for (const auto& revert : undo) {
+            revert();
         }
-        world.troubles = {};
-        for (const auto& machine : cut) {
-            auto all = world.machines_up();
+        cluster.troubles = {};
+        for (const auto& machine : disconnected) {
+            auto all = cluster.machines_up();
             if (std::find(all.begin(), all.end(), machine) != all.end()) {
-                world.deafen(machine, false);
-                world.cut_machine(machine, false);
+                cluster.deafen(machine, false);
+                cluster.cut_machine(machine, false);
             }
         }
-        for (const auto& machine : world.machines_up()) {
-            world.mute(machine, false);
+        for (const auto& machine : cluster.machines_up()) {
+            cluster.mute(machine, false);
         }
-        world.run_for(any(40));
-        ASSERT_TRUE(world.broken.empty()) << world.broken.front() << " at " << world.now();
+        cluster.run_for(random_below(40));
+        ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
     }
-    world.run_for(t.cancel_s + 120); // the last changes of leaders
-    for (const TeamQuota& quota : world.facts(0).teams) {
-        if (limits_change) {
-            world.configure(quota);
+    cluster.run_for(timing.cancel_s + 120); // the last changes of leaders
+    for (const TeamQuota& quota : cluster.facts(0).teams) {
+        if (quotas_change) {
+            cluster.configure(quota);
         }
     }
-    world.ask_often(); // all troubles are over
+    cluster.ask_often(); // all troubles are over
     for (int k = 0; k < 100; ++k) {
-        world.run_for(10);
-        for (const auto& [id, outcome] : world.outcomes()) {
-            if (world.spec_of(id).kind == JobKind::service) {
-                world.cancel(k % 5, id);
+        cluster.run_for(10);
+        for (const auto& [id, outcome] : cluster.outcomes()) {
+            if (cluster.spec_of(id).kind == JobKind::service) {
+                cluster.cancel(k % 5, id);
             }
         }
     }
-    ASSERT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_LT(world.longest_unanswered(), 75);
-    EXPECT_LT(world.judge().longest_idle(), 90)
-        << world.judge().idlest() << world.describe(world.judge().idlest());
-    for (const auto& [id, outcome] : world.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
+    ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_LT(cluster.longest_unanswered(), 75);
+    EXPECT_LT(cluster.judge().longest_idle(), 90)
+        << cluster.judge().idlest() << cluster.describe(cluster.judge().idlest());
+    for (const auto& [id, outcome] : cluster.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
-    EXPECT_LT(world.longest_cancelled(), t.cancel_s);
+    EXPECT_LT(cluster.longest_cancelled(), timing.cancel_s);
 }
 
-class MeetingsRandom : public testing::TestWithParam<int> {};
-TEST_P(MeetingsRandom, KeepTheRulesAndForgetNobody) {
+class ConcurrentFaultsRandom : public testing::TestWithParam<int> {};
+TEST_P(ConcurrentFaultsRandom, InvariantsHoldAndEveryJobFinishes) {
     play_at_random(static_cast<std::uint64_t>(GetParam()));
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, MeetingsRandom, testing::Range(1, 13));
+INSTANTIATE_TEST_SUITE_P(Seeds, ConcurrentFaultsRandom, testing::Range(1, 13));
 
-TEST(MeetingsSeeds, AsManyAsAreAskedFor) {
+TEST(ConcurrentFaultsSeeds, InvariantsHoldForAllRequestedSeeds) {
     play_seeds_asked(1000, [](std::uint64_t seed) { play_at_random(seed); });
 }
 
 // The same while an operator changes the teams' limits: quota by the limit in force.
-class ConfigRandom : public testing::TestWithParam<int> {};
-TEST_P(ConfigRandom, KeepTheRulesAndForgetNobody) {
+class QuotaConfigRandom : public testing::TestWithParam<int> {};
+TEST_P(QuotaConfigRandom, InvariantsHoldAndEveryJobFinishesWhileQuotasChange) {
     play_at_random(static_cast<std::uint64_t>(GetParam()), true);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, ConfigRandom, testing::Range(1, 7));
+INSTANTIATE_TEST_SUITE_P(Seeds, QuotaConfigRandom, testing::Range(1, 7));
 
-TEST(ConfigSeeds, AsManyAsAreAskedFor) {
+TEST(QuotaConfigSeeds, InvariantsHoldForAllRequestedSeedsWhileQuotasChange) {
     play_seeds_asked(1000, [](std::uint64_t seed) { play_at_random(seed, true); });
 }
 
@@ -510,138 +523,138 @@
 // The day on which `red`'s owner is back at once, and then nobody has the state service: its claim
 // stands and all siblings promise, but it could not read the jobs. It answered its workers for as
 // long as the outage lasted, while another node had told users of a cancellation.
-TEST(MeetingsAlone, AnOwnerThatCouldNotReadTheJobsKeepsNoTask) {
-    World world({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
-    world.run_for(40);
-    world.submit(0, world.job("req-1", 20));
-    world.submit(1, world.job("req-2", 20));
-    world.run_for(40);
-    int leader = world.owner(red(world));
-    ASSERT_EQ(world.machines_of({"req-1", 0}).size(), 1u);
-    world.crash(leader, 0.02);
-    int life = 0; // the jobs do not come in time
-    world.intercept = [&](int node, const OutboundBody& call) {
+TEST(ConcurrentFaultsRegressions, LeaderThatCannotReadTheJobsKeepsNoCancelledTask) {
+    World cluster({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
+    cluster.run_for(40);
+    cluster.submit(0, cluster.job("req-1", 20));
+    cluster.submit(1, cluster.job("req-2", 20));
+    cluster.run_for(40);
+    int leader = cluster.owner(red_partition(cluster));
+    ASSERT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u);
+    cluster.crash(leader, 0.02);
+    int job_reads = 0; // the jobs do not come in time
+    cluster.intercept = [&](int node, const OutboundBody& call) {
         const auto* range = std::get_if<StoreRange>(&call);
-        return node == leader && range && range->prefix == kJobPrefix && ++life > 0;
+        return node == leader && range && range->prefix == kJobPrefix && ++job_reads > 0;
     };
-    RequestId id = world.cancel((leader + 1) % 5, "req-1");
-    world.run_for(2);
-    ASSERT_EQ(world.answers.at(id).status, 200);
-    ASSERT_GT(life, 0);
-    world.state_down(true);
-    world.run_for(80);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_LT(world.longest_cancelled(), world.facts(0).cancel_s);
-    world.intercept = nullptr;
-    world.state_down(false);
-    world.run_for(60);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_EQ(world.machines_of({"req-2", 0}).size(), 1u);
+    RequestId id = cluster.cancel((leader + 1) % 5, "req-1");
+    cluster.run_for(2);
+    ASSERT_EQ(cluster.answers.at(id).status, 200);
+    ASSERT_GT(job_reads, 0);
+    cluster.state_down(true);
+    cluster.run_for(80);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_LT(cluster.longest_cancelled(), cluster.facts(0).cancel_s);
+    cluster.intercept = nullptr;
+    cluster.state_down(false);
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_EQ(cluster.machines_of({"req-2", 0}).size(), 1u);
 }
 
 // Guests of a cancelled job on the machines of the node that alone is refused: their own owner told
 // users and cannot reach this one with its words, only promises get through.
-TEST(MeetingsAlone, APromiseStopsGuestsOfTheCancelledJobToo) {
-    World world({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
-    world.run_for(40);
-    world.submit(0, world.job("req-1", 60)); // on the machines of every part
-    world.run_for(60);
-    int leader = world.owner(red(world));
+TEST(ConcurrentFaultsRegressions, LeaseExtensionStopsRemoteTasksOfACancelledJob) {
+    World cluster({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
+    cluster.run_for(40);
+    cluster.submit(0, cluster.job("req-1", 60)); // on the machines of every part
+    cluster.run_for(60);
+    int leader = cluster.owner(red_partition(cluster));
     // The node with the most guests among those that own no team's part.
-    int host = (leader + 1) % 5;
-    auto guests_at = [&](int node) {
-        int n = 0;
+    int lender = (leader + 1) % 5;
+    auto remote_tasks_at = [&](int node) {
+        int count = 0;
         for (std::uint32_t i = 0; i < 60; ++i) {
-            for (const auto& machine : world.machines_of({"req-1", i})) {
-                n += world.node_of(machine) == node;
+            for (const auto& machine : cluster.machines_of({"req-1", i})) {
+                count += cluster.node_of(machine) == node;
             }
         }
-        return n;
+        return count;
     };
-    ASSERT_GT(guests_at(host), 0);
-    world.state_refuses(host, true);
-    world.intercept = [&](int node, const OutboundBody& call) {
+    ASSERT_GT(remote_tasks_at(lender), 0);
+    cluster.state_refuses(lender, true);
+    cluster.intercept = [&](int node, const OutboundBody& call) {
         const auto* peer = std::get_if<PeerSyncCall>(&call);
-        return peer && (node == host || peer->node == "n" + std::to_string(host));
+        return peer && (node == lender || peer->node == "n" + std::to_string(lender));
     };
-    world.run_for(0.5);
-    RequestId id = world.cancel((host + 1) % 5, "req-1");
-    world.run_for(0.5);
-    ASSERT_EQ(world.answers.at(id).status, 200);
-    world.state_down(true);
-    world.run_for(80);
-    EXPECT_EQ(guests_at(host), 0);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_LT(world.longest_cancelled(), world.facts(0).cancel_s);
+    cluster.run_for(0.5);
+    RequestId id = cluster.cancel((lender + 1) % 5, "req-1");
+    cluster.run_for(0.5);
+    ASSERT_EQ(cluster.answers.at(id).status, 200);
+    cluster.state_down(true);
+    cluster.run_for(80);
+    EXPECT_EQ(remote_tasks_at(lender), 0);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_LT(cluster.longest_cancelled(), cluster.facts(0).cancel_s);
 }
 
 // The owner ends while a machine with a long task cannot be reached. The machine comes back at the
 // end of its lease for one report, and does not hear another answer for a while: that one answer
 // has to carry the stop, though the machine has not shown the new owner's token.
-TEST(MeetingsAlone, OneAnswerToAMachineThatWasCutOffCarriesTheStop) {
-    World world({.nodes = 5,
-                 .run_s = 3000,
-                 .limits = 30,
-                 .capacity = 60,
-                 .report_s = 6,
-                 .lease_s = 31,
-                 .cancel_s = 56});
-    world.run_for(60);
-    world.submit(0, world.job("req-1", 4));
-    world.run_for(60);
-    std::string machine = *world.machines_of({"req-1", 0}).begin();
-    int leader = world.node_of(machine);
-    world.cut_machine(machine, true);
-    world.cloud_down(true); // nor can it be released
-    world.run_for(0.5);
-    RequestId id = world.cancel((leader + 1) % 5, "req-1");
-    world.run_for(0.5);
-    ASSERT_EQ(world.answers.at(id).status, 200);
-    world.crash(leader, 0.3);
-    world.run_for(27);
-    ASSERT_EQ(world.machines_of({"req-1", 0}).size(), 1u); // its lease has not ended
-    world.cut_machine(machine, false);
-    Time back = world.now();
-    for (int k = 0; k < 1000 && world.renewed(machine) < back; ++k) {
-        world.run_for(0.01);
+TEST(ConcurrentFaultsRegressions, FirstResponseToAReconnectedMachineCarriesTheStop) {
+    World cluster({.nodes = 5,
+                   .run_s = 3000,
+                   .limits = 30,
+                   .capacity = 60,
+                   .report_s = 6,
+                   .lease_s = 31,
+                   .cancel_s = 56});
+    cluster.run_for(60);
+    cluster.submit(0, cluster.job("req-1", 4));
+    cluster.run_for(60);
+    std::string machine = *cluster.machines_of({"req-1", 0}).begin();
+    int leader = cluster.node_of(machine);
+    cluster.cut_machine(machine, true);
+    cluster.cloud_down(true); // nor can it be released
+    cluster.run_for(0.5);
+    RequestId id = cluster.cancel((leader + 1) % 5, "req-1");
+    cluster.run_for(0.5);
+    ASSERT_EQ(cluster.answers.at(id).status, 200);
+    cluster.crash(leader, 0.3);
+    cluster.run_for(27);
+    ASSERT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u); // its lease has not ended
+    cluster.cut_machine(machine, false);
+    Time reconnected_at = cluster.now();
+    for (int k = 0; k < 1000 && cluster.renewed(machine) < reconnected_at; ++k) {
+        cluster.run_for(0.01);
     }
-    ASSERT_GE(world.renewed(machine), back);
-    world.deafen(machine, true);
-    world.run_for(60);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_LT(world.longest_cancelled(), world.facts(0).cancel_s);
+    ASSERT_GE(cluster.renewed(machine), reconnected_at);
+    cluster.deafen(machine, true);
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_LT(cluster.longest_cancelled(), cluster.facts(0).cancel_s);
 }
 
 // No worker reaches any controller, direct commands reach them. Each node takes itself for deaf,
 // gives its parts up and stays away from them for longer each time; once workers are heard again
 // they are to be served at once all the same.
-TEST(MeetingsAlone, WorkersHeardAgainAfterAllWereMuteAreServedSoon) {
-    for (double mute_s : {8.0, 20.0, 45.0, 90.0}) {
-        SCOPED_TRACE(std::to_string(mute_s));
-        World world({.nodes = 5, .run_s = 20, .limits = 10, .capacity = 60, .notices = true});
-        world.run_for(40);
+TEST(ConcurrentFaultsRegressions, JobsStartWithinTheWorkerLeaseOnceWorkersAreReachableAgain) {
+    for (double unreachable_s : {8.0, 20.0, 45.0, 90.0}) {
+        SCOPED_TRACE(std::to_string(unreachable_s));
+        World cluster({.nodes = 5, .run_s = 20, .limits = 10, .capacity = 60, .notices = true});
+        cluster.run_for(40);
         for (int k = 1; k <= 10; ++k) {
-            world.submit(k % 5, world.job("req-" + std::to_string(k), 12));
+            cluster.submit(k % 5, cluster.job("req-" + std::to_string(k), 12));
         }
-        world.run_for(25);
-        auto mute = [&](bool is) {
-            for (const auto& machine : world.machines_up()) {
-                world.mute(machine, is);
+        cluster.run_for(25);
+        auto set_unreachable = [&](bool unreachable) {
+            for (const auto& machine : cluster.machines_up()) {
+                cluster.mute(machine, unreachable);
             }
         };
-        mute(true);
-        world.run_for(mute_s);
-        mute(false);
-        Time heard = world.now();
-        world.submit(1, world.job("req-99", 4));
-        while (world.starts({"req-99", 0}) == 0 && world.now() < heard + 200) {
-            world.run_for(0.5);
+        set_unreachable(true);
+        cluster.run_for(unreachable_s);
+        set_unreachable(false);
+        Time reachable_at = cluster.now();
+        cluster.submit(1, cluster.job("req-99", 4));
+        while (cluster.starts({"req-99", 0}) == 0 && cluster.now() < reachable_at + 200) {
+            cluster.run_for(0.5);
         }
-        std::printf("mute %.0f s: served after %.1f s, given up as deaf %zu times\n", mute_s,
-                    world.now() - heard, world.logged("event=leadership_resigned"));
-        EXPECT_LT(world.now() - heard, world.facts(0).worker_lease_s);
-        world.run_for(60);
-        EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+        std::printf("unreachable %.0f s: served after %.1f s, resigned %zu times\n", unreachable_s,
+                    cluster.now() - reachable_at, cluster.logged("event=leadership_resigned"));
+        EXPECT_LT(cluster.now() - reachable_at, cluster.facts(0).worker_lease_s);
+        cluster.run_for(60);
+        EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
 }
 
