--- a/tests/concurrent_faults_test.cpp
+++ b/tests/concurrent_faults_test.cpp
@@ -1,4 +1,5 @@
-// Two troubles at once: from a cancellation that users were told of to the last task. See "From a
+// Concurrent faults must not keep the tasks of a cancelled job running past `cancel_s` once the
+// cancellation has been confirmed to the user, and must leave no job unfinished. See "From a
 // cancellation to the last task" in docs/meetings.md.
 #include <gtest/gtest.h>
 
@@ -16,12 +17,13 @@
 
 int red_partition(const World& cluster) { return partition_of_team(cluster.facts(0), "red"); }
 
-// What meets the refusal of the leader, the cancellations and the outage.
+// The fault that is added to a refused leader, cancellations and a store outage.
 enum class Fault {
     none,
-    confirming_controller_restarts_in_20_ms,  // right after its answer, back after 0.02 s
-    confirming_controller_restarts_in_300_ms, // back after 0.3 s
-    confirming_controller_restarts_in_6_s,    // back after 6 s
+    // The controller that confirms the cancellations crashes right after its response.
+    confirming_controller_restarts_in_20_ms,
+    confirming_controller_restarts_in_300_ms,
+    confirming_controller_restarts_in_6_s,
     all_peers_disconnected,
     one_peer_disconnected,
     leader_frozen,
@@ -32,8 +34,8 @@
     delayed_commands,
     shard_migration,
     leader_crashes,
-    cancellation_in_a_gap_of_the_outage, // by the nodes that reach the state service at its end
-    store_silent,                        // the leader gets no answers instead of refusals
+    cancellation_in_a_gap_of_the_outage, // the other controllers reach the store briefly
+    store_silent,                        // the leader gets no responses instead of refusals
     count
 };
 constexpr const char* kFaultNames[] = {"none",
@@ -54,7 +56,7 @@
                                        "store_silent"};
 constexpr int kFaultCount = static_cast<int>(Fault::count);
 
-// The lease times of the deployments, with the largest of the three ratios of lease to cancel_s.
+// Worker timing of the deployments; {8, 38, 63} has the largest ratio of lease_s to cancel_s.
 struct Timing {
     double heartbeat_interval_s, lease_s, cancel_s;
 };
@@ -63,14 +65,16 @@
 struct Scenario {
     Fault fault = Fault::none;
     int timing = 0;
-    double refused_s = 4;    // before the outage
-    double cancelled_at = 0; // of that time: when the users are told
+    double refused_s = 4;    // how long only the leader is refused, before the outage
+    double cancelled_at = 0; // when users cancel, as a fraction of refused_s
     bool at_several_controllers = false;
 };
 
-// A leader that the state service refuses alone; cancellations confirmed by others; then an outage
-// for all, longer than `cancel_s`. Long tasks: arrays, a gang and replicas, of two teams, on the
-// machines of all parts. Returns how long the last task of a cancelled job was left.
+// The store refuses the requests of one leader only, so that it cannot learn of cancellations that
+// other controllers confirm. Then the store is down for all controllers for longer than `cancel_s`.
+// The jobs have long tasks: arrays, a gang and replicas of two teams, on the machines of all
+// partitions. Returns the longest time from the confirmed cancellation of a job to the end of its
+// last task, as a fraction of `cancel_s`.
 double play(const Scenario& scenario) {
     const Timing& timing = kTimings[scenario.timing];
     bool many = scenario.fault == Fault::many_cancellations;
@@ -99,7 +103,7 @@
         submit("gang-" + name, JobKind::gang, 6, team);
         submit("svc-" + name, JobKind::service, 6, team);
         submit("stay-" + name, JobKind::array, 20, team);
-        to_cancel.pop_back(); // that one is not cancelled
+        to_cancel.pop_back(); // this job is not cancelled
     }
     cluster.run_for(6 * timing.heartbeat_interval_s + 40);
     for (int i = 0; many && i < 1100; ++i) {
@@ -163,7 +167,7 @@
             return body && body->stage == "cancelled" && node == peer(0) ? restart_s : std::nullopt;
         };
     }
-    // An answer takes a moment, and there may be many.
+    // Leave time for the responses to the cancellations, of which there may be many.
     cluster.run_for(std::max(0.3, refused_at + scenario.refused_s - cluster.now()));
     cluster.after_output = nullptr;
     cluster.state_down(true);
@@ -189,8 +193,8 @@
     }
     cluster.run_for(timing.cancel_s + 30);
     if (scenario.fault == Fault::cancellation_in_a_gap_of_the_outage) {
-        // Back for the others and not for the leader, for as long as it takes to tell a user; the
-        // promises that the leader had have not ended.
+        // The store serves the other controllers, but not the leader, for long enough to confirm
+        // two more cancellations. The lease extensions granted to the leader have not expired yet.
         cluster.state_down(false);
         cluster.run_for(0.4);
         cluster.cancel(peer(1), "stay-red");
@@ -220,7 +224,7 @@
         }
     }
     if (scenario.fault != Fault::cancellation_in_a_gap_of_the_outage) {
-        for (const char* id : {"stay-red", "stay-blue"}) { // not lost with the others
+        for (const char* id : {"stay-red", "stay-blue"}) { // its tasks keep running
             EXPECT_EQ(cluster.machines_of({id, 0}).size(), 1u) << id << cluster.describe(id);
         }
     }
@@ -236,11 +240,12 @@
     int round = 0;
     for (int timing_index = 0; timing_index < 3; ++timing_index) {
         const Timing& timing = kTimings[timing_index];
-        // From half a second to longer than the part's lease.
+        // From half a second to longer than the partition's lease.
         const double refused_s[] = {0.5, 0.4 * timing.lease_s, 0.8 * timing.lease_s};
         for (int r = 0; r < 3; ++r) {
             for (double cancelled_at : {0.0, 0.5, 0.95}) {
-                // In CI one of nine for each of the times, another one with each trouble.
+                // Without SCHEDULER_SEEDS one of nine for each timing, a different one for each
+                // fault.
                 int k = static_cast<int>(cancelled_at * 2 + 0.2) + 3 * r;
                 if (rounds == 27 || k == (fault * 4 + timing_index * 5) % 9) {
                     SCOPED_TRACE(std::string(kFaultNames[fault]) + " lease " +
@@ -261,10 +266,10 @@
 INSTANTIATE_TEST_SUITE_P(Faults, ConcurrentFaults, testing::Range(0, kFaultCount),
                          [](const auto& p) { return kFaultNames[p.param]; });
 
-// ---- At random ----
+// ---- Random faults ----
 
-// An operator changes both teams' limits and guarantees again and again, within a second at times,
-// until `end`; then they are as at first.
+// Changes the quotas and guarantees of both teams as an operator does, repeatedly and at times
+// within a second, until `end`; then restores the initial values.
 void change_quotas(World& cluster, std::shared_ptr<std::mt19937_64> random, Time end) {
     auto between = [&](double from, double to) {
         return std::uniform_real_distribution<>(from, to)(*random);
@@ -274,7 +279,7 @@
             quota.max_cpus *= between(0.15, 1.3);
             quota.guaranteed_cpus = between(0, quota.max_cpus);
         }
-        cluster.configure(quota); // refused in an outage, as its writer is
+        cluster.configure(quota); // fails while the store is down, as for an operator
     }
     if (cluster.now() < end) {
         cluster.at(cluster.now() + between(0, 1) * between(0, 20),
@@ -282,7 +287,8 @@
     }
 }
 
-// Three troubles at once, again and again, with users who submit, ask and cancel; then none.
+// Plays four rounds of two to four concurrent random faults while users submit, poll and cancel
+// jobs, then reverts all faults and checks that every job finishes.
 void play_at_random(std::uint64_t seed, bool quotas_change = false) {
     const Timing& timing = kTimings[seed % 3];
     World cluster({.seed = seed,
@@ -333,14 +339,14 @@
         }
         std::vector<std::function<void()>> undo;
         std::set<std::string> disconnected;
-        int node = random_below(5); // most troubles are this one's
+        int node = random_below(5); // the target of most faults
         for (int k = 2 + random_below(3); k > 0; --k) {
             switch (random_below(26)) {
             case 0:
                 cluster.state_refuses(node, true);
                 undo.emplace_back([&cluster, node] { cluster.state_refuses(node, false); });
                 break;
-            case 1: // from state service and peers, not from workers and users
+            case 1: // cut off from store and peers, reachable for workers and users
                 cluster.state_silent(node, true);
                 for (int to = 0; to < 5; ++to) {
                     cluster.cut_peers(node, to, true);
@@ -373,7 +379,7 @@
                 break;
             case 8: cluster.crash(node, random_below(2) ? 0.02 : random_below(8)); break;
             case 9:
-                for (int n = 0; n < 5; ++n) { // all end, one is back within a second
+                for (int n = 0; n < 5; ++n) { // all crash, one restarts within a second
                     cluster.crash(n, n == node ? 0.2 : 2 + random_below(10));
                 }
                 break;
@@ -403,7 +409,7 @@
             case 18: cluster.troubles.slow_links_s = 0.1 * timing.heartbeat_interval_s; break;
             case 19: cluster.troubles.close_looks = 0.5; break;
             case 20: cluster.troubles.cancel_at_end = 0.5; break;
-            case 21: // up to a quarter hangs within the lease or beyond it
+            case 21: // a quarter of the machines hang for less or more than the lease
                 for (const auto& machine : quarter_of_machines()) {
                     cluster.hang(machine, timing.lease_s * (1 + random_below(15)) / 10);
                 }
@@ -414,7 +420,7 @@
                     disconnected.insert(machine);
                 }
                 break;
-            case 23: // many called off at once that run and have long to go; their machines hang
+            case 23: // several running jobs are cancelled at once while their machines hang
                 for (int n = 0; n < 6 && jobs > 0; ++n) {
                     std::string id = "req-" + std::to_string(1 + random_below(jobs));
                     for (const auto& machine : cluster.machines_of({id, 0})) {
@@ -428,7 +434,7 @@
                     cluster.odd_requests("req-" + std::to_string(1 + random_below(jobs)));
                 }
                 break;
-            case 25: // leaders change again and again
+            case 25: // repeated failovers
                 for (int n = 0; n < 10; ++n) {
                     cluster.at(cluster.now() + n * 12, [&cluster, n, node] {
                         cluster.crash((node + n) % 5, n % 3 == 0 ? 0.02 : 6);
@@ -472,13 +478,13 @@
         cluster.run_for(random_below(40));
         ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
     }
-    cluster.run_for(timing.cancel_s + 120); // the last changes of leaders
+    cluster.run_for(timing.cancel_s + 120); // until the last failovers are over
     for (const TeamQuota& quota : cluster.facts(0).teams) {
         if (quotas_change) {
             cluster.configure(quota);
         }
     }
-    cluster.ask_often(); // all troubles are over
+    cluster.ask_often(); // all faults have been reverted
     for (int k = 0; k < 100; ++k) {
         cluster.run_for(10);
         for (const auto& [id, outcome] : cluster.outcomes()) {
@@ -507,7 +513,7 @@
     play_seeds_asked(1000, [](std::uint64_t seed) { play_at_random(seed); });
 }
 
-// The same while an operator changes the teams' limits: quota by the limit in force.
+// The same while an operator changes the quotas: usage is checked against the quota in force.
 class QuotaConfigRandom : public testing::TestWithParam<int> {};
 TEST_P(QuotaConfigRandom, InvariantsHoldAndEveryJobFinishesWhileQuotasChange) {
     play_at_random(static_cast<std::uint64_t>(GetParam()), true);
@@ -518,11 +524,12 @@
     play_seeds_asked(1000, [](std::uint64_t seed) { play_at_random(seed, true); });
 }
 
-// ---- One by one ----
+// ---- Regressions ----
 
-// The day on which `red`'s owner is back at once, and then nobody has the state service: its claim
-// stands and all siblings promise, but it could not read the jobs. It answered its workers for as
-// long as the outage lasted, while another node had told users of a cancellation.
+// The leader of `red` crashes and restarts at once, then the store is down for all controllers. The
+// leader still holds its term and all peers extend its lease, but it could not read the jobs. It
+// must not keep its workers' tasks running throughout the outage, because another controller has
+// confirmed a cancellation.
 TEST(ConcurrentFaultsRegressions, LeaderThatCannotReadTheJobsKeepsNoCancelledTask) {
     World cluster({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
     cluster.run_for(40);
@@ -532,7 +539,7 @@
     int leader = cluster.owner(red_partition(cluster));
     ASSERT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u);
     cluster.crash(leader, 0.02);
-    int job_reads = 0; // the jobs do not come in time
+    int job_reads = 0; // the reads of the jobs are swallowed
     cluster.intercept = [&](int node, const OutboundBody& call) {
         const auto* range = std::get_if<StoreRange>(&call);
         return node == leader && range && range->prefix == kJobPrefix && ++job_reads > 0;
@@ -552,15 +559,16 @@
     EXPECT_EQ(cluster.machines_of({"req-2", 0}).size(), 1u);
 }
 
-// Guests of a cancelled job on the machines of the node that alone is refused: their own owner told
-// users and cannot reach this one with its words, only promises get through.
+// A cancelled job has remote tasks on the machines of a lender whose store requests are refused.
+// The lender is also cut off from peer syncs, so that it learns of the cancellation, which another
+// controller confirmed, only through lease extensions.
 TEST(ConcurrentFaultsRegressions, LeaseExtensionStopsRemoteTasksOfACancelledJob) {
     World cluster({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
     cluster.run_for(40);
-    cluster.submit(0, cluster.job("req-1", 60)); // on the machines of every part
+    cluster.submit(0, cluster.job("req-1", 60)); // runs on the machines of every partition
     cluster.run_for(60);
     int leader = cluster.owner(red_partition(cluster));
-    // The node with the most guests among those that own no team's part.
+    // The controller after the leader has lent slots to the job.
     int lender = (leader + 1) % 5;
     auto remote_tasks_at = [&](int node) {
         int count = 0;
@@ -588,9 +596,10 @@
     EXPECT_LT(cluster.longest_cancelled(), cluster.facts(0).cancel_s);
 }
 
-// The owner ends while a machine with a long task cannot be reached. The machine comes back at the
-// end of its lease for one report, and does not hear another answer for a while: that one answer
-// has to carry the stop, though the machine has not shown the new owner's token.
+// The leader crashes while a machine with a long task is unreachable. The machine reconnects
+// shortly before its lease expires, for a single heartbeat, and then misses all responses for a
+// while. The response to that heartbeat must carry the stop, although the machine has not yet
+// presented the new leader's token.
 TEST(ConcurrentFaultsRegressions, FirstResponseToAReconnectedMachineCarriesTheStop) {
     World cluster({.nodes = 5,
                    .run_s = 3000,
@@ -605,14 +614,14 @@
     std::string machine = *cluster.machines_of({"req-1", 0}).begin();
     int leader = cluster.node_of(machine);
     cluster.cut_machine(machine, true);
-    cluster.cloud_down(true); // nor can it be released
+    cluster.cloud_down(true); // so that the machine cannot be released either
     cluster.run_for(0.5);
     RequestId id = cluster.cancel((leader + 1) % 5, "req-1");
     cluster.run_for(0.5);
     ASSERT_EQ(cluster.answers.at(id).status, 200);
     cluster.crash(leader, 0.3);
     cluster.run_for(27);
-    ASSERT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u); // its lease has not ended
+    ASSERT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u); // its lease has not expired
     cluster.cut_machine(machine, false);
     Time reconnected_at = cluster.now();
     for (int k = 0; k < 1000 && cluster.renewed(machine) < reconnected_at; ++k) {
@@ -625,9 +634,9 @@
     EXPECT_LT(cluster.longest_cancelled(), cluster.facts(0).cancel_s);
 }
 
-// No worker reaches any controller, direct commands reach them. Each node takes itself for deaf,
-// gives its parts up and stays away from them for longer each time; once workers are heard again
-// they are to be served at once all the same.
+// No worker reaches any controller, while direct commands reach the workers. Each controller
+// concludes that it is unreachable, resigns its partitions and backs off for longer each time. Once
+// workers reach controllers again, jobs must nevertheless start without waiting for the back-off.
 TEST(ConcurrentFaultsRegressions, JobsStartWithinTheWorkerLeaseOnceWorkersAreReachableAgain) {
     for (double unreachable_s : {8.0, 20.0, 45.0, 90.0}) {
         SCOPED_TRACE(std::to_string(unreachable_s));
