--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -14,357 +14,383 @@
 // A node that is back before anybody has noticed owns as many machines as before, and asks all of
 // them at once. Those that wait their turn in its own process were once taken for silent, released,
 // and lost what they ran: 50 healthy machines at each restart of a fleet of 2,000.
-TEST(RestartTakeover, ReleasesNoMachineThatHasOnlyWaitedToBeAsked) {
-    World world({.nodes = 2, .run_s = 60, .limits = 40, .capacity = 100, .orders_at_once = 4});
-    world.run_for(3);
-    world.submit(0, world.job("req-1", 380, 2));
-    world.run_for(30);
-    ASSERT_GE(world.machines_up().size(), 90u);
-    std::size_t before = world.logged("event=machine_released");
-    world.crash(0, 0.2);
-    world.run_for(20);
-    EXPECT_GE(world.logged("event=leadership_acquired"), 3u);
-    EXPECT_GE(world.logged("event=partition_reconciled"), 3u);
-    EXPECT_EQ(world.logged("event=machine_released"), before);
-    world.run_for(200);
-    EXPECT_TRUE(world.all_done("req-1"));
+TEST(RestartFailover, KeepsMachinesThatStillWaitToBeQueried) {
+    World cluster({.nodes = 2, .run_s = 60, .limits = 40, .capacity = 100, .orders_at_once = 4});
+    cluster.run_for(3);
+    cluster.submit(0, cluster.job("req-1", 380, 2));
+    cluster.run_for(30);
+    ASSERT_GE(cluster.machines_up().size(), 90u);
+    std::size_t before = cluster.logged("event=machine_released");
+    cluster.crash(0, 0.2);
+    cluster.run_for(20);
+    EXPECT_GE(cluster.logged("event=leadership_acquired"), 3u);
+    EXPECT_GE(cluster.logged("event=partition_reconciled"), 3u);
+    EXPECT_EQ(cluster.logged("event=machine_released"), before);
+    cluster.run_for(200);
+    EXPECT_TRUE(cluster.all_done("req-1"));
     for (std::uint32_t i = 0; i < 380; ++i) {
-        EXPECT_EQ(world.starts({"req-1", i}), 1) << i;
+        EXPECT_EQ(cluster.starts({"req-1", i}), 1) << i;
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // The owners of the machines fence the slots that the process before had got. The new one places no
 // older task until these have shown, which by the workers' own reports took two report times.
-TEST(RestartTakeover, IsSettledBeforeTheWorkersReportByThemselves) {
-    World world({.nodes = 3, .run_s = 60, .limits = 20, .capacity = 40});
-    world.run_for(3);
-    world.submit(0, world.job("req-1", 300, 2));
-    world.run_for(5);
-    int node = world.owner(partition_of_team(world.facts(0), "red"));
+TEST(RestartFailover, ReconcilesBeforeTheNextHeartbeats) {
+    World cluster({.nodes = 3, .run_s = 60, .limits = 20, .capacity = 40});
+    cluster.run_for(3);
+    cluster.submit(0, cluster.job("req-1", 300, 2));
+    cluster.run_for(5);
+    int node = cluster.owner(partition_of_team(cluster.facts(0), "red"));
     // Right after it has got slots that it has not used.
     bool granted = false;
-    world.after_output = [&](int, const OutboundRequest*,
-                             const Response* a) -> std::optional<double> {
-        const auto* response = a ? std::get_if<PeerSyncResponse>(&a->body) : nullptr;
+    cluster.after_output = [&](int, const OutboundRequest*,
+                               const Response* output) -> std::optional<double> {
+        const auto* response = output ? std::get_if<PeerSyncResponse>(&output->body) : nullptr;
         if (!granted && response && !response->grants.empty()) {
             granted = true;
-            world.at(world.now(), [&] { world.crash(node, 0.1); });
+            cluster.at(cluster.now(), [&] { cluster.crash(node, 0.1); });
         }
         return {};
     };
-    std::size_t settled = world.logged("event=partition_reconciled");
+    std::size_t reconciled = cluster.logged("event=partition_reconciled");
     for (int k = 0; k < 40 && !granted; ++k) {
-        world.run_for(0.5);
+        cluster.run_for(0.5);
     }
     ASSERT_TRUE(granted);
-    world.run_for(world.facts(0).heartbeat_interval_s / 2);
-    EXPECT_GT(world.logged("event=partition_reconciled"), settled);
-    world.run_for(300);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    cluster.run_for(cluster.facts(0).heartbeat_interval_s / 2);
+    EXPECT_GT(cluster.logged("event=partition_reconciled"), reconciled);
+    cluster.run_for(300);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // A report of a machine that was released long ago, held up on the way. The process that released
 // it knew it for dead; the one that has just started believed it, took the replica for running
 // there and its true place for foreign, and started it a second time when the dead machine did not
 // answer.
-TEST(RestartLateMessages, AReportOfAReleasedMachineMovesNoTask) {
-    World world({.nodes = 2, .limits = 20, .capacity = 20});
-    world.run_for(3);
-    JobSpec spec = world.job("svc-1", 1);
+TEST(RestartLateMessages, StaleHeartbeatOfAReleasedMachineMovesNoTask) {
+    World cluster({.nodes = 2, .limits = 20, .capacity = 20});
+    cluster.run_for(3);
+    JobSpec spec = cluster.job("svc-1", 1);
     spec.kind = JobKind::service;
-    world.submit(0, spec);
-    world.run_for(25);
-    auto on = world.machines_of({"svc-1", 0});
-    ASSERT_EQ(on.size(), 1u);
-    Heartbeat before = world.last_report(*on.begin());
-    world.take_machine(*on.begin(), 12);
-    world.run_for(40);
-    ASSERT_EQ(world.machines_of({"svc-1", 0}).size(), 1u);
-    ASSERT_EQ(world.starts({"svc-1", 0}), 2);
+    cluster.submit(0, spec);
+    cluster.run_for(25);
+    auto machines = cluster.machines_of({"svc-1", 0});
+    ASSERT_EQ(machines.size(), 1u);
+    Heartbeat before = cluster.last_report(*machines.begin());
+    cluster.take_machine(*machines.begin(), 12);
+    cluster.run_for(40);
+    ASSERT_EQ(cluster.machines_of({"svc-1", 0}).size(), 1u);
+    ASSERT_EQ(cluster.starts({"svc-1", 0}), 2);
     for (int n = 0; n < 2; ++n) {
-        world.crash(n, 0.1);
+        cluster.crash(n, 0.1);
     }
-    world.run_for(0.13); // the parts are claimed, what is durable is not read yet
+    cluster.run_for(0.13); // the parts are claimed, what is durable is not read yet
     for (int k = 0; k < 20; ++k) {
         for (int n = 0; n < 2; ++n) {
-            world.deliver_late(n, before);
+            cluster.deliver_late(n, before);
         }
-        world.run_for(0.02);
+        cluster.run_for(0.02);
     }
-    world.run_for(60);
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_EQ(world.machines_of({"svc-1", 0}).size(), 1u);
-    EXPECT_EQ(world.starts({"svc-1", 0}), 2);
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_EQ(cluster.machines_of({"svc-1", 0}).size(), 1u);
+    EXPECT_EQ(cluster.starts({"svc-1", 0}), 2);
 }
 
 // ---- What it costs users ----
 
 // The types of machines are the state service's to tell when the cloud is slow.
-TEST(RestartUsers, AreServedBeforeTheCloudHasAnswered) {
-    World world({.nodes = 3});
-    world.run_for(5);
-    world.intercept = [](int, const OutboundBody& call) {
+TEST(RestartAvailability, ServesUsersBeforeTheCloudResponds) {
+    World cluster({.nodes = 3});
+    cluster.run_for(5);
+    cluster.intercept = [](int, const OutboundBody& call) {
         return std::holds_alternative<ListInstanceTypes>(call);
     };
-    world.crash(1, 0.1);
-    world.run_for(0.4);
-    EXPECT_EQ(world.probe(1), 200);
-    RequestId request_id = world.submit(1, world.job("req-1", 4));
-    world.run_for(0.2);
-    EXPECT_EQ(world.answers.at(request_id).status, 201);
-    EXPECT_EQ(world.owner(1), 1);
+    cluster.crash(1, 0.1);
+    cluster.run_for(0.4);
+    EXPECT_EQ(cluster.probe(1), 200);
+    RequestId request_id = cluster.submit(1, cluster.job("req-1", 4));
+    cluster.run_for(0.2);
+    EXPECT_EQ(cluster.answers.at(request_id).status, 201);
+    EXPECT_EQ(cluster.owner(1), 1);
     // The cloud may have other types by now, so nothing is refused for good for what is known.
-    request_id = world.submit(1, world.job("req-2", 1, 9));
-    world.run_for(0.2);
-    EXPECT_EQ(world.answers.at(request_id).status, 503);
-    world.intercept = nullptr;
-    world.run_for(60);
-    EXPECT_TRUE(world.all_done("req-1"));
-    request_id = world.submit(1, world.job("req-2", 1, 9));
-    world.run_for(0.2);
-    EXPECT_EQ(world.answers.at(request_id).status, 422);
+    request_id = cluster.submit(1, cluster.job("req-2", 1, 9));
+    cluster.run_for(0.2);
+    EXPECT_EQ(cluster.answers.at(request_id).status, 503);
+    cluster.intercept = nullptr;
+    cluster.run_for(60);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    request_id = cluster.submit(1, cluster.job("req-2", 1, 9));
+    cluster.run_for(0.2);
+    EXPECT_EQ(cluster.answers.at(request_id).status, 422);
 }
 
 // A process that ends again and again, each time as soon as it has begun.
-TEST(RestartUsers, OfOtherControllersNoticeNothingOfOneThatEndsEverySecond) {
-    World world({.nodes = 5, .run_s = 10, .limits = 12, .capacity = 64});
-    world.run_for(3);
-    JobSpec other = world.job("req-1", 600, 2);
-    other.team = "blue";
-    int looping = world.owner(partition_of_team(world.facts(0), "red"));
-    ASSERT_NE(looping, world.owner(partition_of_team(world.facts(0), "blue")));
-    world.submit((looping + 1) % 5, other);
-    world.run_for(15);
-    std::size_t catalogs = world.calls_of("catalog");
-    std::size_t claims = world.logged("event=leadership_acquired");
-    std::vector<std::string> taken;
+TEST(RestartAvailability, CrashLoopOfOneControllerDoesNotAffectOthers) {
+    World cluster({.nodes = 5, .run_s = 10, .limits = 12, .capacity = 64});
+    cluster.run_for(3);
+    JobSpec other_job = cluster.job("req-1", 600, 2);
+    other_job.team = "blue";
+    int looping = cluster.owner(partition_of_team(cluster.facts(0), "red"));
+    ASSERT_NE(looping, cluster.owner(partition_of_team(cluster.facts(0), "blue")));
+    cluster.submit((looping + 1) % 5, other_job);
+    cluster.run_for(15);
+    std::size_t catalog_reads = cluster.calls_of("catalog");
+    std::size_t leaderships = cluster.logged("event=leadership_acquired");
+    std::vector<std::string> accepted;
     for (int k = 0; k < 60; ++k) {
-        world.crash(looping, 0.05);
-        world.run_for(0.9);
-        RequestId request_id = world.submit(looping, world.job("req-" + std::to_string(10 + k), 1));
-        world.run_for(0.1);
-        if (world.answers.contains(request_id) && world.answers.at(request_id).status == 201) {
-            taken.push_back("req-" + std::to_string(10 + k));
+        cluster.crash(looping, 0.05);
+        cluster.run_for(0.9);
+        RequestId request_id =
+            cluster.submit(looping, cluster.job("req-" + std::to_string(10 + k), 1));
+        cluster.run_for(0.1);
+        if (cluster.answers.contains(request_id) && cluster.answers.at(request_id).status == 201) {
+            accepted.push_back("req-" + std::to_string(10 + k));
         }
-        EXPECT_EQ(world.owner(looping), looping) << k;
+        EXPECT_EQ(cluster.owner(looping), looping) << k;
     }
-    EXPECT_EQ(taken.size(), 60u);
-    EXPECT_TRUE(world.all_done("req-1"));
-    EXPECT_LE(world.calls_of("catalog"), catalogs + 1);
-    EXPECT_LE(world.logged("event=leadership_acquired"),
-              claims + 60); // its own, and no part goes round
-    world.run_for(120);
-    for (const auto& id : taken) {
-        EXPECT_TRUE(world.all_done(id)) << id;
+    EXPECT_EQ(accepted.size(), 60u);
+    EXPECT_TRUE(cluster.all_done("req-1"));
+    EXPECT_LE(cluster.calls_of("catalog"), catalog_reads + 1);
+    EXPECT_LE(cluster.logged("event=leadership_acquired"),
+              leaderships + 60); // its own, and no part goes round
+    cluster.run_for(120);
+    for (const auto& id : accepted) {
+        EXPECT_TRUE(cluster.all_done(id)) << id;
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
 // A start of all in an outage: there is no node that could do better, and one that says it is not
 // ready is let wait by the load balancer long after the outage.
-TEST(RestartUsers, FindAllNodesReadyAfterAStartInAnOutageThatIsEveryones) {
-    World world({.nodes = 3});
-    world.run_for(5);
-    world.state_down(true);
+TEST(RestartAvailability, AllControllersAreReadyWhenStartedDuringAStoreOutage) {
+    World cluster({.nodes = 3});
+    cluster.run_for(5);
+    cluster.state_down(true);
     for (int n = 0; n < 3; ++n) {
-        world.crash(n, 0.3);
+        cluster.crash(n, 0.3);
     }
-    world.run_for(1.2);
+    cluster.run_for(1.2);
     for (int n = 0; n < 3; ++n) {
-        EXPECT_EQ(world.probe(n), 200) << n;
-        RequestId request_id = world.submit(n, world.job("req-1", 4));
-        world.run_for(0.2);
-        EXPECT_EQ(world.answers.at(request_id).status, 503);
-        EXPECT_GT(world.answers.at(request_id).retry_after_s, 0);
+        EXPECT_EQ(cluster.probe(n), 200) << n;
+        RequestId request_id = cluster.submit(n, cluster.job("req-1", 4));
+        cluster.run_for(0.2);
+        EXPECT_EQ(cluster.answers.at(request_id).status, 503);
+        EXPECT_GT(cluster.answers.at(request_id).retry_after_s, 0);
     }
-    world.state_down(false);
-    world.run_for(1);
-    RequestId request_id = world.submit(2, world.job("req-1", 4));
-    world.run_for(0.2);
-    EXPECT_EQ(world.answers.at(request_id).status, 201);
+    cluster.state_down(false);
+    cluster.run_for(1);
+    RequestId request_id = cluster.submit(2, cluster.job("req-1", 4));
+    cluster.run_for(0.2);
+    EXPECT_EQ(cluster.answers.at(request_id).status, 201);
 }
 
-TEST(RestartUsers, AreKeptFromANodeThatStartsAndIsAloneRefused) {
-    World world({.nodes = 3});
-    world.run_for(5);
-    world.state_refuses(1, true);
-    world.crash(1, 0.3);
+TEST(RestartAvailability, ControllerThatAloneIsRefusedByTheStoreIsNotReady) {
+    World cluster({.nodes = 3});
+    cluster.run_for(5);
+    cluster.state_refuses(1, true);
+    cluster.crash(1, 0.3);
     for (int k = 0; k < 20; ++k) {
-        world.run_for(0.5);
-        EXPECT_EQ(world.probe(1), 503) << k;
-        EXPECT_EQ(world.probe(0), 200) << k;
+        cluster.run_for(0.5);
+        EXPECT_EQ(cluster.probe(1), 503) << k;
+        EXPECT_EQ(cluster.probe(0), 200) << k;
     }
 }
 
 // ---- An end after each single output ----
 
 struct Output {
-    const OutboundRequest* call = nullptr;
-    const Response* answer = nullptr;
+    const OutboundRequest* request = nullptr;
+    const Response* response = nullptr;
 
-    template <class T> const T* asks() const {
-        return call ? std::get_if<T>(&call->body) : nullptr;
+    template <class T> const T* request_as() const {
+        return request ? std::get_if<T>(&request->body) : nullptr;
     }
-    template <class T> const T* says() const {
-        return answer ? std::get_if<T>(&answer->body) : nullptr;
+    template <class T> const T* response_as() const {
+        return response ? std::get_if<T>(&response->body) : nullptr;
     }
     // A transaction with a change of this kind.
-    bool changes(const std::function<bool(const StoreWrite&)>& is) const {
-        const StoreTransaction* transaction = asks<StoreTransaction>();
+    bool writes_any(const std::function<bool(const StoreWrite&)>& matches) const {
+        const StoreTransaction* transaction = request_as<StoreTransaction>();
         return transaction &&
-               std::any_of(transaction->writes.begin(), transaction->writes.end(), is);
+               std::any_of(transaction->writes.begin(), transaction->writes.end(), matches);
     }
-    template <class R> bool puts(const std::string& prefix) const {
-        return changes([&](const StoreWrite& c) {
-            return c.value && std::holds_alternative<R>(*c.value) && c.key.starts_with(prefix);
+    template <class R> bool writes_record(const std::string& prefix) const {
+        return writes_any([&](const StoreWrite& write) {
+            return write.value && std::holds_alternative<R>(*write.value) &&
+                   write.key.starts_with(prefix);
         });
     }
-    bool ends_job(Outcome outcome) const {
-        return changes([&](const StoreWrite& c) {
-            const auto* job = c.value ? std::get_if<JobRecord>(&*c.value) : nullptr;
+    bool writes_outcome(Outcome outcome) const {
+        return writes_any([&](const StoreWrite& write) {
+            const auto* job = write.value ? std::get_if<JobRecord>(&*write.value) : nullptr;
             return job && job->outcome == outcome;
         });
     }
-    bool drops(const std::string& prefix, std::size_t length = 0) const {
-        return changes([&](const StoreWrite& c) {
-            return !c.value && c.key.starts_with(prefix) && (!length || c.key.size() == length);
+    bool removes_key(const std::string& prefix, std::size_t length = 0) const {
+        return writes_any([&](const StoreWrite& write) {
+            return !write.value && write.key.starts_with(prefix) &&
+                   (!length || write.key.size() == length);
         });
     }
-    bool wants(bool gang) const {
-        const auto* peer = asks<PeerSyncCall>();
+    bool requests_slots(bool gang) const {
+        const auto* peer = request_as<PeerSyncCall>();
         return peer && std::any_of(peer->sync.slot_requests.begin(), peer->sync.slot_requests.end(),
-                                   [&](const SlotRequest& request) {
-                                       return gang == (request.attempt != 0);
+                                   [&](const SlotRequest& slot_request) {
+                                       return gang == (slot_request.attempt != 0);
                                    });
     }
-    bool hands_over() const {
-        const auto* reply = says<PeerSyncResponse>();
+    bool grants_slots() const {
+        const auto* reply = response_as<PeerSyncResponse>();
         return reply && !reply->grants.empty();
     }
     // A command to a worker, directly or in the answer to its report.
-    bool commands(CommandType op, const std::string& job = "", double grace_s = 0) const {
-        const auto* orders = asks<WorkerCommands>();
-        const auto* report = says<HeartbeatBody>();
-        auto is = [&](const WorkerCommand& command) {
-            return command.type == op && command.task.job.starts_with(job) &&
+    bool sends_command(CommandType type, const std::string& job = "", double grace_s = 0) const {
+        const auto* direct = request_as<WorkerCommands>();
+        const auto* heartbeat = response_as<HeartbeatBody>();
+        auto matches = [&](const WorkerCommand& command) {
+            return command.type == type && command.task.job.starts_with(job) &&
                    command.grace_s >= grace_s;
         };
-        return (orders && std::any_of(orders->commands.begin(), orders->commands.end(), is)) ||
-               (report && std::any_of(report->commands.begin(), report->commands.end(), is));
+        return (direct && std::any_of(direct->commands.begin(), direct->commands.end(), matches)) ||
+               (heartbeat &&
+                std::any_of(heartbeat->commands.begin(), heartbeat->commands.end(), matches));
     }
 };
 
-struct Point {
+struct CrashPoint {
     const char* name;
-    std::function<bool(const Output&)> is;
+    std::function<bool(const Output&)> matches;
 };
 
-const std::vector<Point>& points() {
-    static const std::vector<Point> all{
-        {"lease_asked", [](const Output& o) { return o.asks<StoreLeaseGrant>() != nullptr; }},
-        {"lease_renewed", [](const Output& o) { return o.asks<StoreLeaseRenewal>() != nullptr; }},
-        {"part_claimed",
-         [](const Output& o) {
-             return o.puts<PartitionRecord>("part/") &&
-                    o.changes([](const StoreWrite& c) { return c.key.size() == 6; });
+const std::vector<CrashPoint>& crash_points() {
+    static const std::vector<CrashPoint> all{
+        {"lease_requested",
+         [](const Output& output) { return output.request_as<StoreLeaseGrant>() != nullptr; }},
+        {"lease_renewed",
+         [](const Output& output) { return output.request_as<StoreLeaseRenewal>() != nullptr; }},
+        {"leadership_claimed",
+         [](const Output& output) {
+             return output.writes_record<PartitionRecord>("part/") &&
+                    output.writes_any(
+                        [](const StoreWrite& write) { return write.key.size() == 6; });
          }},
         {"jobs_read",
-         [](const Output& o) {
-             const auto* range = o.asks<StoreRange>();
+         [](const Output& output) {
+             const auto* range = output.request_as<StoreRange>();
              return range && range->prefix == kJobPrefix;
          }},
-        {"roster_read",
-         [](const Output& o) {
-             const auto* range = o.asks<StoreRange>();
+        {"machine_records_read",
+         [](const Output& output) {
+             const auto* range = output.request_as<StoreRange>();
              return range && range->prefix.starts_with("machine/");
          }},
-        {"home_asked",
-         [](const Output& o) {
-             return o.changes(
-                 [](const StoreWrite& c) { return c.value && c.key.ends_with("/home"); });
+        {"home_partition_requested",
+         [](const Output& output) {
+             return output.writes_any([](const StoreWrite& write) {
+                 return write.value && write.key.ends_with("/home");
+             });
          }},
-        {"part_handed_home", [](const Output& o) { return o.drops("part/", 6); }},
-        {"share_given", [](const Output& o) { return o.puts<ShardHoldersRecord>("part/"); }},
-        {"share_told",
-         [](const Output& o) {
-             const auto* peer = o.asks<PeerSyncCall>();
+        {"partition_returned_home",
+         [](const Output& output) { return output.removes_key("part/", 6); }},
+        {"shard_given",
+         [](const Output& output) { return output.writes_record<ShardHoldersRecord>("part/"); }},
+        {"shard_transfer_sent",
+         [](const Output& output) {
+             const auto* peer = output.request_as<PeerSyncCall>();
              return peer && !peer->sync.transfers.empty();
          }},
-        {"machine_asked",
-         [](const Output& o) {
-             const auto* orders = o.asks<WorkerCommands>();
-             return orders && orders->commands.empty();
+        {"machine_queried",
+         [](const Output& output) {
+             const auto* direct = output.request_as<WorkerCommands>();
+             return direct && direct->commands.empty();
          }},
-        {"slots_wanted", [](const Output& o) { return o.wants(false); }},
-        {"slots_handed_over", [](const Output& o) { return o.hands_over(); }},
-        {"task_started", [](const Output& o) { return o.commands(CommandType::start, "req-"); }},
-        {"task_cleared", [](const Output& o) { return o.commands(CommandType::clear); }},
-        {"gang_wanted", [](const Output& o) { return o.wants(true); }},
-        {"gang_started", [](const Output& o) { return o.commands(CommandType::start, "gang-"); }},
+        {"slots_requested", [](const Output& output) { return output.requests_slots(false); }},
+        {"slots_granted", [](const Output& output) { return output.grants_slots(); }},
+        {"task_started",
+         [](const Output& output) { return output.sends_command(CommandType::start, "req-"); }},
+        {"task_cleared",
+         [](const Output& output) { return output.sends_command(CommandType::clear); }},
+        {"gang_slots_requested", [](const Output& output) { return output.requests_slots(true); }},
+        {"gang_started",
+         [](const Output& output) { return output.sends_command(CommandType::start, "gang-"); }},
         {"gang_stopped",
-         [](const Output& o) { return o.commands(CommandType::stop, "gang-", 0.1); }},
-        {"promise_asked", [](const Output& o) { return o.asks<LeaseExtensionCall>() != nullptr; }},
-        {"promise_given",
-         [](const Output& o) {
-             const auto* reply = o.says<LeaseExtensionResponse>();
+         [](const Output& output) {
+             return output.sends_command(CommandType::stop, "gang-", 0.1);
+         }},
+        {"lease_extension_requested",
+         [](const Output& output) { return output.request_as<LeaseExtensionCall>() != nullptr; }},
+        {"lease_extension_granted",
+         [](const Output& output) {
+             const auto* reply = output.response_as<LeaseExtensionResponse>();
              return reply && reply->granted;
          }},
-        {"job_written", [](const Output& o) { return o.ends_job(Outcome::none); }},
-        {"job_cancelled", [](const Output& o) { return o.ends_job(Outcome::cancelled); }},
-        {"task_stopped", [](const Output& o) { return o.commands(CommandType::stop, "req-"); }},
-        {"machine_entered", [](const Output& o) { return o.puts<MachineRecord>("machine/"); }},
-        {"machine_dropped", [](const Output& o) { return o.drops("machine/"); }},
-        {"machines_rented", [](const Output& o) { return o.asks<ScaleOut>() != nullptr; }},
-        {"machines_released", [](const Output& o) { return o.asks<ScaleIn>() != nullptr; }},
-        {"progress_saved", [](const Output& o) { return o.puts<ProgressRecord>("done/"); }},
-        {"job_finished", [](const Output& o) { return o.ends_job(Outcome::done); }},
+        {"job_written", [](const Output& output) { return output.writes_outcome(Outcome::none); }},
+        {"job_cancelled",
+         [](const Output& output) { return output.writes_outcome(Outcome::cancelled); }},
+        {"task_stopped",
+         [](const Output& output) { return output.sends_command(CommandType::stop, "req-"); }},
+        {"machine_record_written",
+         [](const Output& output) { return output.writes_record<MachineRecord>("machine/"); }},
+        {"machine_record_removed",
+         [](const Output& output) { return output.removes_key("machine/"); }},
+        {"machines_provisioned",
+         [](const Output& output) { return output.request_as<ScaleOut>() != nullptr; }},
+        {"machines_released",
+         [](const Output& output) { return output.request_as<ScaleIn>() != nullptr; }},
+        {"progress_saved",
+         [](const Output& output) { return output.writes_record<ProgressRecord>("done/"); }},
+        {"job_finished", [](const Output& output) { return output.writes_outcome(Outcome::done); }},
     };
     return all;
 }
 
-enum class Who { any, same, in_turn, all };
+enum class Target { any, same, alternating, all };
 
 // From then on, the node that does it ends right after it, so many times.
-struct Strike {
+struct CrashPlan {
     Time from = 0;
-    double back_s = 0;
+    double restart_s = 0;
     int times = 1;
-    Who who = Who::any;
+    Target target = Target::any;
 };
 
-constexpr int kNodes = 5;
-constexpr Time kOutage = 62;  // of the state service, for longer than an owner's lease
-constexpr Time kRefusal = 95; // of calls between nodes
+constexpr int kControllers = 5;
+constexpr Time kOutageStart_s = 62;   // of the state service, for longer than an owner's lease
+constexpr Time kPeersCutStart_s = 95; // of calls between nodes
 
-void strike(World& world, const Point& point, const Strike& s, int& struck) {
+void crash_after_output(World& cluster, const CrashPoint& point, const CrashPlan& plan,
+                        int& crashes) {
     int last = -1;
-    world.after_output = [&world, &point, s, &struck,
-                          last](int node, const OutboundRequest* call,
-                                const Response* answer) mutable -> std::optional<double> {
-        bool turn = s.who == Who::same      ? last < 0 || node == last
-                    : s.who == Who::in_turn ? node != last
-                                            : true;
-        if (struck >= s.times || world.now() < s.from || !turn || !point.is({call, answer})) {
+    cluster.after_output = [&cluster, &point, plan, &crashes,
+                            last](int node, const OutboundRequest* request,
+                                  const Response* response) mutable -> std::optional<double> {
+        bool selected = plan.target == Target::same          ? last < 0 || node == last
+                        : plan.target == Target::alternating ? node != last
+                                                             : true;
+        if (crashes >= plan.times || cluster.now() < plan.from || !selected ||
+            !point.matches({request, response})) {
             return {};
         }
-        ++struck;
+        ++crashes;
         last = node;
-        for (int other = 0; s.who == Who::all && other < kNodes; ++other) {
+        for (int other = 0; plan.target == Target::all && other < kControllers; ++other) {
             if (other != node) {
-                world.at(world.now(), [&world, other, s] { world.crash(other, s.back_s); });
+                cluster.at(cluster.now(),
+                           [&cluster, other, plan] { cluster.crash(other, plan.restart_s); });
             }
         }
-        return s.back_s;
+        return plan.restart_s;
     };
 }
 
 // Jobs of each kind, a controller lost and back, a share that moves, a cancellation, an outage,
 // peers that refuse and a machine that is taken, in 150 s.
-void day(World& world) {
+void run_workload(World& cluster) {
     auto job = [&](const std::string& id, std::uint32_t tasks, const std::string& team) {
-        JobSpec spec = world.job(id, tasks, 2);
+        JobSpec spec = cluster.job(id, tasks, 2);
         spec.team = team;
         return spec;
     };
@@ -379,193 +405,199 @@
     std::vector<std::string> services;
     auto submit = [&](Time at, int node, const JobSpec& spec) {
         // As users do, until it is taken.
-        auto again = std::make_shared<std::function<void()>>();
-        std::weak_ptr<std::function<void()>> weak = again;
-        auto asked = std::make_shared<RequestId>(0);
-        *again = [&world, spec, node, weak, asked]() mutable {
-            auto answer = world.answers.find(*asked);
-            if (answer != world.answers.end() && answer->second.status <= 201) {
+        auto retry = std::make_shared<std::function<void()>>();
+        std::weak_ptr<std::function<void()>> weak = retry;
+        auto request_id = std::make_shared<RequestId>(0);
+        *retry = [&cluster, spec, node, weak, request_id]() mutable {
+            auto answer = cluster.answers.find(*request_id);
+            if (answer != cluster.answers.end() && answer->second.status <= 201) {
                 return;
             }
-            *asked = world.submit(node++ % kNodes, spec);
-            world.at(world.now() + 2, [self = weak.lock()] { (*self)(); });
+            *request_id = cluster.submit(node++ % kControllers, spec);
+            cluster.at(cluster.now() + 2, [self = weak.lock()] { (*self)(); });
         };
-        world.at(at, [again] { (*again)(); });
+        cluster.at(at, [retry] { (*retry)(); });
     };
     submit(3, 0, job("req-base", 600, "blue"));
     for (int k = 0; k < 6; ++k) {
-        submit(6 + 18 * k, k % kNodes,
+        submit(6 + 18 * k, k % kControllers,
                job("req-" + std::to_string(k), 120, k % 2 ? "red" : "blue"));
-        submit(14 + 18 * k, k % kNodes, gang("gang-" + std::to_string(k)));
+        submit(14 + 18 * k, k % kControllers, gang("gang-" + std::to_string(k)));
     }
     JobSpec service = job("svc-1", 4, "red");
     service.kind = JobKind::service;
     service.job_class = "svc";
     submit(8, 1, service);
     submit(40, 2, job("req-cancelled", 40, "red"));
-    auto cancel = [&world](Time from, const std::string& id) {
+    auto cancel = [&cluster](Time from, const std::string& id) {
         for (int k = 0; k < 60; ++k) { // longer than anything goes wrong
-            world.at(from + 2 * k, [&world, id, k] { world.cancel(k % kNodes, id); });
+            cluster.at(from + 2 * k, [&cluster, id, k] { cluster.cancel(k % kControllers, id); });
         }
     };
     cancel(48, "req-cancelled");
     cancel(190, "svc-1");
-    world.at(22, [&world] { world.crash(2, 16); });
-    for (Time t : {28, 44, 58, 104, 112}) {
-        world.at(t, [&world] {
-            for (int partition = 0; partition < kNodes; ++partition) {
-                auto shards = world.shares(partition);
+    cluster.at(22, [&cluster] { cluster.crash(2, 16); });
+    for (Time time : {28, 44, 58, 104, 112}) {
+        cluster.at(time, [&cluster] {
+            for (int partition = 0; partition < kControllers; ++partition) {
+                auto shards = cluster.shares(partition);
                 if (!shards.empty() &&
-                    world.give(partition, shards.front(), (partition + 1) % kNodes)) {
+                    cluster.give(partition, shards.front(), (partition + 1) % kControllers)) {
                     return;
                 }
             }
         });
     }
-    world.at(kOutage, [&world] { world.state_down(true); });
-    world.at(kOutage + 16, [&world] { world.state_down(false); });
-    auto refuse = [&world](bool cut) {
-        for (int a = 0; a < kNodes; ++a) {
+    cluster.at(kOutageStart_s, [&cluster] { cluster.state_down(true); });
+    cluster.at(kOutageStart_s + 16, [&cluster] { cluster.state_down(false); });
+    auto cut_all_peers = [&cluster](bool cut) {
+        for (int a = 0; a < kControllers; ++a) {
             for (int b = 0; b <= a; ++b) {
-                world.cut_peers(a, b, cut);
+                cluster.cut_peers(a, b, cut);
             }
         }
     };
-    world.at(kRefusal, [refuse] { refuse(true); });
-    world.at(kRefusal + 12, [refuse] { refuse(false); });
-    for (Time t : {50, 88, 116}) { // one that a gang runs on
-        world.at(t, [&world] {
+    cluster.at(kPeersCutStart_s, [cut_all_peers] { cut_all_peers(true); });
+    cluster.at(kPeersCutStart_s + 12, [cut_all_peers] { cut_all_peers(false); });
+    for (Time time : {50, 88, 116}) { // one that a gang runs on
+        cluster.at(time, [&cluster] {
             for (int k = 5; k >= 0; --k) {
-                auto on = world.machines_of({"gang-" + std::to_string(k), 0});
-                if (!on.empty()) {
-                    world.take_machine(*on.begin(), 8);
+                auto machines = cluster.machines_of({"gang-" + std::to_string(k), 0});
+                if (!machines.empty()) {
+                    cluster.take_machine(*machines.begin(), 8);
                     return;
                 }
             }
         });
     }
-    world.run_until(150);
+    cluster.run_until(150);
 }
 
 WorldOptions sixty_machines(std::uint64_t seed) {
-    return {.seed = seed, .nodes = kNodes, .run_s = 10, .limits = 12, .capacity = 64};
+    return {.seed = seed, .nodes = kControllers, .run_s = 10, .limits = 12, .capacity = 64};
 }
 
-void judge(World& world, Time by) {
-    auto over = [&] {
-        auto outcomes = world.outcomes();
+void expect_all_jobs_finish(World& cluster, Time by) {
+    auto all_finished = [&] {
+        auto outcomes = cluster.outcomes();
         return std::all_of(outcomes.begin(), outcomes.end(),
                            [](const auto& o) { return o.second != Outcome::none; });
     };
-    while (world.now() < by && !over()) {
-        world.run_for(5);
+    while (cluster.now() < by && !all_finished()) {
+        cluster.run_for(5);
     }
-    EXPECT_TRUE(world.broken.empty()) << world.broken.front();
-    EXPECT_EQ(world.served_under(0.99), std::vector<std::string>{});
-    for (const auto& [id, outcome] : world.outcomes()) {
-        EXPECT_NE(outcome, Outcome::none) << id << world.describe(id);
+    EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
+    EXPECT_EQ(cluster.served_under(0.99), std::vector<std::string>{});
+    for (const auto& [id, outcome] : cluster.outcomes()) {
+        EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
 }
 
 // SCHEDULER_SEEDS asks for all strikes and so many more seeds; without it, each point has a
 // part of them.
-class RestartPoints : public testing::TestWithParam<std::size_t> {};
+class RestartAfterOutput : public testing::TestWithParam<std::size_t> {};
 
-TEST_P(RestartPoints, AreSurvivedByEveryJob) {
-    const Point& point = points()[GetParam()];
-    const std::vector<Strike> strikes{{0, 0},
-                                      {0, 0.2, 10, Who::same},
-                                      {10, 0.02},
-                                      {30, 0.2},
-                                      {30, 1, 2},
-                                      {30, 6},
-                                      {30, 0.02, 10, Who::same},
-                                      {30, 0.2, 2, Who::in_turn},
-                                      {30, 0.2, 2, Who::all},
-                                      {kOutage + 1, 0.2, 2, Who::same},
-                                      {kOutage + 1, 0.02, 3},
-                                      {kRefusal + 1, 0.2, 2, Who::in_turn}};
-    int struck_in_all = 0;
-    for (std::size_t k = 0; k < strikes.size(); ++k) {
+TEST_P(RestartAfterOutput, EveryJobFinishes) {
+    const CrashPoint& point = crash_points()[GetParam()];
+    const std::vector<CrashPlan> plans{{0, 0},
+                                       {0, 0.2, 10, Target::same},
+                                       {10, 0.02},
+                                       {30, 0.2},
+                                       {30, 1, 2},
+                                       {30, 6},
+                                       {30, 0.02, 10, Target::same},
+                                       {30, 0.2, 2, Target::alternating},
+                                       {30, 0.2, 2, Target::all},
+                                       {kOutageStart_s + 1, 0.2, 2, Target::same},
+                                       {kOutageStart_s + 1, 0.02, 3},
+                                       {kPeersCutStart_s + 1, 0.2, 2, Target::alternating}};
+    int total_crashes = 0;
+    for (std::size_t k = 0; k < plans.size(); ++k) {
         if (seeds_asked() == 0 && k % 3 != GetParam() % 3) {
             continue;
         }
-        const Strike& s = strikes[k];
-        SCOPED_TRACE(std::string(point.name) + " from " + std::to_string(s.from) + " back after " +
-                     std::to_string(s.back_s) + " times " + std::to_string(s.times) + " who " +
-                     std::to_string(static_cast<int>(s.who)));
-        World world(sixty_machines(GetParam() + k));
-        int struck = 0;
-        strike(world, point, s, struck);
-        day(world);
-        world.after_output = nullptr;
-        judge(world, 700);
-        struck_in_all += struck;
+        const CrashPlan& plan = plans[k];
+        SCOPED_TRACE(std::string(point.name) + " from " + std::to_string(plan.from) +
+                     " restart after " + std::to_string(plan.restart_s) + " times " +
+                     std::to_string(plan.times) + " target " +
+                     std::to_string(static_cast<int>(plan.target)));
+        World cluster(sixty_machines(GetParam() + k));
+        int crashes = 0;
+        crash_after_output(cluster, point, plan, crashes);
+        run_workload(cluster);
+        cluster.after_output = nullptr;
+        expect_all_jobs_finish(cluster, 700);
+        total_crashes += crashes;
         if (HasFailure()) {
             return;
         }
     }
-    EXPECT_GT(struck_in_all, 0) << point.name;
+    EXPECT_GT(total_crashes, 0) << point.name;
 }
-INSTANTIATE_TEST_SUITE_P(All, RestartPoints, testing::Range(std::size_t{0}, points().size()),
-                         [](const auto& at) { return points()[at.param].name; });
+INSTANTIATE_TEST_SUITE_P(All, RestartAfterOutput,
+                         testing::Range(std::size_t{0}, crash_points().size()),
+                         [](const auto& at) { return crash_points()[at.param].name; });
 
 // Strikes at random all through the day, crossed with other faults: none, messages lost and late,
 // outages and refusals, all of them.
-void play(std::uint64_t seed) {
+void play_random_crashes(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     WorldOptions options = sixty_machines(seed);
     options.drop = options.late = seed % 4 == 1 || seed % 4 == 3 ? 0.02 : 0;
-    World world(options);
+    World cluster(options);
     std::mt19937_64 random(seed);
-    auto any = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
-    constexpr double kBack[] = {0, 0.02, 0.2, 1, 6};
-    int struck = 0;
-    int in_all = 0;
-    for (Time t = 5; t < 140; t += 2 + static_cast<double>(any(5))) {
-        Strike s{t, kBack[any(5)], 1 + static_cast<int>(any(any(3) ? 2 : 10)),
-                 static_cast<Who>(any(4))};
-        const Point& point = points()[any(points().size())];
-        world.at(t, [&world, &point, s, &struck, &in_all] {
-            in_all += struck;
-            struck = 0;
-            strike(world, point, s, struck);
+    auto random_below = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
+    constexpr double kRestartDelays_s[] = {0, 0.02, 0.2, 1, 6};
+    int crashes = 0;
+    int total_crashes = 0;
+    for (Time time = 5; time < 140; time += 2 + static_cast<double>(random_below(5))) {
+        CrashPlan plan{time, kRestartDelays_s[random_below(5)],
+                       1 + static_cast<int>(random_below(random_below(3) ? 2 : 10)),
+                       static_cast<Target>(random_below(4))};
+        const CrashPoint& point = crash_points()[random_below(crash_points().size())];
+        cluster.at(time, [&cluster, &point, plan, &crashes, &total_crashes] {
+            total_crashes += crashes;
+            crashes = 0;
+            crash_after_output(cluster, point, plan, crashes);
         });
     }
-    for (Time t = 10; seed % 4 >= 2 && t < 140; t += 5 + static_cast<double>(any(10))) {
-        int a = static_cast<int>(any(kNodes));
-        int b = static_cast<int>(any(kNodes));
-        std::size_t fault = any(5);
-        double for_s = 1 + static_cast<double>(any(20));
-        auto set = [&world, a, b, fault](bool on) {
+    for (Time time = 10; seed % 4 >= 2 && time < 140;
+         time += 5 + static_cast<double>(random_below(10))) {
+        int a = static_cast<int>(random_below(kControllers));
+        int b = static_cast<int>(random_below(kControllers));
+        std::size_t fault = random_below(5);
+        double duration_s = 1 + static_cast<double>(random_below(20));
+        auto set_fault = [&cluster, a, b, fault](bool on) {
             switch (fault) {
-            case 0: world.state_refuses(a, on); break;
-            case 1: world.cut_workers(a, on); break;
-            case 2: world.cut_peers(a, b, on); break;
-            case 3: world.state_down(on); break;
-            default: world.cloud_down(on);
+            case 0: cluster.state_refuses(a, on); break;
+            case 1: cluster.cut_workers(a, on); break;
+            case 2: cluster.cut_peers(a, b, on); break;
+            case 3: cluster.state_down(on); break;
+            default: cluster.cloud_down(on);
             }
         };
-        world.at(t, [set] { set(true); });
-        world.at(t + for_s, [set] { set(false); });
-        if (any(2)) {
-            world.at(t + 1, [&world, a, for_s] { world.freeze(a, for_s); });
+        cluster.at(time, [set_fault] { set_fault(true); });
+        cluster.at(time + duration_s, [set_fault] { set_fault(false); });
+        if (random_below(2)) {
+            cluster.at(time + 1, [&cluster, a, duration_s] { cluster.freeze(a, duration_s); });
         }
     }
-    day(world);
-    world.run_until(170);
-    world.after_output = nullptr;
-    EXPECT_GT(in_all, 1);
-    judge(world, 900);
+    run_workload(cluster);
+    cluster.run_until(170);
+    cluster.after_output = nullptr;
+    EXPECT_GT(total_crashes, 1);
+    expect_all_jobs_finish(cluster, 900);
 }
 
 class RestartRandom : public testing::TestWithParam<int> {};
-TEST_P(RestartRandom, RulesHoldAndEverybodyIsServed) {
-    play(static_cast<std::uint64_t>(GetParam()));
+TEST_P(RestartRandom, InvariantsHoldAndEveryJobFinishes) {
+    play_random_crashes(static_cast<std::uint64_t>(GetParam()));
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RestartRandom, testing::Range(1, 13));
 
-TEST(RestartSeeds, AsManyAsAreAskedFor) { play_seeds_asked(13, play); }
+TEST(RestartSeeds, InvariantsHoldForAllRequestedSeeds) {
+    play_seeds_asked(13, play_random_crashes);
+}
 
 } // namespace
 } // namespace scheduler::test
