--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -1,4 +1,5 @@
-// Processes that end and are back at once. See "What outlives an end" in docs/design.md.
+// Controllers that crash and restart at once: no task may be lost or run twice, and users of other
+// controllers must not be affected. See "What outlives an end" in docs/design.md.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -11,9 +12,10 @@
 namespace scheduler::test {
 namespace {
 
-// A node that is back before anybody has noticed owns as many machines as before, and asks all of
-// them at once. Those that wait their turn in its own process were once taken for silent, released,
-// and lost what they ran: 50 healthy machines at each restart of a fleet of 2,000.
+// A controller that restarts before its peers notice the crash leads as many machines and queries
+// all of them at once. Machines whose query still waited in the controller's own queue were taken
+// for unreachable and released with their tasks: 50 healthy machines at each restart in a cluster
+// of 2,000.
 TEST(RestartFailover, KeepsMachinesThatStillWaitToBeQueried) {
     World cluster({.nodes = 2, .run_s = 60, .limits = 40, .capacity = 100, .orders_at_once = 4});
     cluster.run_for(3);
@@ -34,15 +36,16 @@
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-// The owners of the machines fence the slots that the process before had got. The new one places no
-// older task until these have shown, which by the workers' own reports took two report times.
+// After a restart the lenders fence the slots that the previous incarnation was granted. The new
+// incarnation places no task of an older job until the machines with these slots have reported.
+// Waiting for periodic heartbeats took two heartbeat intervals; it must query the machines instead.
 TEST(RestartFailover, ReconcilesBeforeTheNextHeartbeats) {
     World cluster({.nodes = 3, .run_s = 60, .limits = 20, .capacity = 40});
     cluster.run_for(3);
     cluster.submit(0, cluster.job("req-1", 300, 2));
     cluster.run_for(5);
     int node = cluster.owner(partition_of_team(cluster.facts(0), "red"));
-    // Right after it has got slots that it has not used.
+    // Crash the leader right after it has been granted slots that it has not used yet.
     bool granted = false;
     cluster.after_output = [&](int, const OutboundRequest*,
                                const Response* output) -> std::optional<double> {
@@ -65,10 +68,10 @@
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-// A report of a machine that was released long ago, held up on the way. The process that released
-// it knew it for dead; the one that has just started believed it, took the replica for running
-// there and its true place for foreign, and started it a second time when the dead machine did not
-// answer.
+// A delayed heartbeat of a machine that was released long ago reaches a controller that has just
+// restarted and, unlike its previous incarnation, does not know of the release. It must not
+// conclude that the replica runs on the released machine: it would treat the actual instance as
+// unknown, and start the replica a second time when the released machine does not respond.
 TEST(RestartLateMessages, StaleHeartbeatOfAReleasedMachineMovesNoTask) {
     World cluster({.nodes = 2, .limits = 20, .capacity = 20});
     cluster.run_for(3);
@@ -86,7 +89,7 @@
     for (int n = 0; n < 2; ++n) {
         cluster.crash(n, 0.1);
     }
-    cluster.run_for(0.13); // the parts are claimed, what is durable is not read yet
+    cluster.run_for(0.13); // leadership is acquired, stored records are not read yet
     for (int k = 0; k < 20; ++k) {
         for (int n = 0; n < 2; ++n) {
             cluster.deliver_late(n, before);
@@ -99,9 +102,9 @@
     EXPECT_EQ(cluster.starts({"svc-1", 0}), 2);
 }
 
-// ---- What it costs users ----
+// ---- Availability for users ----
 
-// The types of machines are the state service's to tell when the cloud is slow.
+// The instance types come from the store when the cloud does not respond.
 TEST(RestartAvailability, ServesUsersBeforeTheCloudResponds) {
     World cluster({.nodes = 3});
     cluster.run_for(5);
@@ -115,7 +118,8 @@
     cluster.run_for(0.2);
     EXPECT_EQ(cluster.answers.at(request_id).status, 201);
     EXPECT_EQ(cluster.owner(1), 1);
-    // The cloud may have other types by now, so nothing is refused for good for what is known.
+    // The cloud may offer other types by now: a job that fits none of the stored types gets 503,
+    // which is retried, until the cloud has responded.
     request_id = cluster.submit(1, cluster.job("req-2", 1, 9));
     cluster.run_for(0.2);
     EXPECT_EQ(cluster.answers.at(request_id).status, 503);
@@ -127,7 +131,7 @@
     EXPECT_EQ(cluster.answers.at(request_id).status, 422);
 }
 
-// A process that ends again and again, each time as soon as it has begun.
+// One controller crashes every second, shortly after each start.
 TEST(RestartAvailability, CrashLoopOfOneControllerDoesNotAffectOthers) {
     World cluster({.nodes = 5, .run_s = 10, .limits = 12, .capacity = 64});
     cluster.run_for(3);
@@ -154,8 +158,8 @@
     EXPECT_EQ(accepted.size(), 60u);
     EXPECT_TRUE(cluster.all_done("req-1"));
     EXPECT_LE(cluster.calls_of("catalog"), catalog_reads + 1);
-    EXPECT_LE(cluster.logged("event=leadership_acquired"),
-              leaderships + 60); // its own, and no part goes round
+    // The controller reacquires its own partition each time; no partition fails over.
+    EXPECT_LE(cluster.logged("event=leadership_acquired"), leaderships + 60);
     cluster.run_for(120);
     for (const auto& id : accepted) {
         EXPECT_TRUE(cluster.all_done(id)) << id;
@@ -163,8 +167,8 @@
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
 
-// A start of all in an outage: there is no node that could do better, and one that says it is not
-// ready is let wait by the load balancer long after the outage.
+// All controllers start during a store outage. None could serve users better than another, and the
+// load balancer would keep avoiding a controller that is not ready long after the outage.
 TEST(RestartAvailability, AllControllersAreReadyWhenStartedDuringAStoreOutage) {
     World cluster({.nodes = 3});
     cluster.run_for(5);
@@ -199,8 +203,9 @@
     }
 }
 
-// ---- An end after each single output ----
+// ---- Crashes right after an output ----
 
+// A request that a controller sends, or a response that it gives; the other member is null.
 struct Output {
     const OutboundRequest* request = nullptr;
     const Response* response = nullptr;
@@ -211,7 +216,7 @@
     template <class T> const T* response_as() const {
         return response ? std::get_if<T>(&response->body) : nullptr;
     }
-    // A transaction with a change of this kind.
+    // Returns whether this is a store transaction with a matching write.
     bool writes_any(const std::function<bool(const StoreWrite&)>& matches) const {
         const StoreTransaction* transaction = request_as<StoreTransaction>();
         return transaction &&
@@ -246,7 +251,8 @@
         const auto* reply = response_as<PeerSyncResponse>();
         return reply && !reply->grants.empty();
     }
-    // A command to a worker, directly or in the answer to its report.
+    // Returns whether this carries such a command to a worker, sent directly or in the response to
+    // a heartbeat.
     bool sends_command(CommandType type, const std::string& job = "", double grace_s = 0) const {
         const auto* direct = request_as<WorkerCommands>();
         const auto* heartbeat = response_as<HeartbeatBody>();
@@ -349,7 +355,9 @@
 
 enum class Target { any, same, alternating, all };
 
-// From then on, the node that does it ends right after it, so many times.
+// From `from` on, controllers crash right after an output that matches a crash point, `times` times
+// in all, and restart after `restart_s`. `target` selects them: any controller, only the first that
+// crashed, never the same twice in a row, or all controllers together.
 struct CrashPlan {
     Time from = 0;
     double restart_s = 0;
@@ -358,8 +366,8 @@
 };
 
 constexpr int kControllers = 5;
-constexpr Time kOutageStart_s = 62;   // of the state service, for longer than an owner's lease
-constexpr Time kPeersCutStart_s = 95; // of calls between nodes
+constexpr Time kOutageStart_s = 62;   // store outage, longer than a partition leader's lease
+constexpr Time kPeersCutStart_s = 95; // controllers cannot reach each other
 
 void crash_after_output(World& cluster, const CrashPoint& point, const CrashPlan& plan,
                         int& crashes) {
@@ -386,8 +394,8 @@
     };
 }
 
-// Jobs of each kind, a controller lost and back, a share that moves, a cancellation, an outage,
-// peers that refuse and a machine that is taken, in 150 s.
+// Runs jobs of each kind for 150 s with a controller that crashes and comes back, shard migrations,
+// a cancellation, a store outage, controllers that cannot reach each other and preempted machines.
 void run_workload(World& cluster) {
     auto job = [&](const std::string& id, std::uint32_t tasks, const std::string& team) {
         JobSpec spec = cluster.job(id, tasks, 2);
@@ -404,7 +412,7 @@
     };
     std::vector<std::string> services;
     auto submit = [&](Time at, int node, const JobSpec& spec) {
-        // As users do, until it is taken.
+        // Repeats the submission every two seconds until the job is accepted.
         auto retry = std::make_shared<std::function<void()>>();
         std::weak_ptr<std::function<void()>> weak = retry;
         auto request_id = std::make_shared<RequestId>(0);
@@ -430,7 +438,7 @@
     submit(8, 1, service);
     submit(40, 2, job("req-cancelled", 40, "red"));
     auto cancel = [&cluster](Time from, const std::string& id) {
-        for (int k = 0; k < 60; ++k) { // longer than anything goes wrong
+        for (int k = 0; k < 60; ++k) { // for longer than any of the faults lasts
             cluster.at(from + 2 * k, [&cluster, id, k] { cluster.cancel(k % kControllers, id); });
         }
     };
@@ -459,7 +467,7 @@
     };
     cluster.at(kPeersCutStart_s, [cut_all_peers] { cut_all_peers(true); });
     cluster.at(kPeersCutStart_s + 12, [cut_all_peers] { cut_all_peers(false); });
-    for (Time time : {50, 88, 116}) { // one that a gang runs on
+    for (Time time : {50, 88, 116}) { // preempts a machine that runs a gang
         cluster.at(time, [&cluster] {
             for (int k = 5; k >= 0; --k) {
                 auto machines = cluster.machines_of({"gang-" + std::to_string(k), 0});
@@ -493,8 +501,8 @@
     }
 }
 
-// SCHEDULER_SEEDS asks for all strikes and so many more seeds; without it, each point has a
-// part of them.
+// Each crash point is played with a third of the crash plans, and with all of them if
+// SCHEDULER_SEEDS is set.
 class RestartAfterOutput : public testing::TestWithParam<std::size_t> {};
 
 TEST_P(RestartAfterOutput, EveryJobFinishes) {
@@ -538,8 +546,8 @@
                          testing::Range(std::size_t{0}, crash_points().size()),
                          [](const auto& at) { return crash_points()[at.param].name; });
 
-// Strikes at random all through the day, crossed with other faults: none, messages lost and late,
-// outages and refusals, all of them.
+// Random crashes throughout the workload. The seed selects the additional faults: none, lost and
+// late messages, outages and disconnections, or all of these.
 void play_random_crashes(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     WorldOptions options = sixty_machines(seed);
