--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -18,27 +18,27 @@
 constexpr int kClients = 8;
 
 int free_port() {
-    int s = ::socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socklen_t size = sizeof at;
-    EXPECT_EQ(::bind(s, reinterpret_cast<sockaddr*>(&at), sizeof at), 0);
-    EXPECT_EQ(::getsockname(s, reinterpret_cast<sockaddr*>(&at), &size), 0);
-    ::close(s);
-    return ntohs(at.sin_port);
+    int socket = ::socket(AF_INET, SOCK_STREAM, 0);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof address;
+    EXPECT_EQ(::bind(socket, reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
+    EXPECT_EQ(::getsockname(socket, reinterpret_cast<sockaddr*>(&address), &size), 0);
+    ::close(socket);
+    return ntohs(address.sin_port);
 }
 
 class Daemon {
   public:
     Daemon() : port_(free_port()), settings_(std::filesystem::temp_directory_path()) {
         settings_ /= "cluster-scheduler-" + std::to_string(::getpid()) + ".toml";
-        std::string here = "127.0.0.1:";
-        int nobody = free_port(); // no state service and no cloud
+        std::string host = "127.0.0.1:";
+        int unused_port = free_port(); // no state service and no cloud
         std::ofstream(settings_)
-            << "node = \"n0\"\nzone = \"a\"\nlisten = \"" << here << port_ << "\"\nback = \""
-            << here << free_port() << "\"\n[external]\ncloud = \"" << here << nobody
-            << "\"\nstate = \"" << here << nobody << "\"\n[facts]\nzones = [\"a\"]\n"
+            << "node = \"n0\"\nzone = \"a\"\nlisten = \"" << host << port_ << "\"\nback = \""
+            << host << free_port() << "\"\n[external]\ncloud = \"" << host << unused_port
+            << "\"\nstate = \"" << host << unused_port << "\"\n[facts]\nzones = [\"a\"]\n"
             << "[[facts.teams]]\nname = \"red\"\ncpus = 8.0\ncpus_max = 16.0\ngpus = 0.0\n"
             << "gpus_max = 0.0\n[facts.workers]\nreport_s = 3.0\nlease_s = 17.0\ngang_wait_s = "
                "30.0\n"
@@ -47,7 +47,7 @@
             << "[facts.machine_limits]\nsockets = " << kSockets << "\n";
     }
     ~Daemon() {
-        end();
+        stop();
         std::filesystem::remove(settings_);
     }
     void start() {
@@ -59,17 +59,17 @@
         }
     }
     void kill() { ::kill(pid_, SIGKILL); }
-    void end() {
+    void stop() {
         if (pid_ > 0) {
             kill();
             ::waitpid(pid_, nullptr, 0);
             pid_ = -1;
         }
     }
-    bool lives() const { return ::waitpid(pid_, nullptr, WNOHANG) == 0; }
+    bool running() const { return ::waitpid(pid_, nullptr, WNOHANG) == 0; }
     // Entries of a folder of the process in /proc.
-    std::ptrdiff_t count(const char* what) const {
-        std::filesystem::directory_iterator entries("/proc/" + std::to_string(pid_) + "/" + what);
+    std::ptrdiff_t count_proc_entries(const char* folder) const {
+        std::filesystem::directory_iterator entries("/proc/" + std::to_string(pid_) + "/" + folder);
         return std::distance(std::filesystem::begin(entries), std::filesystem::end(entries));
     }
     int port() const { return port_; }
@@ -81,14 +81,14 @@
     pid_t pid_ = -1;
 };
 
-TEST(RestartProcess, FiftyTimesUnderLoadListensAtOnceOnTheSamePorts) {
+TEST(RestartProcess, ListensAgainAtOnceAfterEachOfFiftyKillsUnderLoad) {
     Daemon daemon;
-    std::atomic<bool> over{false};
+    std::atomic<bool> done{false};
     std::atomic<int> answers{0};
     std::vector<std::thread> users;
     for (int i = 0; i < kClients; ++i) {
         users.emplace_back([&] {
-            while (!over) {
+            while (!done) {
                 httplib::Client client("127.0.0.1", daemon.port());
                 client.set_read_timeout(1, 0);
                 auto ready = client.Get("/ready");
@@ -97,35 +97,35 @@
             }
         });
     }
-    pid_t before = -1;
-    for (int k = 0; k < 50; ++k) {
+    pid_t previous = -1;
+    for (int start = 0; start < 50; ++start) {
         daemon.start();
-        if (before > 0) { // the next one starts before the last is quite gone
-            ::waitpid(before, nullptr, 0);
+        if (previous > 0) { // the next one starts before the last is quite gone
+            ::waitpid(previous, nullptr, 0);
         }
-        before = daemon.pid();
-        int had = answers;
-        for (int wait = 0; wait < 2000 && answers < had + 20; ++wait) {
-            ASSERT_TRUE(daemon.lives()) << "start " << k;
+        previous = daemon.pid();
+        int answers_before = answers;
+        for (int attempt = 0; attempt < 2000 && answers < answers_before + 20; ++attempt) {
+            ASSERT_TRUE(daemon.running()) << "start " << start;
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
-        ASSERT_GE(answers, had + 20) << "start " << k;
-        EXPECT_LT(daemon.count("fd"), kSockets) << "start " << k;
-        EXPECT_LT(daemon.count("task"), kSockets) << "start " << k;
+        ASSERT_GE(answers, answers_before + 20) << "start " << start;
+        EXPECT_LT(daemon.count_proc_entries("fd"), kSockets) << "start " << start;
+        EXPECT_LT(daemon.count_proc_entries("task"), kSockets) << "start " << start;
         daemon.kill();
     }
-    over = true;
+    done = true;
     for (auto& user : users) {
         user.join();
     }
 }
 
 // Two that live at the same time do not share a port.
-TEST(RestartProcess, ASecondOneOnTheSamePortsEndsWithAReason) {
+TEST(RestartProcess, SecondProcessOnTheSamePortsExitsWithAnError) {
     Daemon daemon;
     daemon.start();
     httplib::Client client("127.0.0.1", daemon.port());
-    for (int wait = 0; wait < 2000 && !client.Get("/ready"); ++wait) {
+    for (int attempt = 0; attempt < 2000 && !client.Get("/ready"); ++attempt) {
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
     pid_t first = daemon.pid();
