--- a/tests/concurrent_faults_test.cpp
+++ b/tests/concurrent_faults_test.cpp
@@ -10,12 +10,14 @@
 #include "core/leadership/staleness_bound.h"
 #include "core/model/partition_assignment.h"
 #include "seeds.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
 
-int red_partition(const World& cluster) { return partition_of_team(cluster.facts(0), "red"); }
+int red_partition(const SimulatedCluster& cluster) {
+    return partition_of_team(cluster.cluster_settings(0), "red");
+}
 
 // The fault that is added to a refused leader, cancellations and a store outage.
 enum class Fault {
@@ -78,16 +80,16 @@
 double play(const Scenario& scenario) {
     const Timing& timing = kTimings[scenario.timing];
     bool many = scenario.fault == Fault::many_cancellations;
-    World cluster({.seed = 1 + static_cast<std::uint64_t>(scenario.fault),
-                   .nodes = 5,
-                   .run_s = 3000,
-                   .limits = 30,
-                   .capacity = 60,
-                   .report_s = timing.heartbeat_interval_s,
-                   .lease_s = timing.lease_s,
-                   .cancel_s = timing.cancel_s,
-                   .state_rps = many ? 4000.0 : 300.0,
-                   .state_write_rps = many ? 2000.0 : 100.0});
+    SimulatedCluster cluster({.seed = 1 + static_cast<std::uint64_t>(scenario.fault),
+                              .nodes = 5,
+                              .run_s = 3000,
+                              .limits = 30,
+                              .capacity = 60,
+                              .report_s = timing.heartbeat_interval_s,
+                              .lease_s = timing.lease_s,
+                              .cancel_s = timing.cancel_s,
+                              .state_rps = many ? 4000.0 : 300.0,
+                              .state_write_rps = many ? 2000.0 : 100.0});
     cluster.run_for(timing.lease_s + 3);
     std::vector<std::string> to_cancel;
     auto submit = [&](const std::string& id, JobKind kind, std::uint32_t tasks, const char* team) {
@@ -120,31 +122,32 @@
     }
 
     if (scenario.fault == Fault::shard_migration) {
-        auto shards = cluster.shares(red_partition(cluster));
+        auto shards = cluster.held_shards(red_partition(cluster));
         for (std::size_t i = 0; i < shards.size() / 2; ++i) {
-            cluster.give(red_partition(cluster), shards[i],
-                         partition_of_team(cluster.facts(0), "blue"));
+            cluster.migrate_shard(red_partition(cluster), shards[i],
+                                  partition_of_team(cluster.cluster_settings(0), "blue"));
         }
     }
     if (scenario.fault == Fault::delayed_heartbeats) {
-        cluster.troubles.late_reports = 0.3;
+        cluster.random_faults.late_heartbeats = 0.3;
     }
     if (scenario.fault == Fault::delayed_writes) {
-        cluster.troubles.late_writes = 0.2;
+        cluster.random_faults.late_writes = 0.2;
     }
     if (scenario.fault == Fault::delayed_commands) {
-        cluster.troubles.held_orders = 0.5;
+        cluster.random_faults.delayed_commands = 0.5;
     }
     if (scenario.fault == Fault::machines_miss_responses) {
         int number = 0;
         for (const auto& machine : cluster.machines_up()) {
             if (++number % 4 == 0) {
-                cluster.deafen(machine, true);
+                cluster.cut_inbound(machine, true);
             }
         }
     }
     bool store_silent = scenario.fault == Fault::store_silent;
-    store_silent ? cluster.state_silent(leader, true) : cluster.state_refuses(leader, true);
+    store_silent ? cluster.set_store_silent(leader, true)
+                 : cluster.set_store_refusing(leader, true);
     Time refused_at = cluster.now();
     cluster.run_for(scenario.refused_s * scenario.cancelled_at);
     int sent = 0;
@@ -170,7 +173,7 @@
     // Leave time for the responses to the cancellations, of which there may be many.
     cluster.run_for(std::max(0.3, refused_at + scenario.refused_s - cluster.now()));
     cluster.after_output = nullptr;
-    cluster.state_down(true);
+    cluster.set_store_down(true);
     std::size_t confirmed = 0;
     for (const auto& [id, request] : cancellations) {
         auto answer = cluster.answers.find(request);
@@ -195,20 +198,20 @@
     if (scenario.fault == Fault::cancellation_in_a_gap_of_the_outage) {
         // The store serves the other controllers, but not the leader, for long enough to confirm
         // two more cancellations. The lease extensions granted to the leader have not expired yet.
-        cluster.state_down(false);
+        cluster.set_store_down(false);
         cluster.run_for(0.4);
         cluster.cancel(peer(1), "stay-red");
         cluster.cancel(peer(2), "stay-blue");
         cluster.run_for(0.4);
-        cluster.state_down(true);
+        cluster.set_store_down(true);
         cluster.run_for(timing.cancel_s + 30);
     }
-    cluster.state_down(false);
-    cluster.state_silent(leader, false);
-    cluster.state_refuses(leader, false);
-    cluster.troubles = {};
+    cluster.set_store_down(false);
+    cluster.set_store_silent(leader, false);
+    cluster.set_store_refusing(leader, false);
+    cluster.random_faults = {};
     for (const auto& machine : cluster.machines_up()) {
-        cluster.deafen(machine, false);
+        cluster.cut_inbound(machine, false);
     }
     for (int a = 0; a < 5; ++a) {
         for (int b = 0; b < 5; ++b) {
@@ -235,7 +238,7 @@
 
 TEST_P(ConcurrentFaults, RefusedLeaderAndStoreOutageLeaveNoCancelledTask) {
     int fault = GetParam();
-    int rounds = seeds_asked() > 0 ? 27 : 3;
+    int rounds = extra_seed_count() > 0 ? 27 : 3;
     double longest = 0;
     int round = 0;
     for (int timing_index = 0; timing_index < 3; ++timing_index) {
@@ -270,11 +273,11 @@
 
 // Changes the quotas and guarantees of both teams as an operator does, repeatedly and at times
 // within a second, until `end`; then restores the initial values.
-void change_quotas(World& cluster, std::shared_ptr<std::mt19937_64> random, Time end) {
+void change_quotas(SimulatedCluster& cluster, std::shared_ptr<std::mt19937_64> random, Time end) {
     auto between = [&](double from, double to) {
         return std::uniform_real_distribution<>(from, to)(*random);
     };
-    for (TeamQuota quota : cluster.facts(0).teams) {
+    for (TeamQuota quota : cluster.cluster_settings(0).teams) {
         if (cluster.now() < end) {
             quota.max_cpus *= between(0.15, 1.3);
             quota.guaranteed_cpus = between(0, quota.max_cpus);
@@ -291,18 +294,18 @@
 // jobs, then reverts all faults and checks that every job finishes.
 void play_at_random(std::uint64_t seed, bool quotas_change = false) {
     const Timing& timing = kTimings[seed % 3];
-    World cluster({.seed = seed,
-                   .nodes = 5,
-                   .drop = seed % 2 ? 0.01 : 0.0,
-                   .run_s = 30,
-                   .limits = 12,
-                   .capacity = 60,
-                   .report_s = timing.heartbeat_interval_s,
-                   .lease_s = timing.lease_s,
-                   .cancel_s = timing.cancel_s,
-                   .state_rps = 250,
-                   .state_write_rps = 50,
-                   .notices = seed % 4 < 2});
+    SimulatedCluster cluster({.seed = seed,
+                              .nodes = 5,
+                              .drop = seed % 2 ? 0.01 : 0.0,
+                              .run_s = 30,
+                              .limits = 12,
+                              .capacity = 60,
+                              .report_s = timing.heartbeat_interval_s,
+                              .lease_s = timing.lease_s,
+                              .cancel_s = timing.cancel_s,
+                              .state_rps = 250,
+                              .state_write_rps = 50,
+                              .cancellation_broadcasts = seed % 4 < 2});
     std::mt19937_64 random(seed * 7919);
     auto random_below = [&](int n) {
         return static_cast<int>(random() % static_cast<unsigned>(n));
@@ -314,7 +317,7 @@
         return all;
     };
     cluster.run_for(timing.lease_s + 3);
-    cluster.ask_often();
+    cluster.start_polling_open_jobs();
     if (quotas_change) {
         change_quotas(cluster, std::make_shared<std::mt19937_64>(seed), 300);
     }
@@ -343,31 +346,31 @@
         for (int k = 2 + random_below(3); k > 0; --k) {
             switch (random_below(26)) {
             case 0:
-                cluster.state_refuses(node, true);
-                undo.emplace_back([&cluster, node] { cluster.state_refuses(node, false); });
+                cluster.set_store_refusing(node, true);
+                undo.emplace_back([&cluster, node] { cluster.set_store_refusing(node, false); });
                 break;
             case 1: // cut off from store and peers, reachable for workers and users
-                cluster.state_silent(node, true);
+                cluster.set_store_silent(node, true);
                 for (int to = 0; to < 5; ++to) {
                     cluster.cut_peers(node, to, true);
                 }
                 undo.emplace_back([&cluster, node] {
-                    cluster.state_silent(node, false);
+                    cluster.set_store_silent(node, false);
                     for (int to = 0; to < 5; ++to) {
                         cluster.cut_peers(node, to, false);
                     }
                 });
                 break;
-            case 2: cluster.troubles.late_writes = 0.2; break;
-            case 3: cluster.troubles.late_reports = 0.3; break;
-            case 4: cluster.troubles.held_orders = 0.4; break;
+            case 2: cluster.random_faults.late_writes = 0.2; break;
+            case 3: cluster.random_faults.late_heartbeats = 0.3; break;
+            case 4: cluster.random_faults.delayed_commands = 0.4; break;
             case 5:
-                cluster.troubles.state_slow_s =
+                cluster.random_faults.store_delay_s =
                     0.2 * timing.heartbeat_interval_s * (1 + random_below(4));
                 break;
             case 6:
                 for (const auto& machine : quarter_of_machines()) {
-                    cluster.deafen(machine, true);
+                    cluster.cut_inbound(machine, true);
                     disconnected.insert(machine);
                 }
                 break;
@@ -402,13 +405,13 @@
                     }
                 });
                 break;
-            case 14: cluster.troubles.lost_answers = 0.3; break;
-            case 15: cluster.troubles.reports_for_next = 0.3; break;
-            case 16: cluster.troubles.quick_boots = 0.8; break;
-            case 17: cluster.troubles.mute_boots = 0.2; break;
-            case 18: cluster.troubles.slow_links_s = 0.1 * timing.heartbeat_interval_s; break;
-            case 19: cluster.troubles.close_looks = 0.5; break;
-            case 20: cluster.troubles.cancel_at_end = 0.5; break;
+            case 14: cluster.random_faults.lost_responses = 0.3; break;
+            case 15: cluster.random_faults.heartbeats_for_next_leader = 0.3; break;
+            case 16: cluster.random_faults.quick_boots = 0.8; break;
+            case 17: cluster.random_faults.outbound_cut_boots = 0.2; break;
+            case 18: cluster.random_faults.link_delay_s = 0.1 * timing.heartbeat_interval_s; break;
+            case 19: cluster.random_faults.concurrent_status_reads = 0.5; break;
+            case 20: cluster.random_faults.cancel_at_end = 0.5; break;
             case 21: // a quarter of the machines hang for less or more than the lease
                 for (const auto& machine : quarter_of_machines()) {
                     cluster.hang(machine, timing.lease_s * (1 + random_below(15)) / 10);
@@ -416,7 +419,7 @@
                 break;
             case 22:
                 for (const auto& machine : quarter_of_machines()) {
-                    cluster.mute(machine, true);
+                    cluster.cut_outbound(machine, true);
                     disconnected.insert(machine);
                 }
                 break;
@@ -431,7 +434,8 @@
                 break;
             case 24:
                 for (int n = 0; n < 5; ++n) {
-                    cluster.odd_requests("req-" + std::to_string(1 + random_below(jobs)));
+                    cluster.send_edge_case_requests("req-" +
+                                                    std::to_string(1 + random_below(jobs)));
                 }
                 break;
             case 25: // repeated failovers
@@ -442,9 +446,9 @@
                 }
                 break;
             case 13: {
-                auto shards = cluster.shares(node);
+                auto shards = cluster.held_shards(node);
                 for (std::size_t i = 0; i < shards.size() / 2; ++i) {
-                    cluster.give(node, shards[i], random_below(5));
+                    cluster.migrate_shard(node, shards[i], random_below(5));
                 }
                 break;
             }
@@ -454,37 +458,37 @@
         }
         cluster.run_for(random_below(static_cast<int>(timing.lease_s)));
         if (random_below(2)) {
-            cluster.state_down(true);
+            cluster.set_store_down(true);
             cluster.run_for(5 + random_below(static_cast<int>(timing.cancel_s + 20)));
             cancel();
-            cluster.state_down(false);
+            cluster.set_store_down(false);
         }
         cluster.run_for(random_below(10));
         cancel();
         for (const auto& revert : undo) {
             revert();
         }
-        cluster.troubles = {};
+        cluster.random_faults = {};
         for (const auto& machine : disconnected) {
             auto all = cluster.machines_up();
             if (std::find(all.begin(), all.end(), machine) != all.end()) {
-                cluster.deafen(machine, false);
+                cluster.cut_inbound(machine, false);
                 cluster.cut_machine(machine, false);
             }
         }
         for (const auto& machine : cluster.machines_up()) {
-            cluster.mute(machine, false);
+            cluster.cut_outbound(machine, false);
         }
         cluster.run_for(random_below(40));
         ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
     }
     cluster.run_for(timing.cancel_s + 120); // until the last failovers are over
-    for (const TeamQuota& quota : cluster.facts(0).teams) {
+    for (const TeamQuota& quota : cluster.cluster_settings(0).teams) {
         if (quotas_change) {
             cluster.configure(quota);
         }
     }
-    cluster.ask_often(); // all faults have been reverted
+    cluster.start_polling_open_jobs(); // all faults have been reverted
     for (int k = 0; k < 100; ++k) {
         cluster.run_for(10);
         for (const auto& [id, outcome] : cluster.outcomes()) {
@@ -495,8 +499,9 @@
     }
     ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     EXPECT_LT(cluster.longest_unanswered(), 75);
-    EXPECT_LT(cluster.judge().longest_idle(), 90)
-        << cluster.judge().idlest() << cluster.describe(cluster.judge().idlest());
+    EXPECT_LT(cluster.history_checker().longest_idle(), 90)
+        << cluster.history_checker().longest_idle_job()
+        << cluster.describe(cluster.history_checker().longest_idle_job());
     for (const auto& [id, outcome] : cluster.outcomes()) {
         EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
@@ -510,7 +515,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, ConcurrentFaultsRandom, testing::Range(1, 13));
 
 TEST(ConcurrentFaultsSeeds, InvariantsHoldForAllRequestedSeeds) {
-    play_seeds_asked(1000, [](std::uint64_t seed) { play_at_random(seed); });
+    run_extra_seeds(1000, [](std::uint64_t seed) { play_at_random(seed); });
 }
 
 // The same while an operator changes the quotas: usage is checked against the quota in force.
@@ -521,7 +526,7 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, QuotaConfigRandom, testing::Range(1, 7));
 
 TEST(QuotaConfigSeeds, InvariantsHoldForAllRequestedSeedsWhileQuotasChange) {
-    play_seeds_asked(1000, [](std::uint64_t seed) { play_at_random(seed, true); });
+    run_extra_seeds(1000, [](std::uint64_t seed) { play_at_random(seed, true); });
 }
 
 // ---- Regressions ----
@@ -531,7 +536,7 @@
 // must not keep its workers' tasks running throughout the outage, because another controller has
 // confirmed a cancellation.
 TEST(ConcurrentFaultsRegressions, LeaderThatCannotReadTheJobsKeepsNoCancelledTask) {
-    World cluster({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
+    SimulatedCluster cluster({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
     cluster.run_for(40);
     cluster.submit(0, cluster.job("req-1", 20));
     cluster.submit(1, cluster.job("req-2", 20));
@@ -548,12 +553,12 @@
     cluster.run_for(2);
     ASSERT_EQ(cluster.answers.at(id).status, 200);
     ASSERT_GT(job_reads, 0);
-    cluster.state_down(true);
+    cluster.set_store_down(true);
     cluster.run_for(80);
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
-    EXPECT_LT(cluster.longest_cancelled(), cluster.facts(0).cancel_s);
+    EXPECT_LT(cluster.longest_cancelled(), cluster.cluster_settings(0).cancel_s);
     cluster.intercept = nullptr;
-    cluster.state_down(false);
+    cluster.set_store_down(false);
     cluster.run_for(60);
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     EXPECT_EQ(cluster.machines_of({"req-2", 0}).size(), 1u);
@@ -563,7 +568,7 @@
 // The lender is also cut off from peer syncs, so that it learns of the cancellation, which another
 // controller confirmed, only through lease extensions.
 TEST(ConcurrentFaultsRegressions, LeaseExtensionStopsRemoteTasksOfACancelledJob) {
-    World cluster({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
+    SimulatedCluster cluster({.nodes = 5, .run_s = 3000, .limits = 30, .capacity = 60});
     cluster.run_for(40);
     cluster.submit(0, cluster.job("req-1", 60)); // runs on the machines of every partition
     cluster.run_for(60);
@@ -574,13 +579,13 @@
         int count = 0;
         for (std::uint32_t i = 0; i < 60; ++i) {
             for (const auto& machine : cluster.machines_of({"req-1", i})) {
-                count += cluster.node_of(machine) == node;
+                count += cluster.controller_of(machine) == node;
             }
         }
         return count;
     };
     ASSERT_GT(remote_tasks_at(lender), 0);
-    cluster.state_refuses(lender, true);
+    cluster.set_store_refusing(lender, true);
     cluster.intercept = [&](int node, const OutboundBody& call) {
         const auto* peer = std::get_if<PeerSyncCall>(&call);
         return peer && (node == lender || peer->node == "n" + std::to_string(lender));
@@ -589,11 +594,11 @@
     RequestId id = cluster.cancel((lender + 1) % 5, "req-1");
     cluster.run_for(0.5);
     ASSERT_EQ(cluster.answers.at(id).status, 200);
-    cluster.state_down(true);
+    cluster.set_store_down(true);
     cluster.run_for(80);
     EXPECT_EQ(remote_tasks_at(lender), 0);
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
-    EXPECT_LT(cluster.longest_cancelled(), cluster.facts(0).cancel_s);
+    EXPECT_LT(cluster.longest_cancelled(), cluster.cluster_settings(0).cancel_s);
 }
 
 // The leader crashes while a machine with a long task is unreachable. The machine reconnects
@@ -601,20 +606,20 @@
 // while. The response to that heartbeat must carry the stop, although the machine has not yet
 // presented the new leader's token.
 TEST(ConcurrentFaultsRegressions, FirstResponseToAReconnectedMachineCarriesTheStop) {
-    World cluster({.nodes = 5,
-                   .run_s = 3000,
-                   .limits = 30,
-                   .capacity = 60,
-                   .report_s = 6,
-                   .lease_s = 31,
-                   .cancel_s = 56});
+    SimulatedCluster cluster({.nodes = 5,
+                              .run_s = 3000,
+                              .limits = 30,
+                              .capacity = 60,
+                              .report_s = 6,
+                              .lease_s = 31,
+                              .cancel_s = 56});
     cluster.run_for(60);
     cluster.submit(0, cluster.job("req-1", 4));
     cluster.run_for(60);
     std::string machine = *cluster.machines_of({"req-1", 0}).begin();
-    int leader = cluster.node_of(machine);
+    int leader = cluster.controller_of(machine);
     cluster.cut_machine(machine, true);
-    cluster.cloud_down(true); // so that the machine cannot be released either
+    cluster.set_cloud_down(true); // so that the machine cannot be released either
     cluster.run_for(0.5);
     RequestId id = cluster.cancel((leader + 1) % 5, "req-1");
     cluster.run_for(0.5);
@@ -624,14 +629,14 @@
     ASSERT_EQ(cluster.machines_of({"req-1", 0}).size(), 1u); // its lease has not expired
     cluster.cut_machine(machine, false);
     Time reconnected_at = cluster.now();
-    for (int k = 0; k < 1000 && cluster.renewed(machine) < reconnected_at; ++k) {
+    for (int k = 0; k < 1000 && cluster.last_lease_renewal(machine) < reconnected_at; ++k) {
         cluster.run_for(0.01);
     }
-    ASSERT_GE(cluster.renewed(machine), reconnected_at);
-    cluster.deafen(machine, true);
+    ASSERT_GE(cluster.last_lease_renewal(machine), reconnected_at);
+    cluster.cut_inbound(machine, true);
     cluster.run_for(60);
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
-    EXPECT_LT(cluster.longest_cancelled(), cluster.facts(0).cancel_s);
+    EXPECT_LT(cluster.longest_cancelled(), cluster.cluster_settings(0).cancel_s);
 }
 
 // No worker reaches any controller, while direct commands reach the workers. Each controller
@@ -640,7 +645,11 @@
 TEST(ConcurrentFaultsRegressions, JobsStartWithinTheWorkerLeaseOnceWorkersAreReachableAgain) {
     for (double unreachable_s : {8.0, 20.0, 45.0, 90.0}) {
         SCOPED_TRACE(std::to_string(unreachable_s));
-        World cluster({.nodes = 5, .run_s = 20, .limits = 10, .capacity = 60, .notices = true});
+        SimulatedCluster cluster({.nodes = 5,
+                                  .run_s = 20,
+                                  .limits = 10,
+                                  .capacity = 60,
+                                  .cancellation_broadcasts = true});
         cluster.run_for(40);
         for (int k = 1; k <= 10; ++k) {
             cluster.submit(k % 5, cluster.job("req-" + std::to_string(k), 12));
@@ -648,7 +657,7 @@
         cluster.run_for(25);
         auto set_unreachable = [&](bool unreachable) {
             for (const auto& machine : cluster.machines_up()) {
-                cluster.mute(machine, unreachable);
+                cluster.cut_outbound(machine, unreachable);
             }
         };
         set_unreachable(true);
@@ -660,8 +669,8 @@
             cluster.run_for(0.5);
         }
         std::printf("unreachable %.0f s: served after %.1f s, resigned %zu times\n", unreachable_s,
-                    cluster.now() - reachable_at, cluster.logged("event=leadership_resigned"));
-        EXPECT_LT(cluster.now() - reachable_at, cluster.facts(0).worker_lease_s);
+                    cluster.now() - reachable_at, cluster.log_count("event=leadership_resigned"));
+        EXPECT_LT(cluster.now() - reachable_at, cluster.cluster_settings(0).worker_lease_s);
         cluster.run_for(60);
         EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     }
--- a/tests/fault_pair_scenarios_test.cpp
+++ b/tests/fault_pair_scenarios_test.cpp
@@ -9,18 +9,18 @@
 
 #include "core/model/partition_assignment.h"
 #include "seeds.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
 
-int partition_of(const World& cluster, const char* team) {
-    return partition_of_team(cluster.facts(0), team);
+int partition_of(const SimulatedCluster& cluster, const char* team) {
+    return partition_of_team(cluster.cluster_settings(0), team);
 }
 
 // A simulated cluster that runs jobs of all kinds, and the actions that scenarios take on it.
 struct LoadedCluster {
-    explicit LoadedCluster(std::uint64_t seed, WorldOptions options = usual())
+    explicit LoadedCluster(std::uint64_t seed, SimulationOptions options = usual())
         : cluster(with_seed(options, seed)), random(seed) {
         cluster.run_for(40);
         for (const char* team : {"red", "blue"}) {
@@ -35,18 +35,18 @@
         leader = cluster.owner(partition_of(cluster, "red"));
         confirming_controller = (leader + 1) % 5;
     }
-    static WorldOptions usual() {
+    static SimulationOptions usual() {
         return {.nodes = 5,
                 .run_s = 60,
                 .limits = 10,
                 .capacity = 60,
                 .state_rps = 400,
                 .state_write_rps = 100,
-                .notices = true};
+                .cancellation_broadcasts = true};
     }
-    static WorldOptions with_seed(WorldOptions options, std::uint64_t seed) {
+    static SimulationOptions with_seed(SimulationOptions options, std::uint64_t seed) {
         options.seed = seed;
-        options.notices = seed % 2 != 0;
+        options.cancellation_broadcasts = seed % 2 != 0;
         return options;
     }
     int random_below(int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); }
@@ -96,9 +96,9 @@
             cluster.cut_peers(node, n, cut);
         }
     }
-    double lease() const { return cluster.facts(0).worker_lease_s; }
+    double lease() const { return cluster.cluster_settings(0).worker_lease_s; }
 
-    World cluster;
+    SimulatedCluster cluster;
     std::mt19937_64 random;
     int jobs = 0;
     int leader = -1;
@@ -115,14 +115,14 @@
     // Injects the faults. `instant` (0, 1 or 2, early to late) selects when they happen; `crash`
     // crashes the controllers chosen by `Crashed` at the time of the call.
     std::function<void(LoadedCluster&, int instant, const std::function<void()>& crash)> play;
-    WorldOptions options = LoadedCluster::usual();
+    SimulationOptions options = LoadedCluster::usual();
 };
 
-WorldOptions short_tasks(WorldOptions options = LoadedCluster::usual()) {
+SimulationOptions short_tasks(SimulationOptions options = LoadedCluster::usual()) {
     options.run_s = 15;
     return options;
 }
-WorldOptions small_quotas(WorldOptions options = LoadedCluster::usual()) {
+SimulationOptions small_quotas(SimulationOptions options = LoadedCluster::usual()) {
     options.limits = 2; // every team is at its quota
     return options;
 }
@@ -131,7 +131,7 @@
     static const std::vector<Scenario> all = {
         {"LeaderCutOffFromStoreAndPeersWhileJobsAreCancelledElsewhere",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             loaded.cluster.state_silent(loaded.leader, true);
+             loaded.cluster.set_store_silent(loaded.leader, true);
              loaded.cut_all_peers(loaded.leader, true);
              loaded.cluster.run_for(std::array{0.1, 5.0, 14.0}[instant]);
              loaded.cancel_a_third(loaded.confirming_controller);
@@ -139,7 +139,7 @@
              crash();
              loaded.cancel_a_third(loaded.leader); // users still reach it and get 503
              loaded.cluster.run_for(2 * loaded.lease());
-             loaded.cluster.state_silent(loaded.leader, false);
+             loaded.cluster.set_store_silent(loaded.leader, false);
              loaded.cut_all_peers(loaded.leader, false);
          }},
         {"SmallJobsFinishAcrossFailover",
@@ -158,9 +158,9 @@
         {"WorkersCannotReachControllers",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
              // Some machines are unreachable from their boot on.
-             loaded.cluster.troubles.mute_boots = 0.5;
+             loaded.cluster.random_faults.outbound_cut_boots = 0.5;
              for (const auto& machine : loaded.random_machines(4)) {
-                 loaded.cluster.mute(machine, true);
+                 loaded.cluster.cut_outbound(machine, true);
              }
              for (int k = 0; k < 8; ++k) {
                  loaded.submit(JobKind::array, 12, "red", 2);
@@ -169,14 +169,14 @@
              loaded.cancel_a_third(loaded.confirming_controller);
              crash();
              loaded.cluster.run_for(2 * loaded.lease());
-             loaded.cluster.troubles.mute_boots = 0;
+             loaded.cluster.random_faults.outbound_cut_boots = 0;
              for (const auto& machine : loaded.cluster.machines_up()) {
-                 loaded.cluster.mute(machine, false);
+                 loaded.cluster.cut_outbound(machine, false);
              }
          }},
         {"CommandsOrResponsesDelayedWhileMachinesHang",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             loaded.cluster.troubles.held_orders = 0.7;
+             loaded.cluster.random_faults.delayed_commands = 0.7;
              for (int k = 0; k < 8; ++k) {
                  loaded.submit(k % 3 ? JobKind::array : JobKind::gang, 6, k % 2 ? "red" : "blue",
                                2);
@@ -232,14 +232,14 @@
          [](LoadedCluster& loaded, int instant, const auto& crash) {
              loaded.cancel_a_third(loaded.confirming_controller);
              loaded.cluster.run_for(0.5);
-             loaded.cluster.state_down(true);
+             loaded.cluster.set_store_down(true);
              for (int k = 0; k < 10; ++k) {
                  loaded.cluster.crash((loaded.leader + k) % 5, std::array{0.02, 4.0, 9.0}[instant]);
                  loaded.cluster.run_for(12);
              }
              crash();
              loaded.cluster.run_for(3);
-             loaded.cluster.state_down(false);
+             loaded.cluster.set_store_down(false);
          }},
         {"ZoneBoundJobsAndArraysLoseMachines",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
@@ -253,7 +253,7 @@
                  }
              }
              for (const auto& machine : loaded.random_machines(5)) {
-                 loaded.cluster.take_machine(machine, 5);
+                 loaded.cluster.preempt_machine(machine, 5);
              }
              crash();
              loaded.cluster.run_for(10);
@@ -262,8 +262,8 @@
          }},
         {"MixedPriorityOverloadOverSlowLinks",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             loaded.cluster.limit_cloud(20);
-             loaded.cluster.troubles.slow_links_s = 0.4;
+             loaded.cluster.set_cloud_capacity(20);
+             loaded.cluster.random_faults.link_delay_s = 0.4;
              for (int k = 0; k < 20; ++k) {
                  JobSpec spec = loaded.cluster.job("req-" + std::to_string(++loaded.jobs),
                                                    4 + 10 * (k % 3), 2);
@@ -276,7 +276,7 @@
              loaded.cancel_a_third(loaded.confirming_controller);
              crash();
              loaded.cluster.run_for(20);
-             loaded.cluster.limit_cloud(60);
+             loaded.cluster.set_cloud_capacity(60);
          },
          short_tasks()},
         {"TeamsAtQuotaCancelJobsOnUnreachableMachinesDuringFailover",
@@ -318,9 +318,9 @@
          small_quotas()},
         {"FastBootsAndDelayedWritesWhileTheLeaderCrashes",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             loaded.cluster.troubles.quick_boots = 1;
-             loaded.cluster.troubles.late_writes = 0.5;
-             loaded.cluster.troubles.lost_answers = instant == 2 ? 0.5 : 0;
+             loaded.cluster.random_faults.quick_boots = 1;
+             loaded.cluster.random_faults.late_writes = 0.5;
+             loaded.cluster.random_faults.lost_responses = instant == 2 ? 0.5 : 0;
              for (int k = 0; k < 6; ++k) {
                  loaded.submit(JobKind::array, 20, "red", 2);
                  loaded.submit(JobKind::gang, 4, "blue", 2);
@@ -336,7 +336,7 @@
          }},
         {"StaleHeartbeatsReachEveryControllerDuringFailover",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             loaded.cluster.troubles.reports_for_next = 0.6;
+             loaded.cluster.random_faults.heartbeats_for_next_leader = 0.6;
              for (int k = 0; k < 4; ++k) {
                  loaded.submit(JobKind::array, 8, "red", 1);
                  loaded.cluster.run_for(5);
@@ -357,7 +357,7 @@
          short_tasks()},
         {"TransactionExecutedAfterNewerOnes",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             loaded.cluster.troubles.late_writes = 0.4;
+             loaded.cluster.random_faults.late_writes = 0.4;
              for (int k = 0; k < 10; ++k) {
                  loaded.submit(k % 3 ? JobKind::array : JobKind::gang, 3, k % 2 ? "red" : "blue",
                                1);
@@ -372,10 +372,10 @@
          short_tasks()},
         {"AllControllersCrashDuringHandbackAndOneRestartsWithinASecond",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             auto shards = loaded.cluster.shares(partition_of(loaded.cluster, "red"));
+             auto shards = loaded.cluster.held_shards(partition_of(loaded.cluster, "red"));
              for (std::size_t k = 0; k < shards.size() / 2; ++k) {
-                 loaded.cluster.give(partition_of(loaded.cluster, "red"), shards[k],
-                                     partition_of(loaded.cluster, "blue"));
+                 loaded.cluster.migrate_shard(partition_of(loaded.cluster, "red"), shards[k],
+                                              partition_of(loaded.cluster, "blue"));
              }
              loaded.cluster.crash(loaded.leader, 8);
              // Around the handback of the partition.
@@ -418,7 +418,7 @@
              std::vector<std::string> machines = loaded.random_machines(3);
              for (const auto& machine : machines) {
                  instant == 1 ? loaded.cluster.cut_machine(machine, true)
-                              : loaded.cluster.deafen(machine, true);
+                              : loaded.cluster.cut_inbound(machine, true);
              }
              loaded.cluster.run_for(std::array{0.5, 3.0, 12.0}[instant]);
              loaded.cluster.crash(loaded.leader, instant ? 25 : 0.02);
@@ -431,15 +431,15 @@
              for (const auto& machine : machines) {
                  if (std::find(up.begin(), up.end(), machine) != up.end()) {
                      loaded.cluster.cut_machine(machine, false);
-                     loaded.cluster.deafen(machine, false);
+                     loaded.cluster.cut_inbound(machine, false);
                  }
              }
              loaded.cluster.run_for(10);
          }},
         {"StoreSlowOrRefusingWhileUsersCancelAndPoll",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             loaded.cluster.troubles.state_slow_s = instant == 0 ? 2 : 0.3;
-             loaded.cluster.state_refuses(loaded.leader, instant != 0);
+             loaded.cluster.random_faults.store_delay_s = instant == 0 ? 2 : 0.3;
+             loaded.cluster.set_store_refusing(loaded.leader, instant != 0);
              for (int k = 0; k < 12; ++k) {
                  loaded.submit(JobKind::array, 2, "red", 1);
                  loaded.cluster.poll(loaded.random_below(5),
@@ -448,19 +448,19 @@
              }
              loaded.cancel_a_third(loaded.confirming_controller);
              loaded.cluster.run_for(1);
-             loaded.cluster.state_down(true);
+             loaded.cluster.set_store_down(true);
              loaded.cluster.run_for(std::array{5.0, 20.0, 50.0}[instant]);
              loaded.cancel_a_third(loaded.confirming_controller);
              crash();
              loaded.cluster.run_for(10);
-             loaded.cluster.state_down(false);
-             loaded.cluster.state_refuses(loaded.leader, false);
+             loaded.cluster.set_store_down(false);
+             loaded.cluster.set_store_refusing(loaded.leader, false);
              loaded.cluster.run_for(5);
          }},
         {"UserRequestsRaceWithTheEndOfTheLastTask",
          [](LoadedCluster& loaded, int instant, const auto& crash) {
-             loaded.cluster.troubles.cancel_at_end = 1;
-             loaded.cluster.troubles.close_looks = 0.5;
+             loaded.cluster.random_faults.cancel_at_end = 1;
+             loaded.cluster.random_faults.concurrent_status_reads = 0.5;
              for (int k = 0; k < 16; ++k) {
                  loaded.submit(k % 4 ? JobKind::array : JobKind::gang, 1 + k % 3,
                                k % 2 ? "red" : "blue", 1);
@@ -478,7 +478,7 @@
 void play(const Scenario& scenario, int instant, Crashed crashed, double restart_s,
           std::uint64_t seed) {
     LoadedCluster loaded(seed, scenario.options);
-    World& cluster = loaded.cluster;
+    SimulatedCluster& cluster = loaded.cluster;
     ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     auto crash = [&] {
         if (crashed == Crashed::leader || crashed == Crashed::both) {
@@ -490,13 +490,13 @@
         }
     };
     scenario.play(loaded, instant, crash);
-    cluster.troubles = {};
+    cluster.random_faults = {};
     for (const auto& revert : loaded.undo) {
         revert();
     }
     ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
-    cluster.run_for(cluster.facts(0).cancel_s);
-    cluster.ask_often(); // all faults have been reverted
+    cluster.run_for(cluster.cluster_settings(0).cancel_s);
+    cluster.start_polling_open_jobs(); // all faults have been reverted
     cluster.run_for(260);
     for (const auto& [id, outcome] : cluster.outcomes()) {
         if (cluster.spec_of(id).kind == JobKind::service && outcome == Outcome::none) {
@@ -507,11 +507,12 @@
     cluster.run_for(100);
     ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
     EXPECT_LT(cluster.longest_unanswered(), 75);
-    EXPECT_LT(cluster.judge().longest_idle(), 90) << cluster.judge().idlest();
+    EXPECT_LT(cluster.history_checker().longest_idle(), 90)
+        << cluster.history_checker().longest_idle_job();
     for (const auto& [id, outcome] : cluster.outcomes()) {
         EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
-    EXPECT_EQ(cluster.served_under(0.5), std::vector<std::string>{});
+    EXPECT_EQ(cluster.groups_served_below(0.5), std::vector<std::string>{});
 }
 
 class FaultPairScenarios : public testing::TestWithParam<int> {};
@@ -521,7 +522,7 @@
 // combinations are played.
 TEST_P(FaultPairScenarios, InvariantsHoldAndEveryJobFinishes) {
     const Scenario& scenario = scenarios().at(static_cast<std::size_t>(GetParam()));
-    bool play_all = seeds_asked() > 0;
+    bool play_all = extra_seed_count() > 0;
     int played = 0;
     for (int instant = 0; instant < 3; ++instant) {
         for (int k = 0; k < 16; ++k) {
@@ -620,12 +621,12 @@
             SCOPED_TRACE(std::string(kind.name) + " " + std::to_string(which) + " restart after " +
                          std::to_string(restart_s));
             LoadedCluster loaded(17, short_tasks());
-            World& cluster = loaded.cluster;
+            SimulatedCluster& cluster = loaded.cluster;
             int seen = 0;
             int lost = 0;
             Time from = cluster.now();
-            cluster.troubles.close_looks = 1;
-            cluster.lose_answer = [&](int node, const StoreTransaction& transaction) {
+            cluster.random_faults.concurrent_status_reads = 1;
+            cluster.lose_response = [&](int node, const StoreTransaction& transaction) {
                 bool matches = std::any_of(
                     transaction.writes.begin(), transaction.writes.end(),
                     [&](const StoreWrite& write) { return kind.matches(nullptr, write); });
@@ -655,8 +656,8 @@
                 loaded.cut_all_peers(n, false);
             }
             loaded.cancel_a_third((loaded.leader + 2) % 5);
-            for (const auto& shard : cluster.shares(partition_of(cluster, "blue"))) {
-                cluster.give(partition_of(cluster, "blue"), shard, loaded.random_below(5));
+            for (const auto& shard : cluster.held_shards(partition_of(cluster, "blue"))) {
+                cluster.migrate_shard(partition_of(cluster, "blue"), shard, loaded.random_below(5));
             }
             for (const auto& machine : loaded.random_machines(8)) {
                 cluster.kill_machine(machine);
@@ -667,10 +668,10 @@
                 cluster.run_for(6);
                 loaded.cancel_a_third((loaded.leader + 2) % 5);
             }
-            cluster.troubles = {};
-            cluster.run_for(cluster.facts(0).cancel_s);
-            cluster.lose_answer = nullptr;
-            cluster.ask_often();
+            cluster.random_faults = {};
+            cluster.run_for(cluster.cluster_settings(0).cancel_s);
+            cluster.lose_response = nullptr;
+            cluster.start_polling_open_jobs();
             for (int k = 0; k < 10; ++k) {
                 cluster.run_for(30);
                 for (const auto& [id, outcome] : cluster.outcomes()) {
@@ -683,7 +684,8 @@
             EXPECT_TRUE(lost > 0 || which == 1) << seen;
             ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front();
             EXPECT_LT(cluster.longest_unanswered(), 75);
-            EXPECT_LT(cluster.judge().longest_idle(), 90) << cluster.judge().idlest();
+            EXPECT_LT(cluster.history_checker().longest_idle(), 90)
+                << cluster.history_checker().longest_idle_job();
             for (const auto& [id, outcome] : cluster.outcomes()) {
                 EXPECT_NE(outcome, Outcome::none) << id;
             }
@@ -702,8 +704,12 @@
 // a leader crash, at the store's rate limits for the smallest deployment: 100 requests and 20
 // writes per second for all controllers together.
 TEST(OneTaskJobs, FourPerSecondForTenMinutesWithAQuarterCancelledAllFinish) {
-    World cluster(
-        {.seed = 5, .nodes = 3, .run_s = 6, .limits = 4, .capacity = 14, .notices = true});
+    SimulatedCluster cluster({.seed = 5,
+                              .nodes = 3,
+                              .run_s = 6,
+                              .limits = 4,
+                              .capacity = 14,
+                              .cancellation_broadcasts = true});
     std::mt19937_64 random(5);
     auto random_below = [&](int n) {
         return static_cast<int>(random() % static_cast<unsigned>(n));
@@ -711,7 +717,7 @@
     cluster.run_for(30);
     // Submissions not accepted yet, with their request and the number of checks so far.
     std::map<std::string, std::pair<RequestId, int>> open;
-    cluster.ask_often();
+    cluster.start_polling_open_jobs();
     int jobs = 0;
     Time from = cluster.now();
     int leaderships_acquired = 0;
@@ -729,11 +735,12 @@
                        [&cluster, id, n = random_below(3)] { cluster.cancel(n, id); });
         }
         if (jobs == 800) {
-            cluster.state_down(true);
-            cluster.at(cluster.now() + 25, [&cluster] { cluster.state_down(false); });
+            cluster.set_store_down(true);
+            cluster.at(cluster.now() + 25, [&cluster] { cluster.set_store_down(false); });
         }
         if (jobs == 1600) {
-            cluster.crash(node = cluster.owner(partition_of_team(cluster.facts(0), "red")), 0.3);
+            cluster.crash(
+                node = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red")), 0.3);
         }
         cluster.run_for(0.25);
         // Submissions are repeated after eight checks, which are two seconds.
@@ -752,7 +759,7 @@
     EXPECT_EQ(jobs, 2400);
     EXPECT_LT(cluster.longest_unanswered(), 75);
     EXPECT_LT(cluster.longest_cancelled(), 42);
-    EXPECT_EQ(cluster.judge().late_starts().left_after, 0);
+    EXPECT_EQ(cluster.history_checker().late_starts().sent_after_response, 0);
     std::size_t unfinished = 0;
     for (const auto& [id, outcome] : cluster.outcomes()) {
         unfinished += outcome == Outcome::none;
@@ -763,8 +770,9 @@
     std::printf("%zu transactions, %zu reads, %zu compared or watched; last task of a cancelled "
                 "job after %.1f s; "
                 "longest unanswered %.1f s\n",
-                cluster.calls_of("txn"), cluster.calls_of("get"), cluster.calls_of("watch"),
-                cluster.longest_cancelled(), cluster.longest_unanswered());
+                cluster.request_count("txn"), cluster.request_count("get"),
+                cluster.request_count("watch"), cluster.longest_cancelled(),
+                cluster.longest_unanswered());
 }
 
 } // namespace
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -7,7 +7,7 @@
 
 #include "core/model/partition_assignment.h"
 #include "seeds.h"
-#include "world.h"
+#include "simulated_cluster.h"
 
 namespace scheduler::test {
 namespace {
@@ -17,17 +17,18 @@
 // for unreachable and released with their tasks: 50 healthy machines at each restart in a cluster
 // of 2,000.
 TEST(RestartFailover, KeepsMachinesThatStillWaitToBeQueried) {
-    World cluster({.nodes = 2, .run_s = 60, .limits = 40, .capacity = 100, .orders_at_once = 4});
+    SimulatedCluster cluster(
+        {.nodes = 2, .run_s = 60, .limits = 40, .capacity = 100, .max_concurrent_commands = 4});
     cluster.run_for(3);
     cluster.submit(0, cluster.job("req-1", 380, 2));
     cluster.run_for(30);
     ASSERT_GE(cluster.machines_up().size(), 90u);
-    std::size_t before = cluster.logged("event=machine_released");
+    std::size_t before = cluster.log_count("event=machine_released");
     cluster.crash(0, 0.2);
     cluster.run_for(20);
-    EXPECT_GE(cluster.logged("event=leadership_acquired"), 3u);
-    EXPECT_GE(cluster.logged("event=partition_reconciled"), 3u);
-    EXPECT_EQ(cluster.logged("event=machine_released"), before);
+    EXPECT_GE(cluster.log_count("event=leadership_acquired"), 3u);
+    EXPECT_GE(cluster.log_count("event=partition_reconciled"), 3u);
+    EXPECT_EQ(cluster.log_count("event=machine_released"), before);
     cluster.run_for(200);
     EXPECT_TRUE(cluster.all_done("req-1"));
     for (std::uint32_t i = 0; i < 380; ++i) {
@@ -40,11 +41,11 @@
 // incarnation places no task of an older job until the machines with these slots have reported.
 // Waiting for periodic heartbeats took two heartbeat intervals; it must query the machines instead.
 TEST(RestartFailover, ReconcilesBeforeTheNextHeartbeats) {
-    World cluster({.nodes = 3, .run_s = 60, .limits = 20, .capacity = 40});
+    SimulatedCluster cluster({.nodes = 3, .run_s = 60, .limits = 20, .capacity = 40});
     cluster.run_for(3);
     cluster.submit(0, cluster.job("req-1", 300, 2));
     cluster.run_for(5);
-    int node = cluster.owner(partition_of_team(cluster.facts(0), "red"));
+    int node = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red"));
     // Crash the leader right after it has been granted slots that it has not used yet.
     bool granted = false;
     cluster.after_output = [&](int, const OutboundRequest*,
@@ -56,13 +57,13 @@
         }
         return {};
     };
-    std::size_t reconciled = cluster.logged("event=partition_reconciled");
+    std::size_t reconciled = cluster.log_count("event=partition_reconciled");
     for (int k = 0; k < 40 && !granted; ++k) {
         cluster.run_for(0.5);
     }
     ASSERT_TRUE(granted);
-    cluster.run_for(cluster.facts(0).heartbeat_interval_s / 2);
-    EXPECT_GT(cluster.logged("event=partition_reconciled"), reconciled);
+    cluster.run_for(cluster.cluster_settings(0).heartbeat_interval_s / 2);
+    EXPECT_GT(cluster.log_count("event=partition_reconciled"), reconciled);
     cluster.run_for(300);
     EXPECT_TRUE(cluster.all_done("req-1"));
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
@@ -73,7 +74,7 @@
 // conclude that the replica runs on the released machine: it would treat the actual instance as
 // unknown, and start the replica a second time when the released machine does not respond.
 TEST(RestartLateMessages, StaleHeartbeatOfAReleasedMachineMovesNoTask) {
-    World cluster({.nodes = 2, .limits = 20, .capacity = 20});
+    SimulatedCluster cluster({.nodes = 2, .limits = 20, .capacity = 20});
     cluster.run_for(3);
     JobSpec spec = cluster.job("svc-1", 1);
     spec.kind = JobKind::service;
@@ -81,8 +82,8 @@
     cluster.run_for(25);
     auto machines = cluster.machines_of({"svc-1", 0});
     ASSERT_EQ(machines.size(), 1u);
-    Heartbeat before = cluster.last_report(*machines.begin());
-    cluster.take_machine(*machines.begin(), 12);
+    Heartbeat before = cluster.last_sent_heartbeat(*machines.begin());
+    cluster.preempt_machine(*machines.begin(), 12);
     cluster.run_for(40);
     ASSERT_EQ(cluster.machines_of({"svc-1", 0}).size(), 1u);
     ASSERT_EQ(cluster.starts({"svc-1", 0}), 2);
@@ -92,7 +93,7 @@
     cluster.run_for(0.13); // leadership is acquired, stored records are not read yet
     for (int k = 0; k < 20; ++k) {
         for (int n = 0; n < 2; ++n) {
-            cluster.deliver_late(n, before);
+            cluster.deliver_heartbeat_late(n, before);
         }
         cluster.run_for(0.02);
     }
@@ -106,14 +107,14 @@
 
 // The instance types come from the store when the cloud does not respond.
 TEST(RestartAvailability, ServesUsersBeforeTheCloudResponds) {
-    World cluster({.nodes = 3});
+    SimulatedCluster cluster({.nodes = 3});
     cluster.run_for(5);
     cluster.intercept = [](int, const OutboundBody& call) {
         return std::holds_alternative<ListInstanceTypes>(call);
     };
     cluster.crash(1, 0.1);
     cluster.run_for(0.4);
-    EXPECT_EQ(cluster.probe(1), 200);
+    EXPECT_EQ(cluster.probe_readiness(1), 200);
     RequestId request_id = cluster.submit(1, cluster.job("req-1", 4));
     cluster.run_for(0.2);
     EXPECT_EQ(cluster.answers.at(request_id).status, 201);
@@ -133,16 +134,16 @@
 
 // One controller crashes every second, shortly after each start.
 TEST(RestartAvailability, CrashLoopOfOneControllerDoesNotAffectOthers) {
-    World cluster({.nodes = 5, .run_s = 10, .limits = 12, .capacity = 64});
+    SimulatedCluster cluster({.nodes = 5, .run_s = 10, .limits = 12, .capacity = 64});
     cluster.run_for(3);
     JobSpec other_job = cluster.job("req-1", 600, 2);
     other_job.team = "blue";
-    int looping = cluster.owner(partition_of_team(cluster.facts(0), "red"));
-    ASSERT_NE(looping, cluster.owner(partition_of_team(cluster.facts(0), "blue")));
+    int looping = cluster.owner(partition_of_team(cluster.cluster_settings(0), "red"));
+    ASSERT_NE(looping, cluster.owner(partition_of_team(cluster.cluster_settings(0), "blue")));
     cluster.submit((looping + 1) % 5, other_job);
     cluster.run_for(15);
-    std::size_t catalog_reads = cluster.calls_of("catalog");
-    std::size_t leaderships = cluster.logged("event=leadership_acquired");
+    std::size_t catalog_reads = cluster.request_count("catalog");
+    std::size_t leaderships = cluster.log_count("event=leadership_acquired");
     std::vector<std::string> accepted;
     for (int k = 0; k < 60; ++k) {
         cluster.crash(looping, 0.05);
@@ -157,9 +158,9 @@
     }
     EXPECT_EQ(accepted.size(), 60u);
     EXPECT_TRUE(cluster.all_done("req-1"));
-    EXPECT_LE(cluster.calls_of("catalog"), catalog_reads + 1);
+    EXPECT_LE(cluster.request_count("catalog"), catalog_reads + 1);
     // The controller reacquires its own partition each time; no partition fails over.
-    EXPECT_LE(cluster.logged("event=leadership_acquired"), leaderships + 60);
+    EXPECT_LE(cluster.log_count("event=leadership_acquired"), leaderships + 60);
     cluster.run_for(120);
     for (const auto& id : accepted) {
         EXPECT_TRUE(cluster.all_done(id)) << id;
@@ -170,21 +171,21 @@
 // All controllers start during a store outage. None could serve users better than another, and the
 // load balancer would keep avoiding a controller that is not ready long after the outage.
 TEST(RestartAvailability, AllControllersAreReadyWhenStartedDuringAStoreOutage) {
-    World cluster({.nodes = 3});
+    SimulatedCluster cluster({.nodes = 3});
     cluster.run_for(5);
-    cluster.state_down(true);
+    cluster.set_store_down(true);
     for (int n = 0; n < 3; ++n) {
         cluster.crash(n, 0.3);
     }
     cluster.run_for(1.2);
     for (int n = 0; n < 3; ++n) {
-        EXPECT_EQ(cluster.probe(n), 200) << n;
+        EXPECT_EQ(cluster.probe_readiness(n), 200) << n;
         RequestId request_id = cluster.submit(n, cluster.job("req-1", 4));
         cluster.run_for(0.2);
         EXPECT_EQ(cluster.answers.at(request_id).status, 503);
         EXPECT_GT(cluster.answers.at(request_id).retry_after_s, 0);
     }
-    cluster.state_down(false);
+    cluster.set_store_down(false);
     cluster.run_for(1);
     RequestId request_id = cluster.submit(2, cluster.job("req-1", 4));
     cluster.run_for(0.2);
@@ -192,14 +193,14 @@
 }
 
 TEST(RestartAvailability, ControllerThatAloneIsRefusedByTheStoreIsNotReady) {
-    World cluster({.nodes = 3});
+    SimulatedCluster cluster({.nodes = 3});
     cluster.run_for(5);
-    cluster.state_refuses(1, true);
+    cluster.set_store_refusing(1, true);
     cluster.crash(1, 0.3);
     for (int k = 0; k < 20; ++k) {
         cluster.run_for(0.5);
-        EXPECT_EQ(cluster.probe(1), 503) << k;
-        EXPECT_EQ(cluster.probe(0), 200) << k;
+        EXPECT_EQ(cluster.probe_readiness(1), 503) << k;
+        EXPECT_EQ(cluster.probe_readiness(0), 200) << k;
     }
 }
 
@@ -369,7 +370,7 @@
 constexpr Time kOutageStart_s = 62;   // store outage, longer than a partition leader's lease
 constexpr Time kPeersCutStart_s = 95; // controllers cannot reach each other
 
-void crash_after_output(World& cluster, const CrashPoint& point, const CrashPlan& plan,
+void crash_after_output(SimulatedCluster& cluster, const CrashPoint& point, const CrashPlan& plan,
                         int& crashes) {
     int last = -1;
     cluster.after_output = [&cluster, &point, plan, &crashes,
@@ -396,7 +397,7 @@
 
 // Runs jobs of each kind for 150 s with a controller that crashes and comes back, shard migrations,
 // a cancellation, a store outage, controllers that cannot reach each other and preempted machines.
-void run_workload(World& cluster) {
+void run_workload(SimulatedCluster& cluster) {
     auto job = [&](const std::string& id, std::uint32_t tasks, const std::string& team) {
         JobSpec spec = cluster.job(id, tasks, 2);
         spec.team = team;
@@ -448,16 +449,16 @@
     for (Time time : {28, 44, 58, 104, 112}) {
         cluster.at(time, [&cluster] {
             for (int partition = 0; partition < kControllers; ++partition) {
-                auto shards = cluster.shares(partition);
-                if (!shards.empty() &&
-                    cluster.give(partition, shards.front(), (partition + 1) % kControllers)) {
+                auto shards = cluster.held_shards(partition);
+                if (!shards.empty() && cluster.migrate_shard(partition, shards.front(),
+                                                             (partition + 1) % kControllers)) {
                     return;
                 }
             }
         });
     }
-    cluster.at(kOutageStart_s, [&cluster] { cluster.state_down(true); });
-    cluster.at(kOutageStart_s + 16, [&cluster] { cluster.state_down(false); });
+    cluster.at(kOutageStart_s, [&cluster] { cluster.set_store_down(true); });
+    cluster.at(kOutageStart_s + 16, [&cluster] { cluster.set_store_down(false); });
     auto cut_all_peers = [&cluster](bool cut) {
         for (int a = 0; a < kControllers; ++a) {
             for (int b = 0; b <= a; ++b) {
@@ -472,7 +473,7 @@
             for (int k = 5; k >= 0; --k) {
                 auto machines = cluster.machines_of({"gang-" + std::to_string(k), 0});
                 if (!machines.empty()) {
-                    cluster.take_machine(*machines.begin(), 8);
+                    cluster.preempt_machine(*machines.begin(), 8);
                     return;
                 }
             }
@@ -481,11 +482,11 @@
     cluster.run_until(150);
 }
 
-WorldOptions sixty_machines(std::uint64_t seed) {
+SimulationOptions sixty_machines(std::uint64_t seed) {
     return {.seed = seed, .nodes = kControllers, .run_s = 10, .limits = 12, .capacity = 64};
 }
 
-void expect_all_jobs_finish(World& cluster, Time by) {
+void expect_all_jobs_finish(SimulatedCluster& cluster, Time by) {
     auto all_finished = [&] {
         auto outcomes = cluster.outcomes();
         return std::all_of(outcomes.begin(), outcomes.end(),
@@ -495,7 +496,7 @@
         cluster.run_for(5);
     }
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
-    EXPECT_EQ(cluster.served_under(0.99), std::vector<std::string>{});
+    EXPECT_EQ(cluster.groups_served_below(0.99), std::vector<std::string>{});
     for (const auto& [id, outcome] : cluster.outcomes()) {
         EXPECT_NE(outcome, Outcome::none) << id << cluster.describe(id);
     }
@@ -521,7 +522,7 @@
                                        {kPeersCutStart_s + 1, 0.2, 2, Target::alternating}};
     int total_crashes = 0;
     for (std::size_t k = 0; k < plans.size(); ++k) {
-        if (seeds_asked() == 0 && k % 3 != GetParam() % 3) {
+        if (extra_seed_count() == 0 && k % 3 != GetParam() % 3) {
             continue;
         }
         const CrashPlan& plan = plans[k];
@@ -529,7 +530,7 @@
                      " restart after " + std::to_string(plan.restart_s) + " times " +
                      std::to_string(plan.times) + " target " +
                      std::to_string(static_cast<int>(plan.target)));
-        World cluster(sixty_machines(GetParam() + k));
+        SimulatedCluster cluster(sixty_machines(GetParam() + k));
         int crashes = 0;
         crash_after_output(cluster, point, plan, crashes);
         run_workload(cluster);
@@ -550,9 +551,9 @@
 // late messages, outages and disconnections, or all of these.
 void play_random_crashes(std::uint64_t seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    WorldOptions options = sixty_machines(seed);
+    SimulationOptions options = sixty_machines(seed);
     options.drop = options.late = seed % 4 == 1 || seed % 4 == 3 ? 0.02 : 0;
-    World cluster(options);
+    SimulatedCluster cluster(options);
     std::mt19937_64 random(seed);
     auto random_below = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
     constexpr double kRestartDelays_s[] = {0, 0.02, 0.2, 1, 6};
@@ -577,11 +578,11 @@
         double duration_s = 1 + static_cast<double>(random_below(20));
         auto set_fault = [&cluster, a, b, fault](bool on) {
             switch (fault) {
-            case 0: cluster.state_refuses(a, on); break;
+            case 0: cluster.set_store_refusing(a, on); break;
             case 1: cluster.cut_workers(a, on); break;
             case 2: cluster.cut_peers(a, b, on); break;
-            case 3: cluster.state_down(on); break;
-            default: cluster.cloud_down(on);
+            case 3: cluster.set_store_down(on); break;
+            default: cluster.set_cloud_down(on);
             }
         };
         cluster.at(time, [set_fault] { set_fault(true); });
@@ -603,9 +604,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RestartRandom, testing::Range(1, 13));
 
-TEST(RestartSeeds, InvariantsHoldForAllRequestedSeeds) {
-    play_seeds_asked(13, play_random_crashes);
-}
+TEST(RestartSeeds, InvariantsHoldForAllRequestedSeeds) { run_extra_seeds(13, play_random_crashes); }
 
 } // namespace
 } // namespace scheduler::test
