--- a/tests/simulation/quota_model.cpp
+++ b/tests/simulation/quota_model.cpp
@@ -62,7 +62,8 @@
     history_checker_.configured(quota);
 }
 
-// Ignores revisions that a later change has replaced: a controller may have applied both at once.
+// A controller that receives two changes at once may log only the later one; the earlier one then
+// has no delay from this controller.
 void QuotaModel::record_applied(const std::string& line) {
     static const std::string kRevision = " revision=";
     const char* revision = line.c_str() + line.find(kRevision) + kRevision.size();
