--- a/tests/lease_extension_test.cpp
+++ b/tests/lease_extension_test.cpp
@@ -37,6 +37,7 @@
         extender = std::make_unique<LeaseExtender>(settings, kMaxExtensionS, requests, lease,
                                                    job_cache, *quota_config);
     }
+    // Returns the requests that the extender sends. The store last responded at `last_response`.
     std::vector<OutboundRequest> tick(Time now, Time last_response) {
         extender->tick(now, last_response, last_response,
                        [this](Time, const std::string& job) { cancelled.push_back(job); });
@@ -44,6 +45,7 @@
         requests.drain_into(out);
         return out.requests;
     }
+    // Answers a request; without a response the request has failed.
     void respond(Time now, const OutboundRequest& request,
                  std::optional<LeaseExtensionResponse> extension_response) {
         OutboundResponse response;
@@ -181,10 +183,12 @@
 
 // ---- Store outages in a simulated cluster ----
 
+// The partition of team "red", which owns the jobs of these tests.
 int red_partition(const SimulatedCluster& cluster) {
     return partition_of_team(cluster.cluster_settings(0), "red");
 }
 
+// Submits a job and waits until it runs.
 void start_job(SimulatedCluster& cluster, const std::string& id, std::uint32_t tasks) {
     cluster.run_for(20); // until controllers have run long enough to grant extensions
     cluster.submit(0, cluster.job(id, tasks));
