--- a/bench/share_bench.cpp
+++ b/bench/share_bench.cpp
@@ -76,8 +76,8 @@
     log.clear();
     int moves = 0;
     for (int k = 0; k < 5; ++k) {
-        auto shards = cluster.shares(k);
-        moves += !shards.empty() && cluster.give(k, shards[0], (k + 1) % 5);
+        auto shards = cluster.held_shards(k);
+        moves += !shards.empty() && cluster.migrate_shard(k, shards[0], (k + 1) % 5);
     }
     auto moved = count(20);
     std::map<std::string, Time> passing;
@@ -117,7 +117,7 @@
     }
     std::map<int, double> load; // machines, by the node that answers for them
     for (const auto& name : cluster.machines_up()) {
-        load[cluster.node_of(name)] += 1;
+        load[cluster.controller_of(name)] += 1;
     }
     double most = 0;
     double all = 0;
--- a/src/scale/checker.cpp
+++ b/src/scale/checker.cpp
@@ -89,7 +89,7 @@
     used_[spec->team] += spec->cpus;
     check_quota(event.time, spec->team, task);
     history_checker_.started(event.time, event.task, event.time);
-    history_checker_.there(event.time, event.task);
+    history_checker_.task_on_machine(event.time, event.task);
 }
 
 void Checker::task_stopped(const Event& event) {
@@ -97,7 +97,7 @@
     if (it == placements_.end() || it->second.machine != event.machine) {
         return; // the second of two, named before
     }
-    history_checker_.there(event.time, event.task);
+    history_checker_.task_on_machine(event.time, event.task);
     auto spec = settings_.job(event.task.job);
     --zones_[event.task.job][it->second.zone];
     check_quota(event.time, spec->team, "still there");
@@ -119,7 +119,7 @@
 
 void Checker::finish(Time now) {
     for (const auto& [task, place] : placements_) {
-        history_checker_.there(now, task);
+        history_checker_.task_on_machine(now, task);
     }
     for (const auto& [team, limit] : limits_) {
         check_quota(now, team, "at the end");
--- a/src/scale/checker.h
+++ b/src/scale/checker.h
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "scale/history.h"
-#include "simulation/judge.h"
+#include "simulation/history_checker.h"
 
 namespace scheduler::scale {
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,5 +1,5 @@
 // Guarantees and limits of teams that change while the service runs: five controllers, sixty
-// machines, 280 teams, and random_faults. Quota is judged against the limit in force, see
+// machines, 280 teams, and faults. Quota is judged against the limit in force, see
 // SimulatedCluster::judge_quota. The argument of each rule is in docs/configuration.md.
 #include <gtest/gtest.h>
 
@@ -366,7 +366,7 @@
     EXPECT_TRUE(kept());
 }
 
-// ---- Crossed with random_faults ----
+// ---- Crossed with faults ----
 
 enum class Change { lowered, raised, guarantee };
 constexpr const char* kChange[] = {"lowered", "raised", "guarantee"};
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -1,6 +1,6 @@
-// Each history_checker fails on a made history that breaks what it judges, and on no history that
+// Each history checker fails on a made history that breaks what it judges, and on no history that
 // keeps it.
-#include "simulation/judge.h"
+#include "simulation/history_checker.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/meeting_rows_test.cpp
+++ b/tests/meeting_rows_test.cpp
@@ -471,7 +471,7 @@
     }
     ASSERT_TRUE(cluster.broken.empty()) << cluster.broken.front() << " at " << cluster.now();
     cluster.run_for(cluster.cluster_settings(0).cancel_s);
-    cluster.start_polling_open_jobs(); // the random_faults are over
+    cluster.start_polling_open_jobs(); // the faults are over
     cluster.run_for(260);
     for (const auto& [id, outcome] : cluster.outcomes()) {
         if (cluster.spec_of(id).kind == JobKind::service && outcome == Outcome::none) {
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -1,5 +1,5 @@
-// Two random_faults at once: from a cancellation that users were told of to the last task. See
-// "From a cancellation to the last task" in docs/meetings.md.
+// Two faults at once: from a cancellation that users were told of to the last task. See "From a
+// cancellation to the last task" in docs/meetings.md.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -281,7 +281,7 @@
     }
 }
 
-// Three random_faults at once, again and again, with users who submit, ask and cancel; then none.
+// Three faults at once, again and again, with users who submit, ask and cancel; then none.
 void play_at_random(std::uint64_t seed, bool limits_change = false) {
     const Times& t = kTimes[seed % 3];
     SimulatedCluster cluster({.seed = seed,
@@ -326,7 +326,7 @@
         }
         std::vector<std::function<void()>> undo;
         std::set<std::string> cut;
-        int node = any(5); // most random_faults are this one's
+        int node = any(5); // most faults are this one's
         for (int k = 2 + any(3); k > 0; --k) {
             switch (any(26)) {
             case 0:
@@ -468,7 +468,7 @@
             cluster.configure(quota);
         }
     }
-    cluster.start_polling_open_jobs(); // all random_faults are over
+    cluster.start_polling_open_jobs(); // all faults are over
     for (int k = 0; k < 100; ++k) {
         cluster.run_for(10);
         for (const auto& [id, outcome] : cluster.outcomes()) {
--- a/tests/restart_test.cpp
+++ b/tests/restart_test.cpp
@@ -453,7 +453,7 @@
     return {.seed = seed, .nodes = kNodes, .run_s = 10, .limits = 12, .capacity = 64};
 }
 
-void history_checker(SimulatedCluster& cluster, Time by) {
+void expect_all_jobs_end(SimulatedCluster& cluster, Time by) {
     auto over = [&] {
         auto outcomes = cluster.outcomes();
         return std::all_of(outcomes.begin(), outcomes.end(),
@@ -501,7 +501,7 @@
         strike(cluster, point, s, struck);
         day(cluster);
         cluster.after_output = nullptr;
-        history_checker(cluster, 700);
+        expect_all_jobs_end(cluster, 700);
         struck_in_all += struck;
         if (HasFailure()) {
             return;
@@ -558,7 +558,7 @@
     cluster.run_until(170);
     cluster.after_output = nullptr;
     EXPECT_GT(in_all, 1);
-    history_checker(cluster, 900);
+    expect_all_jobs_end(cluster, 900);
 }
 
 class RestartRandom : public testing::TestWithParam<int> {};
