--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -195,12 +195,12 @@
     cluster.submit(0, more);
     cluster.run_for(20);
     int leader = cluster.owner(partition_of_red(cluster));
-    std::size_t released = cluster.logged("event=machine_released");
+    std::size_t released = cluster.log_count("event=machine_released");
     cluster.cut_workers(leader, true);
     cluster.run_for(8);
     // A leader that no worker reaches must not treat its machines as failed. It once released them
     // one after the other, each with the tasks that it ran.
-    EXPECT_EQ(cluster.logged("event=machine_released"), released);
+    EXPECT_EQ(cluster.log_count("event=machine_released"), released);
     cluster.run_for(17);
     EXPECT_NE(cluster.owner(partition_of_red(cluster)), leader);
     cluster.run_for(120);
--- a/tests/history_checker_test.cpp
+++ b/tests/history_checker_test.cpp
@@ -44,17 +44,18 @@
     bool reported_only(const std::string& prefix) const {
         return checker.broken.size() == 1 && checker.broken[0].starts_with(prefix);
     }
-    HistoryChecker::Room free_capacity(double cpus, const char* zone = "a", bool spot = true) {
+    HistoryChecker::FreeCapacity free_capacity(double cpus, const char* zone = "a",
+                                               bool spot = true) {
         return {zone, spot, &type, cpus, 0, 32};
     }
     // Returns for how many of 90 s the checker counts the job as waiting next to this free
     // capacity.
     double idle_seconds(const HistoryChecker::WaitingJob& waiting_job,
-                        const std::vector<HistoryChecker::Room>& capacities,
+                        const std::vector<HistoryChecker::FreeCapacity>& capacities,
                         std::pair<double, double> used = {0, 0}) {
         checker.faults_ended(100);
         for (Time t = 100; t <= 190; t += 1) {
-            checker.look(t, capacities, {waiting_job}, {{"red", used}});
+            checker.observe_capacity(t, capacities, {waiting_job}, {{"red", used}});
         }
         return checker.longest_idle();
     }
@@ -140,14 +141,14 @@
     record_answered_request(5, RequestKind::cancel, "req-1", 200, "cancelled"); // received at 5.1
     checker.started(5.5, {"req-1", 1}, 5.0);
     checker.started(8, {"req-1", 2}, 7.1);
-    checker.there(47, {"req-1", 0});
+    checker.task_on_machine(47, {"req-1", 0});
     EXPECT_TRUE(checker.broken.empty());
     const HistoryChecker::LateStarts& late_starts = checker.late_starts();
     EXPECT_EQ(late_starts.sent_before_response, 1);
     EXPECT_EQ(late_starts.sent_after_response, 1);
     EXPECT_NEAR(late_starts.longest_s, 2.9, 1e-9);
     EXPECT_NEAR(late_starts.longest_sent_s, 2, 1e-9);
-    checker.there(47.2, {"req-1", 0});
+    checker.task_on_machine(47.2, {"req-1", 0});
     EXPECT_TRUE(reported_only("ran_cancelled"));
     EXPECT_NEAR(checker.longest_cancelled(), 42.1, 1e-9);
 }
@@ -172,7 +173,7 @@
     EXPECT_EQ(idle_seconds({"req-1", 2, {}}, {free_capacity(2)}, {23, 0}), 0);
     checker.faults_ended(100);
     for (Time t = 100; t <= 190; t += 1) {
-        checker.look(t, {free_capacity(2)}, {{"req-1", 2, {}}}, {});
+        checker.observe_capacity(t, {free_capacity(2)}, {{"req-1", 2, {}}}, {});
         if (t == 150) {
             checker.started(t, {"req-1", 0}, t);
         }
--- a/tests/quota_config_test.cpp
+++ b/tests/quota_config_test.cpp
@@ -308,7 +308,7 @@
     cluster.run_for(30);
     cluster.put("config/team/red", UnreadableRecord{});
     cluster.run_for(10);
-    EXPECT_GE(cluster.logged("event=record_unreadable"), 5U);
+    EXPECT_GE(cluster.log_count("event=record_unreadable"), 5U);
     TeamQuota impossible = quota_of_red(0);
     impossible.guaranteed_cpus = -1;
     cluster.put("config/team/red", QuotaRecord{impossible});
@@ -486,8 +486,8 @@
         break;
     case shards_migrate: {
         int partition = partition_of_team(cluster.cluster_settings(0), "red");
-        for (const auto& shard : cluster.shares(partition)) {
-            cluster.give(partition, shard, (partition + 1) % 5);
+        for (const auto& shard : cluster.held_shards(partition)) {
+            cluster.migrate_shard(partition, shard, (partition + 1) % 5);
             cluster.run_for(0.2);
         }
         break;
--- a/tests/seeds.h
+++ b/tests/seeds.h
@@ -1,5 +1,5 @@
-// Seeds of the randomised tests beyond those of CI: SCHEDULER_SEEDS=200 asks for so many, from
-// SCHEDULER_FIRST_SEED on.
+// Runs randomized tests with further seeds than those of CI: SCHEDULER_SEEDS=200 runs 200 of them,
+// from SCHEDULER_FIRST_SEED on.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -10,19 +10,19 @@
 
 namespace scheduler::test {
 
-inline int seeds_asked() {
+inline int extra_seed_count() {
     const char* seeds = std::getenv("SCHEDULER_SEEDS");
     return seeds ? std::atoi(seeds) : 0;
 }
 
-// Skips the test where none are asked for.
-template <class Play> void play_seeds_asked(int usual_first, Play play) {
-    if (seeds_asked() == 0) {
+// Skips the test if SCHEDULER_SEEDS is not set.
+template <class Play> void run_extra_seeds(int default_first_seed, Play play) {
+    if (extra_seed_count() == 0) {
         GTEST_SKIP() << "SCHEDULER_SEEDS is not set";
     }
     const char* from = std::getenv("SCHEDULER_FIRST_SEED");
-    int first = from ? std::atoi(from) : usual_first;
-    for (int seed = first; seed < first + seeds_asked(); ++seed) {
+    int first = from ? std::atoi(from) : default_first_seed;
+    for (int seed = first; seed < first + extra_seed_count(); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         play(static_cast<std::uint64_t>(seed));
     }
--- a/tests/simulation/quota_model.cpp
+++ b/tests/simulation/quota_model.cpp
@@ -1,5 +1,3 @@
-/// @file
-/// Teams' limits: see quota_model.h.
 #include "simulation/quota_model.h"
 
 #include <algorithm>
@@ -11,15 +9,17 @@
 namespace scheduler::test {
 
 namespace {
-/// Sums of CPUs are compared up to this.
-constexpr double kRounding = 1e-6;
+// Tolerance for rounding errors in sums of CPUs.
+constexpr double kRoundingError = 1e-6;
 } // namespace
 
-QuotaModel::QuotaModel(const WorldOptions& options, EventQueue& clock, const WorkerModel& workers,
-                       KvStoreModel& store, Judge& judge)
-    : options_(options), clock_(clock), workers_(workers), store_(store), judge_(judge) {
-    for (const auto& team : team_facts(options_)) {
-        limits_[team.name].facts = team;
+QuotaModel::QuotaModel(const SimulationOptions& options, EventQueue& clock,
+                       const WorkerModel& workers, KvStoreModel& store,
+                       HistoryChecker& history_checker)
+    : options_(options), clock_(clock), workers_(workers), store_(store),
+      history_checker_(history_checker) {
+    for (const auto& team : team_quotas(options_)) {
+        limits_[team.name].quota = team;
     }
 }
 
@@ -37,7 +37,7 @@
     return true;
 }
 
-int QuotaModel::configure_over(const TeamQuota& quota, std::uint64_t version) {
+int QuotaModel::configure_if_version(const TeamQuota& quota, std::uint64_t version) {
     if (store_.down()) {
         return 503;
     }
@@ -53,23 +53,22 @@
 
 void QuotaModel::written(const TeamQuota& quota, std::uint64_t revision) {
     Limit& limit = limits_.at(quota.name);
-    if (quota.limit() < limit.facts.limit()) {
+    if (quota.limit() < limit.quota.limit()) {
         double& before = limit.before[clock_.now() - outage_s_ + options_.cancel_s];
-        before = std::max(before, limit.facts.limit());
+        before = std::max(before, limit.quota.limit());
     }
-    limit.facts = quota;
+    limit.quota = quota;
     written_[revision] = {quota.name, clock_.now()};
-    judge_.configured(quota);
+    history_checker_.configured(quota);
 }
 
-// Of a change that another has followed since, nothing is known: a controller may have seen both at
-// once.
-void QuotaModel::note_in_force(const std::string& line) {
+// Ignores revisions that a later change has replaced: a controller may have applied both at once.
+void QuotaModel::record_applied(const std::string& line) {
     static const std::string kRevision = " revision=";
     const char* revision = line.c_str() + line.find(kRevision) + kRevision.size();
     auto found = written_.find(std::strtoull(revision, nullptr, 10));
     if (found != written_.end()) {
-        in_force_after_.push_back(clock_.now() - found->second.when);
+        quota_delays_s_.push_back(clock_.now() - found->second.when);
     }
 }
 
@@ -85,19 +84,20 @@
 void QuotaModel::check(const std::string& team, double used) {
     auto known = limits_.find(team);
     if (known == limits_.end()) {
-        return; // no team of the settings: accepted under earlier ones
+        return; // not in the settings: the job was accepted under earlier ones
     }
     Limit& limit = known->second;
-    // Nobody can have heard of a change in an outage, if nobody had before.
+    // Controllers that had not learned of a change before an outage cannot do so during it, so
+    // outages extend the time for which earlier limits count.
     std::erase_if(limit.before,
                   [&](const auto& lowered) { return clock_.now() - outage_s_ > lowered.first; });
-    double most = limit.facts.limit();
+    double most = limit.quota.limit();
     for (const auto& [until, before] : limit.before) {
         most = std::max(most, before);
     }
-    if (used > most + kRounding) {
-        judge_.broken.push_back("quota " + team + " uses " + std::to_string(used) + " of " +
-                                std::to_string(most));
+    if (used > most + kRoundingError) {
+        history_checker_.broken.push_back("quota " + team + " uses " + std::to_string(used) +
+                                          " of " + std::to_string(most));
     }
 }
 
@@ -105,8 +105,8 @@
     std::map<std::string, double> used;
     for (const auto& [name, worker] : workers_.all()) {
         for (const auto& [task, state] : worker.tasks) {
-            if (judge_.knows(task.job) && on_machine(state.stage)) {
-                const JobSpec& spec = judge_.spec(task.job);
+            if (history_checker_.knows(task.job) && on_machine(state.stage)) {
+                const JobSpec& spec = history_checker_.spec(task.job);
                 used[spec.team] += options_.gpus ? spec.gpus : spec.cpus;
             }
         }
--- a/tests/simulation/random_source.cpp
+++ b/tests/simulation/random_source.cpp
@@ -1,5 +1,3 @@
-/// @file
-/// Random draws: see random_source.h.
 #include "simulation/random_source.h"
 
 #include <utility>
--- a/tests/simulation/user_model.h
+++ b/tests/simulation/user_model.h
@@ -1,5 +1,4 @@
-/// @file
-/// The users: what they ask of controllers, and the answers that they get.
+// The users: their requests to controllers and the responses that they get.
 #pragma once
 
 #include <cstddef>
@@ -10,63 +9,67 @@
 #include "core/messaging/messages.h"
 #include "simulation/controller_model.h"
 #include "simulation/event_queue.h"
-#include "simulation/judge.h"
+#include "simulation/history_checker.h"
 #include "simulation/options.h"
 #include "simulation/pending_requests.h"
 #include "simulation/random_source.h"
 
 namespace scheduler::test {
 
-/// Sends users' requests, tells the judge of them and of the answers.
+// Sends the requests of users, and passes them and the responses to the history checker.
 class UserModel {
   public:
-    UserModel(const WorldOptions& options, const Troubles& troubles, EventQueue& clock,
-              RandomSource& random, PendingRequests& requests, ControllerModel& controllers,
-              Judge& judge);
+    UserModel(const SimulationOptions& options, const RandomFaults& random_faults,
+              EventQueue& clock, RandomSource& random, PendingRequests& requests,
+              ControllerModel& controllers, HistoryChecker& history_checker);
 
     RequestId submit(int controller, const JobSpec& spec);
     RequestId poll(int controller, const std::string& job);
     RequestId cancel(int controller, const std::string& job);
-    /// What a health check gets now: a status.
-    int probe(int controller);
-    /// A repeated submission, a cancellation of a job that is done, jobs that can never run.
-    void send_odd_requests(const std::string& job);
-    /// From now on users ask for each open job every 5 s, at a controller that is ready. Returns
-    /// whether they did not so far.
-    bool start_asking();
+    // Returns the status of a readiness probe.
+    int probe_readiness(int controller);
+    // Sends a repeated submission, a cancellation if the job is done, and submissions that can
+    // never run.
+    void send_edge_case_requests(const std::string& job);
+    // From now on users poll each open job every 5 s, at a controller that is ready. Returns false
+    // if they did so already.
+    bool start_polling();
 
-    /// A controller answered a user's request.
-    void answered(const Response& answer);
-    /// A task has completed; its job's user may call the job off at the end of the last one.
+    // Called when a controller responds to a user's request.
+    void answered(const Response& response);
+    // Called when a task completes. At the last one the job's user may cancel the job.
     void task_completed(const TaskId& task);
 
-    /// Of the requests of close looks and odd ones, those that were answered with a job's stage.
-    std::size_t looks_answered() const { return looks_answered_; }
-    /// The answers so far, by request.
+    // Number of requests of concurrent status reads and edge cases that got the job's stage as
+    // response.
+    std::size_t status_reads_answered() const { return status_reads_answered_; }
+    // All responses so far, by request.
     std::map<RequestId, Response> answers;
 
   private:
-    /// A request that leads to no further close look.
-    void ask_closely(int controller, Judge::Ask what, const std::string& job);
-    void ask(RequestId request_id, int controller, Judge::Ask what, const std::string& job);
-    RequestId ask(int controller, Judge::Ask what, const std::string& job);
-    /// At all controllers within milliseconds: a poll, the submission once more; sometimes a
-    /// cancellation.
-    void look_closely(const std::string& job);
-    void ask_all();
+    // Sends a request that does not lead to further concurrent status reads.
+    void send_follow_up(int controller, HistoryChecker::RequestKind kind, const std::string& job);
+    void send_request(RequestId request_id, int controller, HistoryChecker::RequestKind kind,
+                      const std::string& job);
+    RequestId send_request(int controller, HistoryChecker::RequestKind kind,
+                           const std::string& job);
+    // Sends status reads and repeated submissions to all controllers within milliseconds, and
+    // sometimes a cancellation.
+    void send_concurrent_status_reads(const std::string& job);
+    void poll_open_jobs();
     int any_controller();
 
-    const WorldOptions& options_;
-    const Troubles& troubles_;
+    const SimulationOptions& options_;
+    const RandomFaults& random_faults_;
     EventQueue& clock_;
     RandomSource& random_;
     PendingRequests& requests_;
     ControllerModel& controllers_;
-    Judge& judge_;
-    bool asking_ = false;
-    /// Requests that led to no further ones.
-    std::set<RequestId> looks_;
-    std::size_t looks_answered_ = 0;
+    HistoryChecker& history_checker_;
+    bool polling_ = false;
+    // Requests that do not lead to further ones.
+    std::set<RequestId> follow_up_requests_;
+    std::size_t status_reads_answered_ = 0;
 };
 
 } // namespace scheduler::test
