--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -15,8 +15,8 @@
 
 // Polls the job at the controller. Returns its stage, the response status if that is not 200, or
 // "no answer".
-std::string poll_stage(SimulatedCluster& cluster, int node, const std::string& job) {
-    RequestId id = cluster.poll(node, job);
+std::string poll_stage(SimulatedCluster& cluster, int controller, const std::string& job) {
+    RequestId id = cluster.poll(controller, job);
     cluster.run_for(0.5);
     auto it = cluster.answers.find(id);
     if (it == cluster.answers.end() || it->second.status != 200) {
@@ -42,8 +42,8 @@
     submit_and_await_start(cluster, "req-1", 5);
     cluster.run_for(30);
     EXPECT_TRUE(cluster.all_done("req-1"));
-    for (int node = 0; node < 3; ++node) {
-        EXPECT_EQ(poll_stage(cluster, node, "req-1"), "done");
+    for (int controller = 0; controller < 3; ++controller) {
+        EXPECT_EQ(poll_stage(cluster, controller, "req-1"), "done");
     }
     EXPECT_TRUE(cluster.broken.empty()) << cluster.broken.front();
 }
@@ -428,8 +428,8 @@
     submit_and_await_start(cluster, "req-1", 12);
     int borrower = cluster.owner(partition_of_red(cluster));
     // The borrower's start commands are lost, and it crashes before these tasks are reconciled.
-    cluster.intercept = [&](int node, const OutboundBody& body) {
-        return node == borrower && std::holds_alternative<WorkerCommands>(body);
+    cluster.intercept = [&](int controller, const OutboundBody& body) {
+        return controller == borrower && std::holds_alternative<WorkerCommands>(body);
     };
     cluster.submit(0, cluster.job("req-2", 12));
     cluster.run_for(6);
@@ -657,11 +657,11 @@
 TEST_P(ControllerRandomFaults, InvariantsHoldAndEveryJobEnds) {
     {
         auto seed = static_cast<std::uint64_t>(GetParam().first);
-        int nodes = GetParam().second;
+        int controllers = GetParam().second;
         SCOPED_TRACE("seed " + std::to_string(seed));
         bool gpus = seed % 4 >= 2;
         SimulatedCluster cluster({.seed = seed,
-                                  .nodes = nodes,
+                                  .nodes = controllers,
                                   .drop = 0.03,
                                   .late = 0.03,
                                   .run_s = 10,
@@ -693,7 +693,7 @@
                     spec.spread = random_below(2) != 0;
                     services.insert(spec.id);
                 }
-                cluster.submit(random_below(nodes), spec);
+                cluster.submit(random_below(controllers), spec);
             }
             std::string job = "req-" + std::to_string(1 + random_below(std::max(1, jobs)));
             switch (random_below(14)) {
@@ -703,12 +703,13 @@
                 }
                 break;
             case 8:
-                cluster.cut_peers(random_below(nodes), random_below(nodes), random_below(2) != 0);
+                cluster.cut_peers(random_below(controllers), random_below(controllers),
+                                  random_below(2) != 0);
                 break;
-            case 0: cluster.crash(random_below(nodes), 1 + random_below(20)); break;
+            case 0: cluster.crash(random_below(controllers), 1 + random_below(20)); break;
             case 1: cluster.set_store_down(true); break;
-            case 2: cluster.set_store_refusing(random_below(nodes), true); break;
-            case 3: cluster.cut_workers(random_below(nodes), true); break;
+            case 2: cluster.set_store_refusing(random_below(controllers), true); break;
+            case 3: cluster.cut_workers(random_below(controllers), true); break;
             case 4:
                 if (auto up = cluster.machines_up(); !up.empty()) {
                     cluster.cut_machine(up[random_below(static_cast<int>(up.size()))],
@@ -720,32 +721,32 @@
                     cluster.kill_machine(up[random_below(static_cast<int>(up.size()))]);
                 }
                 break;
-            case 6: cluster.cancel(random_below(nodes), job); break;
+            case 6: cluster.cancel(random_below(controllers), job); break;
             case 7: cluster.set_cloud_down(random_below(2) != 0); break;
             default:
                 cluster.set_store_down(false);
-                for (int n = 0; n < nodes; ++n) {
+                for (int n = 0; n < controllers; ++n) {
                     cluster.set_store_refusing(n, false);
                     cluster.cut_workers(n, false);
                 }
-                cluster.poll(random_below(nodes), job);
+                cluster.poll(random_below(controllers), job);
             }
             ASSERT_TRUE(cluster.broken.empty())
                 << cluster.broken.front() << " at " << cluster.now();
         }
         cluster.set_store_down(false);
         cluster.set_cloud_down(false);
-        for (int n = 0; n < nodes; ++n) {
+        for (int n = 0; n < controllers; ++n) {
             cluster.set_store_refusing(n, false);
             cluster.cut_workers(n, false);
-            for (int to = 0; to < nodes; ++to) {
+            for (int to = 0; to < controllers; ++to) {
                 cluster.cut_peers(n, to, false);
             }
         }
         cluster.run_for(30);
         // Services run until they are cancelled; the user repeats the request at each controller.
         for (const auto& id : services) {
-            for (int n = 0; n < nodes; ++n) {
+            for (int n = 0; n < controllers; ++n) {
                 cluster.cancel(n, id);
                 cluster.run_for(0.2);
             }
--- a/tests/quota_config_test.cpp
+++ b/tests/quota_config_test.cpp
@@ -225,12 +225,12 @@
 // ---- Responses to users ----
 
 // Returns an interceptor that drops the controller's watch and reads of the quota configuration.
-auto drop_quota_config_reads(int node) {
-    return [node](int from, const OutboundBody& call) {
-        const auto* watch = std::get_if<StoreWatch>(&call);
-        const auto* range = std::get_if<StoreRange>(&call);
-        return from == node && ((watch && watch->prefix == kQuotaConfigPrefix) ||
-                                (range && range->prefix == kQuotaConfigPrefix));
+auto drop_quota_config_reads(int controller) {
+    return [controller](int from, const OutboundBody& request) {
+        const auto* watch = std::get_if<StoreWatch>(&request);
+        const auto* range = std::get_if<StoreRange>(&request);
+        return from == controller && ((watch && watch->prefix == kQuotaConfigPrefix) ||
+                                      (range && range->prefix == kQuotaConfigPrefix));
     };
 }
 
@@ -286,8 +286,8 @@
 TEST_F(QuotaConfigTest, UnknownTeamIsRejectedOnlyAfterAFreshRead) {
     cluster.run_for(20);
     int reads = 0;
-    cluster.intercept = [&](int, const OutboundBody& call) {
-        const auto* get = std::get_if<StoreGet>(&call);
+    cluster.intercept = [&](int, const OutboundBody& request) {
+        const auto* get = std::get_if<StoreGet>(&request);
         reads += get && get->key == std::string(kQuotaConfigPrefix) + "nobody";
         return false;
     };
@@ -344,9 +344,9 @@
     int leader = leader_of_red();
     // Whichever controller takes over, its reads of the quota configuration are lost at first.
     bool lost = true;
-    cluster.intercept = [&](int, const OutboundBody& call) {
-        const auto* range = std::get_if<StoreRange>(&call);
-        const auto* watch = std::get_if<StoreWatch>(&call);
+    cluster.intercept = [&](int, const OutboundBody& request) {
+        const auto* range = std::get_if<StoreRange>(&request);
+        const auto* watch = std::get_if<StoreWatch>(&request);
         return lost && ((range && range->prefix == kQuotaConfigPrefix) ||
                         (watch && watch->prefix == kQuotaConfigPrefix));
     };
@@ -413,10 +413,10 @@
     QuotaConfigFaults()
         : QuotaConfigTest(3 + static_cast<std::uint64_t>(std::get<0>(GetParam()))) {}
     // Cuts the controller off from the store and its peers, or reconnects it.
-    void disconnect(int node, bool cut) {
-        cluster.set_store_silent(node, cut);
+    void disconnect(int controller, bool cut) {
+        cluster.set_store_silent(controller, cut);
         for (int to = 0; to < 5; ++to) {
-            cluster.cut_peers(node, to, cut);
+            cluster.cut_peers(controller, to, cut);
         }
     }
 };
@@ -449,8 +449,8 @@
     case store_responses_lost: cluster.random_faults.lost_responses = 0.4; break;
     case store_writes_delayed: cluster.random_faults.late_writes = 0.4; break;
     case store_watches_lost:
-        cluster.intercept = [](int, const OutboundBody& call) {
-            const auto* watch = std::get_if<StoreWatch>(&call);
+        cluster.intercept = [](int, const OutboundBody& request) {
+            const auto* watch = std::get_if<StoreWatch>(&request);
             return watch && watch->prefix == kQuotaConfigPrefix;
         };
         cluster.run_for(8); // until the watches in flight have ended
@@ -540,9 +540,9 @@
     int leader = leader_of_red();
     int outputs_left = GetParam();
     bool counting = false;
-    cluster.after_output = [&](int node, const OutboundRequest*,
+    cluster.after_output = [&](int controller, const OutboundRequest*,
                                const Response*) -> std::optional<double> {
-        if (!counting || node != leader || outputs_left < 0 || outputs_left-- > 0) {
+        if (!counting || controller != leader || outputs_left < 0 || outputs_left-- > 0) {
             return std::nullopt;
         }
         return 0.3;
