--- a/tests/borrowing_test.cpp
+++ b/tests/borrowing_test.cpp
@@ -279,7 +279,7 @@
     response.reconciled = response.complete = true;
     o.reply(2, 1, all, response);
     EXPECT_EQ(o.ended.size(), 1u);
-    for (int number = 0; number < shards_per_home(o.facts, 1); ++number) {
+    for (int number = 0; number < shards_per_home(o.cluster_settings, 1); ++number) {
         EXPECT_TRUE(o.borrowing->has_complete_inventory({1, number}));
     }
     EXPECT_FALSE(o.borrowing->has_complete_inventory({2, 0}));
