--- a/tests/wire_format.h
+++ b/tests/wire_format.h
@@ -1,13 +1,13 @@
-// The forms on the wire and in the store, pinned byte by byte in tests/data/wire_format.txt.
+// Golden encodings of every wire message and stored record, kept in tests/data/wire_format.txt.
 //
-// Why the file exists: while a release is rolled out, old and new controllers serve side by side.
-// They answer the same users and workers, call each other, and read each other's records in the
-// store. A change to any of these bytes is therefore a change of protocol, and never a side effect
-// of a change to the code. Each line of the file is a form: its name, a tab, its bytes in hex.
+// During a rolling upgrade, old and new controllers run side by side: they serve the same users and
+// workers, send each other requests, and read each other's records in the store. Any change to
+// these bytes is therefore a protocol change and must be deliberate. Each line of the file is one
+// encoding: its name, a tab, and its bytes in hex.
 //
-// A form that is new on purpose is added by running `WIRE_FORMAT_WRITE=<path> wire_test`, which
-// writes the whole file to that path and fails, so that nothing is rewritten silently; the
-// difference is then to be reviewed as a change of protocol.
+// To add an encoding, run `WIRE_FORMAT_WRITE=<path> wire_test`. It writes the whole file to that
+// path and then fails, so that the golden file is never rewritten silently. Review the difference
+// as a protocol change.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,8 @@
 
 namespace scheduler::test {
 
-// A field of a handwritten map; the value is packed already, so that a test can put anything there.
+// A field of a handwritten MessagePack map. The value is already packed, so that a test can use any
+// type.
 struct PackedField {
     std::string name;
     std::string value;
@@ -30,36 +31,38 @@
     msgpack::pack(buffer, value);
     return {buffer.data(), buffer.size()};
 }
-// The fields in the order given.
+// Packs the fields in the given order.
 std::string packed_map(const std::vector<PackedField>& fields);
 std::string packed_list(const std::vector<std::string>& packed_values);
 std::string packed_nil();
 
-// A message or a record whose bytes are pinned.
-struct WireForm {
+// A message or a record with a golden encoding.
+struct GoldenEncoding {
     std::string name;
-    // The bytes as today's encoder writes them; for a form that is only read, as this test spells
-    // it out field by field.
+    // Returns the bytes that the current encoder writes. For an encoding that is only decoded here,
+    // returns handwritten bytes.
     std::function<std::string()> encode;
-    // Decodes the pinned bytes and checks every field of the value; empty for what is only written.
-    std::function<void(const std::string& pinned)> check_decoding;
+    // Decodes the golden bytes and checks every field of the value. Empty if the scheduler never
+    // decodes this message.
+    std::function<void(const std::string& golden)> check_decoding;
 };
 
-// The first line of an HTTP request, and its body after a line feed.
-std::string request_bytes(const OutboundBody& call);
-std::string body_of(const std::string& request);
-// Compares as hex text, which a failure prints readably.
+// Returns the method and path of the HTTP request, a line feed, and its body.
+std::string request_bytes(const OutboundBody& request);
+std::string request_body(const std::string& request);
+// Compares the bytes as hex text, so that a failure is printed readably.
 void expect_same_bytes(const std::string& actual, const std::string& expected);
 
-// A record as a transaction writes it, and as a read of its key takes it in.
+// Returns the bytes of the record as a transaction writes them.
 std::string stored_bytes(const std::string& key, const StoredRecord& record);
+// Decodes the bytes as the value of this key.
 StoredRecord read_record(const std::string& key, const std::string& bytes);
 
-std::vector<WireForm> record_forms();
-std::vector<WireForm> peer_forms();
-std::vector<WireForm> user_forms();
-std::vector<WireForm> worker_forms();
-std::vector<WireForm> store_forms();
-std::vector<WireForm> cloud_forms();
+std::vector<GoldenEncoding> record_encodings();
+std::vector<GoldenEncoding> peer_encodings();
+std::vector<GoldenEncoding> user_encodings();
+std::vector<GoldenEncoding> worker_encodings();
+std::vector<GoldenEncoding> store_encodings();
+std::vector<GoldenEncoding> cloud_encodings();
 
 } // namespace scheduler::test
--- a/tests/wire_format_clients_test.cpp
+++ b/tests/wire_format_clients_test.cpp
@@ -1,4 +1,4 @@
-// Forms of the messages of users and workers; see wire_format.h.
+// Golden encodings of the messages of users and workers; see wire_format.h.
 #include "wire_format.h"
 
 #include <gtest/gtest.h>
@@ -8,12 +8,12 @@
 
 constexpr std::uint64_t kLargeAttempt = (1ULL << 50) + 3;
 
-// Numbers as other encoders write them: msgpack-c writes a whole number in its shortest form.
+// Numbers as other encoders write them; msgpack-c writes a whole number in its shortest encoding.
 const std::string kFloatOfFour("\xcb\x40\x10\x00\x00\x00\x00\x00\x00", 9);
 const std::string kWideTwo("\xcf\x00\x00\x00\x00\x00\x00\x00\x02", 9);
 
-// The value as the store keeps it: every field of a job in a form that can be compared.
-std::string bytes_of(const JobSpec& job) {
+// Returns the stored record of the job, which contains all its fields and can be compared.
+std::string stored_job_bytes(const JobSpec& job) {
     return stored_bytes("job/" + job.id, JobRecord{Outcome::none, job});
 }
 
@@ -31,8 +31,8 @@
          {"repot_s", packed(4.5)},      {"show_s", packed(900.5)}});
 }
 
-void check_full_submission(const std::string& pinned) {
-    JobSpec job = wire::parse_job(pinned);
+void check_full_submission(const std::string& golden) {
+    JobSpec job = wire::parse_job(golden);
     EXPECT_EQ(job.id, "req-000412");
     EXPECT_EQ(job.job_class, "train");
     EXPECT_EQ(job.team, "vision");
@@ -55,7 +55,7 @@
     EXPECT_EQ(job.deadline_s, 900.5);
 }
 
-// Amounts as integers and as short floats, fields in another order, one field that is not known.
+// Has amounts as integers and as 32-bit floats, fields in another order, and an unknown field.
 std::string minimal_submission(const std::string& kind, const std::string& priority) {
     return packed_map({{"repot_s", kFloatOfFour},
                        {"pot_s", packed(0)},
@@ -96,47 +96,50 @@
     return job;
 }
 
-WireForm minimal_submission_form(const std::string& kind_name, JobKind kind,
-                                 const std::string& priority_name, Priority priority) {
+GoldenEncoding minimal_submission_encoding(const std::string& kind_name, JobKind kind,
+                                           const std::string& priority_name, Priority priority) {
     return {"user/submit_" + kind_name + "_" + priority_name,
             [=] { return minimal_submission(kind_name, priority_name); },
-            [=](const std::string& pinned) {
-                expect_same_bytes(bytes_of(wire::parse_job(pinned)),
-                                  bytes_of(minimal_job(kind, priority)));
+            [=](const std::string& golden) {
+                expect_same_bytes(stored_job_bytes(wire::parse_job(golden)),
+                                  stored_job_bytes(minimal_job(kind, priority)));
             }};
 }
 
-// What is only written: users and workers read it.
-WireForm answer_form(const std::string& name, const ResponseBody& answer) {
-    return {name, [=] { return wire::encode_response(answer); }, nullptr};
+// A response that only users or workers decode.
+GoldenEncoding response_encoding(const std::string& name, const ResponseBody& response) {
+    return {name, [=] { return wire::encode_response(response); }, nullptr};
 }
 
-std::vector<WireForm> submission_forms() {
+std::vector<GoldenEncoding> submission_encodings() {
     return {
         {"user/submit_full", full_submission, check_full_submission},
-        minimal_submission_form("batch", JobKind::array, "prod", Priority::production),
-        minimal_submission_form("batch", JobKind::array, "standard", Priority::normal),
-        minimal_submission_form("ensemble", JobKind::gang, "high", Priority::high),
-        minimal_submission_form("standing", JobKind::service, "idle", Priority::low),
+        minimal_submission_encoding("batch", JobKind::array, "prod", Priority::production),
+        minimal_submission_encoding("batch", JobKind::array, "standard", Priority::normal),
+        minimal_submission_encoding("ensemble", JobKind::gang, "high", Priority::high),
+        minimal_submission_encoding("standing", JobKind::service, "idle", Priority::low),
     };
 }
 
-std::vector<WireForm> user_answer_forms() {
+std::vector<GoldenEncoding> user_response_encodings() {
     return {
-        answer_form("user/answer_job_full", JobStatusBody{"req-000412", "running", 70000, 16}),
-        answer_form("user/answer_job_pending", JobStatusBody{"req-1", "pending", 0, 0}),
-        answer_form("user/answer_job_done", JobStatusBody{"req-1", "done", {}, {}}),
-        answer_form("user/answer_job_done_count", JobStatusBody{"req-1", "done", 3, {}}),
-        answer_form("user/answer_job_running_count", JobStatusBody{"req-1", "running", {}, 3}),
-        answer_form("user/answer_job_cancelled", JobStatusBody{"req-1", "cancelled", {}, {}}),
-        answer_form("user/answer_error", TextBody{"no such job"}),
-        answer_form("user/answer_error_empty", TextBody{}),
-        answer_form("user/answer_redirect", LeaderRedirect{"n1"}),
-        answer_form("user/answer_redirect_unknown", LeaderRedirect{}),
+        response_encoding("user/answer_job_full",
+                          JobStatusBody{"req-000412", "running", 70000, 16}),
+        response_encoding("user/answer_job_pending", JobStatusBody{"req-1", "pending", 0, 0}),
+        response_encoding("user/answer_job_done", JobStatusBody{"req-1", "done", {}, {}}),
+        response_encoding("user/answer_job_done_count", JobStatusBody{"req-1", "done", 3, {}}),
+        response_encoding("user/answer_job_running_count",
+                          JobStatusBody{"req-1", "running", {}, 3}),
+        response_encoding("user/answer_job_cancelled", JobStatusBody{"req-1", "cancelled", {}, {}}),
+        response_encoding("user/answer_error", TextBody{"no such job"}),
+        response_encoding("user/answer_error_empty", TextBody{}),
+        response_encoding("user/answer_redirect", LeaderRedirect{"n1"}),
+        response_encoding("user/answer_redirect_unknown", LeaderRedirect{}),
     };
 }
 
-std::string listed_task(const std::string& task, std::uint64_t attempt, const std::string& stage) {
+std::string reported_task(const std::string& task, std::uint64_t attempt,
+                          const std::string& stage) {
     return packed_map(
         {{"petal", packed(task)}, {"sowing", packed(attempt)}, {"stage", packed(stage)}});
 }
@@ -148,8 +151,8 @@
                        {"wilt", packed(reason)}});
 }
 
-// Each stage and each reason to exit.
-std::string full_report() {
+// Contains each task stage and each exit reason.
+std::string full_heartbeat() {
     return packed_map(
         {{"pot", packed("i-1")},
          {"endpoint", packed("10.0.0.9:9000")},
@@ -162,15 +165,15 @@
          {"frost_s", packed(110.5)},
          {"petals",
           packed_list(
-              {listed_task("req-1/0", 1, "pulling"), listed_task("req-1/1", 2, "waiting"),
-               listed_task("req-1/70000", 3, "running"), listed_task("req-1/3", 4, "flushing"),
+              {reported_task("req-1/0", 1, "pulling"), reported_task("req-1/1", 2, "waiting"),
+               reported_task("req-1/70000", 3, "running"), reported_task("req-1/3", 4, "flushing"),
                exited_task("req-000412/0", "done"), exited_task("req-000412/1", "halted"),
                exited_task("req-000412/2", "mates_gone"), exited_task("req-000412/3", "incomplete"),
                exited_task("req-000412/4", "error"), exited_task("req-000412/5", "no_room"),
                exited_task("req-000412/6", "busy"), exited_task("req-000412/7", "unknown")})}});
 }
 
-std::string minimal_report() {
+std::string minimal_heartbeat() {
     return packed_map({{"pot", packed("i-2")},
                        {"endpoint", packed("e")},
                        {"bench", packed("c1")},
@@ -183,14 +186,14 @@
 }
 
 void expect_task(const TaskStatus& actual, const TaskId& task, std::uint64_t attempt,
-                 TaskStage stage, ExitReason why) {
+                 TaskStage stage, ExitReason reason) {
     EXPECT_EQ(actual.task, task);
     EXPECT_EQ(actual.attempt, attempt);
     EXPECT_EQ(actual.stage, stage);
-    EXPECT_EQ(actual.exit_reason, why);
+    EXPECT_EQ(actual.exit_reason, reason);
 }
 
-void expect_tasks_of_full_report(const std::vector<TaskStatus>& tasks) {
+void expect_tasks_of_full_heartbeat(const std::vector<TaskStatus>& tasks) {
     ASSERT_EQ(tasks.size(), 12u);
     expect_task(tasks[0], {"req-1", 0}, 1, TaskStage::fetching, ExitReason::none);
     expect_task(tasks[1], {"req-1", 1}, 2, TaskStage::waiting, ExitReason::none);
@@ -209,7 +212,7 @@
     }
 }
 
-void expect_full_report(const Heartbeat& heartbeat) {
+void expect_full_heartbeat(const Heartbeat& heartbeat) {
     EXPECT_EQ(heartbeat.machine, "i-1");
     EXPECT_EQ(heartbeat.endpoint, "10.0.0.9:9000");
     EXPECT_EQ(heartbeat.type, "g8");
@@ -219,10 +222,10 @@
     EXPECT_EQ(heartbeat.sequence, 70000u);
     EXPECT_EQ(heartbeat.fencing_token, 300u);
     EXPECT_EQ(heartbeat.preemption_notice_s, 110.5);
-    expect_tasks_of_full_report(heartbeat.tasks);
+    expect_tasks_of_full_heartbeat(heartbeat.tasks);
 }
 
-void expect_minimal_report(const Heartbeat& heartbeat) {
+void expect_minimal_heartbeat(const Heartbeat& heartbeat) {
     EXPECT_EQ(heartbeat.machine, "i-2");
     EXPECT_EQ(heartbeat.endpoint, "e");
     EXPECT_EQ(heartbeat.type, "c1");
@@ -235,14 +238,16 @@
     EXPECT_TRUE(heartbeat.tasks.empty());
 }
 
-// A worker's report, and the same as its answer to commands: taken (200) or refused (409).
-WireForm report_form(const std::string& name, const std::function<std::string()>& bytes,
-                     const std::function<void(const Heartbeat&)>& expect) {
-    return {"worker/" + name, bytes, [=](const std::string& pinned) {
-                expect(wire::parse_heartbeat(pinned));
+// A worker's heartbeat, which is also the body of its response to commands, whether accepted (200)
+// or rejected (409).
+GoldenEncoding heartbeat_encoding(const std::string& name,
+                                  const std::function<std::string()>& bytes,
+                                  const std::function<void(const Heartbeat&)>& expect) {
+    return {"worker/" + name, bytes, [=](const std::string& golden) {
+                expect(wire::parse_heartbeat(golden));
                 for (int status : {200, 409}) {
                     OutboundResponse response =
-                        wire::decode_response(1, WorkerCommands{}, status, pinned);
+                        wire::decode_response(1, WorkerCommands{}, status, golden);
                     EXPECT_EQ(response.status, status);
                     EXPECT_TRUE(response.heartbeat);
                     expect(response.heartbeat.value_or(Heartbeat{}));
@@ -257,8 +262,8 @@
             {CommandType::clear, {"req-2", 3}, 7, 0}};
 }
 
-// Polls and cancels have no body: the path names the job.
-TEST(WireFormat, JobIdsAreReqAndDigits) {
+// Polls and cancellations have no body: the path contains the job id.
+TEST(WireFormat, AJobIdIsReqDashAndUpTo60Digits) {
     for (const std::string& id :
          {std::string("req-1"), std::string("req-000412"), "req-" + std::string(60, '7')}) {
         EXPECT_TRUE(wire::valid_job_id(id)) << id;
@@ -270,7 +275,7 @@
     }
 }
 
-TEST(WireFormat, CommandsGoToTheWorkersEndpoint) {
+TEST(WireFormat, WorkerCommandsAreSentToTheWorkersEndpoint) {
     wire::HttpRequest http =
         wire::encode_request(WorkerCommands{"i-1", "10.0.0.9:9000", 300, 1, {}});
     EXPECT_EQ(http.service, wire::Service::worker);
@@ -280,32 +285,32 @@
 
 } // namespace
 
-std::vector<WireForm> user_forms() {
-    std::vector<WireForm> forms = submission_forms();
-    for (const auto& form : user_answer_forms()) {
-        forms.push_back(form);
+std::vector<GoldenEncoding> user_encodings() {
+    std::vector<GoldenEncoding> encodings = submission_encodings();
+    for (const auto& encoding : user_response_encodings()) {
+        encodings.push_back(encoding);
     }
-    // What requests are told apart by.
-    forms.push_back({"paths",
-                     [] {
-                         return std::string(wire::kJobsPath) + "\n" + wire::kCancelSuffix + "\n" +
-                                wire::kHeartbeatPath + "\n" + wire::kReadyPath + "\n" +
-                                wire::kPeerSyncPath + "\n" + wire::kLeaseExtensionPath + "\n" +
-                                wire::kCancellationsPath + "\n" + wire::kQuotaStatusPath + "\n" +
-                                wire::kContentType;
-                     },
-                     nullptr});
-    return forms;
+    // The paths and the content type by which requests are dispatched.
+    encodings.push_back({"paths",
+                         [] {
+                             return std::string(wire::kJobsPath) + "\n" + wire::kCancelSuffix +
+                                    "\n" + wire::kHeartbeatPath + "\n" + wire::kReadyPath + "\n" +
+                                    wire::kPeerSyncPath + "\n" + wire::kLeaseExtensionPath + "\n" +
+                                    wire::kCancellationsPath + "\n" + wire::kQuotaStatusPath +
+                                    "\n" + wire::kContentType;
+                         },
+                         nullptr});
+    return encodings;
 }
 
-std::vector<WireForm> worker_forms() {
+std::vector<GoldenEncoding> worker_encodings() {
     const WorkerCommands full{"i-1", "10.0.0.9:9000", 300, 1764000000000, all_commands()};
     const WorkerCommands minimal{"i-1", "10.0.0.9:9000", 0, 0, {}};
     return {
-        report_form("report_full", full_report, expect_full_report),
-        report_form("report_minimal", minimal_report, expect_minimal_report),
-        answer_form("worker/answer_full", HeartbeatBody{300, all_commands()}),
-        answer_form("worker/answer_minimal", HeartbeatBody{}),
+        heartbeat_encoding("report_full", full_heartbeat, expect_full_heartbeat),
+        heartbeat_encoding("report_minimal", minimal_heartbeat, expect_minimal_heartbeat),
+        response_encoding("worker/answer_full", HeartbeatBody{300, all_commands()}),
+        response_encoding("worker/answer_minimal", HeartbeatBody{}),
         {"worker/orders_full", [=] { return request_bytes(full); }, nullptr},
         {"worker/orders_minimal", [=] { return request_bytes(minimal); }, nullptr},
     };
--- a/tests/wire_format_peer_test.cpp
+++ b/tests/wire_format_peer_test.cpp
@@ -1,4 +1,4 @@
-// Forms of the messages between controllers; see wire_format.h.
+// Golden encodings of the messages between controllers; see wire_format.h.
 #include "wire_format.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 constexpr char kPeer[] = "n1";
 constexpr std::uint64_t kLargeTerm = 1ULL << 40;
 
-SlotRequest gang_want() {
+SlotRequest gang_slot_request() {
     SlotRequest request;
     request.job = "req-000412";
     request.kind = JobKind::gang;
@@ -30,7 +30,7 @@
     return request;
 }
 
-SlotRequest service_want() {
+SlotRequest service_slot_request() {
     SlotRequest request;
     request.job = "req-2";
     request.kind = JobKind::service;
@@ -40,32 +40,34 @@
     return request;
 }
 
-SlotRequest minimal_want(Priority priority) {
+SlotRequest minimal_slot_request(Priority priority) {
     SlotRequest request;
     request.priority = priority;
     return request;
 }
 
-// Wants that differ in every flag: seen over all of them, no flag is set as another one is.
-std::vector<SlotRequest> wants_with_each_flag() {
-    std::vector<SlotRequest> wants{gang_want(), service_want(), minimal_want(Priority::high),
-                                   minimal_want(Priority::normal)};
-    for (std::size_t i = 0; i < wants.size(); ++i) {
-        auto set_in_this_want = [i](int flag_number) { return ((flag_number >> i) & 1) != 0; };
-        SlotRequest& request = wants[i];
-        request.one_zone = set_in_this_want(1);
-        request.spread = set_in_this_want(2);
-        request.preempt = set_in_this_want(3);
-        request.accepts_partial = set_in_this_want(4);
-        request.spot = set_in_this_want(5);
-        request.over_guarantee = set_in_this_want(6);
-        request.bottleneck_team = set_in_this_want(7);
-        request.starving = set_in_this_want(8);
+// Returns slot requests in which no two flags have the same values, so that a swap of two flags
+// shows.
+std::vector<SlotRequest> slot_requests_with_each_flag() {
+    std::vector<SlotRequest> slot_requests{gang_slot_request(), service_slot_request(),
+                                           minimal_slot_request(Priority::high),
+                                           minimal_slot_request(Priority::normal)};
+    for (std::size_t i = 0; i < slot_requests.size(); ++i) {
+        auto is_set = [i](int flag_number) { return ((flag_number >> i) & 1) != 0; };
+        SlotRequest& request = slot_requests[i];
+        request.one_zone = is_set(1);
+        request.spread = is_set(2);
+        request.preempt = is_set(3);
+        request.accepts_partial = is_set(4);
+        request.spot = is_set(5);
+        request.over_guarantee = is_set(6);
+        request.bottleneck_team = is_set(7);
+        request.starving = is_set(8);
     }
-    return wants;
+    return slot_requests;
 }
 
-RemoteTaskCommand full_told() {
+RemoteTaskCommand full_remote_task_command() {
     RemoteTaskCommand command;
     command.type = RemoteTaskCommand::Type::describe;
     command.machine = "i-1";
@@ -80,26 +82,28 @@
     return command;
 }
 
-RemoteTaskCommand minimal_told(RemoteTaskCommand::Type what, JobKind kind) {
+RemoteTaskCommand minimal_remote_task_command(RemoteTaskCommand::Type type, JobKind kind) {
     RemoteTaskCommand command;
-    command.type = what;
+    command.type = type;
     command.kind = kind;
     return command;
 }
 
 Demand full_demand() { return {10.5, 20.5, 3000.25, {{"east", 6.5}, {"west", 7.5}}}; }
 
-PeerSyncRequest full_exchange() {
+PeerSyncRequest full_sync_request() {
     PeerSyncRequest request;
     request.from_partition = 3;
     request.term = kLargeTerm + 5;
     request.sequence = 400;
     request.to_partition = 127;
-    request.slot_requests = wants_with_each_flag();
+    request.slot_requests = slot_requests_with_each_flag();
     request.max_slots = 70000;
-    request.commands = {full_told(), minimal_told(RemoteTaskCommand::Type::stop, JobKind::array),
-                        minimal_told(RemoteTaskCommand::Type::clear, JobKind::service),
-                        minimal_told(RemoteTaskCommand::Type::return_slot, JobKind::array)};
+    request.commands = {
+        full_remote_task_command(),
+        minimal_remote_task_command(RemoteTaskCommand::Type::stop, JobKind::array),
+        minimal_remote_task_command(RemoteTaskCommand::Type::clear, JobKind::service),
+        minimal_remote_task_command(RemoteTaskCommand::Type::return_slot, JobKind::array)};
     request.provisioned = {{"i-2", "g8", "east", true}, {"i-3", "c16", "west", false}};
     request.transfers = {{{3, 7}, 1000000007, 55}, {{0, 300}, 1, kLargeTerm}};
     request.acked_term = 65536;
@@ -109,8 +113,8 @@
     return request;
 }
 
-// From a controller that says nothing of call numbers, processors and shares.
-std::string older_exchange() {
+// From a controller that sends no sequence numbers, CPU headroom and shards.
+std::string older_sync_request() {
     return packed_map({{"from", packed(1)},
                        {"most", packed(0)},
                        {"seen_term", packed(0)},
@@ -128,7 +132,7 @@
                        {"spot", packed(5.5)}});
 }
 
-PeerSyncRequest older_exchange_expected() {
+PeerSyncRequest older_sync_request_expected() {
     PeerSyncRequest request;
     request.from_partition = 1;
     request.term = 9;
@@ -138,31 +142,31 @@
     return request;
 }
 
-// A later version may say more than is known here.
-std::string newer_exchange() {
-    std::string older = older_exchange();
+// A later version may send fields that are unknown here.
+std::string newer_sync_request() {
+    std::string older = older_sync_request();
     constexpr char kMapOfFifteen = '\x8f';
     EXPECT_EQ(older[0], kMapOfFifteen);
     const std::string map_of_sixteen("\xde\x00\x10", 3);
     return map_of_sixteen + older.substr(1) + packed("not_known") + packed_list({packed(1)});
 }
 
-// Numbers that no sender means are brought into range.
-PeerSyncRequest exchange_out_of_range(double capacity) {
+// Numbers that no correct sender sends are clamped to their range.
+PeerSyncRequest sync_request_out_of_range(double capacity) {
     PeerSyncRequest request;
     request.capacity.cpu_headroom = capacity;
     request.transfers = {{{130, 100001}, 5, 6}};
     return request;
 }
 
-PeerSyncRequest exchange_in_range(double capacity) {
+PeerSyncRequest sync_request_in_range(double capacity) {
     PeerSyncRequest request;
     request.capacity.cpu_headroom = capacity;
     request.transfers = {{{2, 1}, 5, 6}};
     return request;
 }
 
-RemoteTaskStatus full_held() {
+RemoteTaskStatus full_remote_task() {
     RemoteTaskStatus remote_task;
     remote_task.status.task = {"req-000412", 69999};
     remote_task.status.attempt = kLargeTerm + 3;
@@ -176,9 +180,9 @@
     return remote_task;
 }
 
-// Each stage, each reason to exit, and each combination of the flags.
-std::vector<RemoteTaskStatus> all_held() {
-    std::vector<RemoteTaskStatus> all{full_held()};
+// Contains each task stage, each exit reason and each combination of the flags.
+std::vector<RemoteTaskStatus> all_remote_tasks() {
+    std::vector<RemoteTaskStatus> all{full_remote_task()};
     constexpr int kReasons = static_cast<int>(ExitReason::unknown) + 1;
     constexpr int kStages = static_cast<int>(TaskStage::exited) + 1;
     for (int i = 0; i < kReasons; ++i) {
@@ -211,7 +215,7 @@
     return grant;
 }
 
-PeerSyncResponse full_exchange_reply() {
+PeerSyncResponse full_sync_response() {
     PeerSyncResponse response;
     response.term = kLargeTerm + 6;
     response.reconciled = true;
@@ -225,14 +229,14 @@
     response.machines = {"i-1", "i-2"};
     response.demand = full_demand();
     response.capacity = {320.5, 64.5, 0.25, true};
-    response.tasks = all_held();
+    response.tasks = all_remote_tasks();
     response.pending_launches = {{kLargeTerm + 7, 1}, {2, 0}};
     response.grants = {full_grant(), SlotGrant{}};
     return response;
 }
 
-// With the full reply, no flag is set as another one is.
-PeerSyncResponse clean_and_full_exchange_reply() {
+// Together with the full response, no two flags have the same values.
+PeerSyncResponse sync_response_without_stale_grants() {
     PeerSyncResponse response;
     response.no_stale_grants = true;
     response.complete = true;
@@ -240,7 +244,7 @@
     return response;
 }
 
-std::string older_exchange_reply() {
+std::string older_sync_response() {
     return packed_map({{"term", packed(9)},
                        {"settled", packed(true)},
                        {"clean", packed(false)},
@@ -258,7 +262,7 @@
                        {"grants", packed_list({})}});
 }
 
-PeerSyncResponse older_exchange_reply_expected() {
+PeerSyncResponse older_sync_response_expected() {
     PeerSyncResponse response;
     response.term = 9;
     response.reconciled = true;
@@ -268,20 +272,20 @@
     return response;
 }
 
-std::string older_promise_ask() {
+std::string older_lease_extension_request() {
     return packed_map({{"part", packed(3)},
                        {"term", packed(77)},
                        {"for_s", packed(11.5)},
                        {"silent_s", packed(4.5)}});
 }
 
-std::string older_promise_reply() {
+std::string older_lease_extension_response() {
     return packed_map({{"reaches", packed(false)},
                        {"given", packed(true)},
                        {"cancelled", packed_list({packed("req-1")})}});
 }
 
-LeaseExtensionResponse full_promise_reply() {
+LeaseExtensionResponse full_lease_extension_response() {
     return {true,
             false,
             {"req-1", "req-2"},
@@ -289,26 +293,29 @@
              {"blue", TeamQuota{"blue", 5, 6, 7, 8}, kLargeTerm}}};
 }
 
-// A call whose receiver is a controller: decoded from its body and called again, it is the same.
-WireForm call_form(const std::string& name, const OutboundBody& call,
-                   const std::function<OutboundBody(const std::string& body)>& decode) {
-    return {"peer/" + name, [=] { return request_bytes(call); },
-            [=](const std::string& pinned) {
-                expect_same_bytes(request_bytes(decode(body_of(pinned))), pinned);
+// A request that a controller receives: decoding its body and encoding it again gives the same
+// bytes.
+GoldenEncoding
+request_encoding(const std::string& name, const OutboundBody& request,
+                 const std::function<OutboundBody(const std::string& body)>& decode) {
+    return {"peer/" + name, [=] { return request_bytes(request); },
+            [=](const std::string& golden) {
+                expect_same_bytes(request_bytes(decode(request_body(golden))), golden);
             }};
 }
 
-// A call of another version: decoded, it is the call expected.
-WireForm foreign_call_form(const std::string& name, const std::string& body,
-                           const OutboundBody& expected,
-                           const std::function<OutboundBody(const std::string& body)>& decode) {
+// A request from another version: it decodes to the expected request.
+GoldenEncoding
+foreign_request_encoding(const std::string& name, const std::string& body,
+                         const OutboundBody& expected,
+                         const std::function<OutboundBody(const std::string& body)>& decode) {
     return {"peer/" + name, [=] { return body; },
-            [=](const std::string& pinned) {
-                expect_same_bytes(request_bytes(decode(pinned)), request_bytes(expected));
+            [=](const std::string& golden) {
+                expect_same_bytes(request_bytes(decode(golden)), request_bytes(expected));
             }};
 }
 
-std::string encode_peer_reply(const OutboundResponse& response) {
+std::string encode_peer_response(const OutboundResponse& response) {
     if (response.peer_sync) {
         return wire::encode_response(*response.peer_sync);
     }
@@ -318,104 +325,116 @@
     return response.quota_status ? wire::encode_response(*response.quota_status) : "none";
 }
 
-WireForm reply_form(const std::string& name, const OutboundBody& call, const ResponseBody& reply) {
-    return {"peer/" + name, [=] { return wire::encode_response(reply); },
-            [=](const std::string& pinned) {
-                OutboundResponse read = wire::decode_response(1, call, 200, pinned);
+GoldenEncoding response_encoding(const std::string& name, const OutboundBody& request,
+                                 const ResponseBody& response) {
+    return {"peer/" + name, [=] { return wire::encode_response(response); },
+            [=](const std::string& golden) {
+                OutboundResponse read = wire::decode_response(1, request, 200, golden);
                 EXPECT_EQ(read.status, 200);
-                expect_same_bytes(encode_peer_reply(read), pinned);
+                expect_same_bytes(encode_peer_response(read), golden);
             }};
 }
 
-WireForm foreign_reply_form(const std::string& name, const OutboundBody& call,
-                            const std::string& bytes, const ResponseBody& expected) {
+GoldenEncoding foreign_response_encoding(const std::string& name, const OutboundBody& request,
+                                         const std::string& bytes, const ResponseBody& expected) {
     return {"peer/" + name, [=] { return bytes; },
-            [=](const std::string& pinned) {
-                OutboundResponse read = wire::decode_response(1, call, 200, pinned);
+            [=](const std::string& golden) {
+                OutboundResponse read = wire::decode_response(1, request, 200, golden);
                 EXPECT_EQ(read.status, 200);
-                expect_same_bytes(encode_peer_reply(read), wire::encode_response(expected));
+                expect_same_bytes(encode_peer_response(read), wire::encode_response(expected));
             }};
 }
 
-std::string exchange_body(const PeerSyncRequest& request) {
+std::string sync_request_body(const PeerSyncRequest& request) {
     return wire::encode_request(PeerSyncCall{kPeer, request}).body;
 }
 
-OutboundBody decode_exchange(const std::string& body) {
+OutboundBody decode_sync_request(const std::string& body) {
     return PeerSyncCall{kPeer, wire::parse_peer_sync_request(body)};
 }
-OutboundBody decode_promise(const std::string& body) {
+OutboundBody decode_lease_extension(const std::string& body) {
     return LeaseExtensionCall{kPeer, wire::parse_lease_extension_request(body)};
 }
-OutboundBody decode_cancelled(const std::string& body) {
+OutboundBody decode_cancellations(const std::string& body) {
     return CancellationCall{kPeer, wire::parse_cancellations(body)};
 }
-OutboundBody decode_standing(const std::string& body) {
+OutboundBody decode_quota_status_query(const std::string& body) {
     return QuotaStatusCall{wire::parse_quota_status_query(body)};
 }
 
-std::vector<WireForm> exchange_forms() {
+std::vector<GoldenEncoding> peer_sync_encodings() {
     return {
-        call_form("exchange/call_minimal", PeerSyncCall{kPeer, PeerSyncRequest{}}, decode_exchange),
-        call_form("exchange/call_full", PeerSyncCall{kPeer, full_exchange()}, decode_exchange),
-        foreign_call_form("exchange/call_older", older_exchange(),
-                          PeerSyncCall{kPeer, older_exchange_expected()}, decode_exchange),
-        foreign_call_form("exchange/call_newer", newer_exchange(),
-                          PeerSyncCall{kPeer, older_exchange_expected()}, decode_exchange),
-        foreign_call_form("exchange/call_numbers_too_high", exchange_body(exchange_out_of_range(7)),
-                          PeerSyncCall{kPeer, exchange_in_range(1)}, decode_exchange),
-        foreign_call_form("exchange/call_capacity_too_low", exchange_body(exchange_out_of_range(0)),
-                          PeerSyncCall{kPeer, exchange_in_range(0.01)}, decode_exchange),
-        reply_form("exchange/reply_minimal", PeerSyncCall{}, PeerSyncResponse{}),
-        reply_form("exchange/reply_clean_and_full", PeerSyncCall{},
-                   clean_and_full_exchange_reply()),
-        reply_form("exchange/reply_full", PeerSyncCall{}, full_exchange_reply()),
-        foreign_reply_form("exchange/reply_older", PeerSyncCall{}, older_exchange_reply(),
-                           older_exchange_reply_expected()),
+        request_encoding("exchange/call_minimal", PeerSyncCall{kPeer, PeerSyncRequest{}},
+                         decode_sync_request),
+        request_encoding("exchange/call_full", PeerSyncCall{kPeer, full_sync_request()},
+                         decode_sync_request),
+        foreign_request_encoding("exchange/call_older", older_sync_request(),
+                                 PeerSyncCall{kPeer, older_sync_request_expected()},
+                                 decode_sync_request),
+        foreign_request_encoding("exchange/call_newer", newer_sync_request(),
+                                 PeerSyncCall{kPeer, older_sync_request_expected()},
+                                 decode_sync_request),
+        foreign_request_encoding(
+            "exchange/call_numbers_too_high", sync_request_body(sync_request_out_of_range(7)),
+            PeerSyncCall{kPeer, sync_request_in_range(1)}, decode_sync_request),
+        foreign_request_encoding(
+            "exchange/call_capacity_too_low", sync_request_body(sync_request_out_of_range(0)),
+            PeerSyncCall{kPeer, sync_request_in_range(0.01)}, decode_sync_request),
+        response_encoding("exchange/reply_minimal", PeerSyncCall{}, PeerSyncResponse{}),
+        response_encoding("exchange/reply_clean_and_full", PeerSyncCall{},
+                          sync_response_without_stale_grants()),
+        response_encoding("exchange/reply_full", PeerSyncCall{}, full_sync_response()),
+        foreign_response_encoding("exchange/reply_older", PeerSyncCall{}, older_sync_response(),
+                                  older_sync_response_expected()),
     };
 }
 
-std::vector<WireForm> promise_forms() {
+std::vector<GoldenEncoding> lease_extension_encodings() {
     return {
-        call_form("promise/call_minimal", LeaseExtensionCall{kPeer, LeaseExtensionRequest{}},
-                  decode_promise),
-        call_form("promise/call_full",
-                  LeaseExtensionCall{kPeer, {3, kLargeTerm, 11.05, 4.5, 70000}}, decode_promise),
-        foreign_call_form("promise/call_older", older_promise_ask(),
-                          LeaseExtensionCall{kPeer, {3, 77, 11.5, 4.5, 0}}, decode_promise),
-        foreign_call_form(
+        request_encoding("promise/call_minimal", LeaseExtensionCall{kPeer, LeaseExtensionRequest{}},
+                         decode_lease_extension),
+        request_encoding("promise/call_full",
+                         LeaseExtensionCall{kPeer, {3, kLargeTerm, 11.05, 4.5, 70000}},
+                         decode_lease_extension),
+        foreign_request_encoding("promise/call_older", older_lease_extension_request(),
+                                 LeaseExtensionCall{kPeer, {3, 77, 11.5, 4.5, 0}},
+                                 decode_lease_extension),
+        foreign_request_encoding(
             "promise/call_partition_too_high",
             wire::encode_request(LeaseExtensionCall{kPeer, {1 << 30, 1, 2, 3, 4}}).body,
-            LeaseExtensionCall{kPeer, {1 << 20, 1, 2, 3, 4}}, decode_promise),
-        reply_form("promise/reply_minimal", LeaseExtensionCall{}, LeaseExtensionResponse{}),
-        reply_form("promise/reply_given", LeaseExtensionCall{},
-                   LeaseExtensionResponse{false, true, {}, {}}),
-        reply_form("promise/reply_full", LeaseExtensionCall{}, full_promise_reply()),
-        foreign_reply_form("promise/reply_older", LeaseExtensionCall{}, older_promise_reply(),
-                           LeaseExtensionResponse{false, true, {"req-1"}, {}}),
-        // A team whose record cannot be read is told as one that is given nothing.
-        reply_form("promise/reply_unreadable_team", LeaseExtensionCall{},
-                   LeaseExtensionResponse{true, true, {}, {{"red", {}, 5}}}),
+            LeaseExtensionCall{kPeer, {1 << 20, 1, 2, 3, 4}}, decode_lease_extension),
+        response_encoding("promise/reply_minimal", LeaseExtensionCall{}, LeaseExtensionResponse{}),
+        response_encoding("promise/reply_given", LeaseExtensionCall{},
+                          LeaseExtensionResponse{false, true, {}, {}}),
+        response_encoding("promise/reply_full", LeaseExtensionCall{},
+                          full_lease_extension_response()),
+        foreign_response_encoding("promise/reply_older", LeaseExtensionCall{},
+                                  older_lease_extension_response(),
+                                  LeaseExtensionResponse{false, true, {"req-1"}, {}}),
+        // A team whose record cannot be decoded is sent without a quota.
+        response_encoding("promise/reply_unreadable_team", LeaseExtensionCall{},
+                          LeaseExtensionResponse{true, true, {}, {{"red", {}, 5}}}),
     };
 }
 
-std::vector<WireForm> notice_forms() {
+std::vector<GoldenEncoding> cancellation_and_quota_encodings() {
     const QuotaStatus full{90, 1.5, {"red", 1.5, 2.5, 3.5, 4.5}, 88, 7.25, true};
     return {
-        call_form("cancelled/call_minimal", CancellationCall{kPeer, {}}, decode_cancelled),
-        call_form("cancelled/call_full", CancellationCall{kPeer, {"req-1", "req-000412"}},
-                  decode_cancelled),
-        call_form("standing/call", QuotaStatusCall{"red"}, decode_standing),
-        reply_form("standing/reply_minimal", QuotaStatusCall{}, QuotaStatus{}),
-        reply_form("standing/reply_full", QuotaStatusCall{}, full),
+        request_encoding("cancelled/call_minimal", CancellationCall{kPeer, {}},
+                         decode_cancellations),
+        request_encoding("cancelled/call_full", CancellationCall{kPeer, {"req-1", "req-000412"}},
+                         decode_cancellations),
+        request_encoding("standing/call", QuotaStatusCall{"red"}, decode_quota_status_query),
+        response_encoding("standing/reply_minimal", QuotaStatusCall{}, QuotaStatus{}),
+        response_encoding("standing/reply_full", QuotaStatusCall{}, full),
     };
 }
 
-TEST(WireFormat, CallsToPeersGoToTheNodeNamed) {
-    for (const OutboundBody& call :
+TEST(WireFormat, PeerRequestsAreSentToTheNamedController) {
+    for (const OutboundBody& request :
          {OutboundBody(PeerSyncCall{kPeer, {}}), OutboundBody(LeaseExtensionCall{kPeer, {}}),
           OutboundBody(CancellationCall{kPeer, {}})}) {
-        wire::HttpRequest http = wire::encode_request(call);
+        wire::HttpRequest http = wire::encode_request(request);
         EXPECT_EQ(http.service, wire::Service::peer);
         EXPECT_EQ(http.endpoint, kPeer);
         EXPECT_EQ(http.wait_s, 0);
@@ -424,15 +443,15 @@
     EXPECT_EQ(wire::encode_request(QuotaStatusCall{"red"}).endpoint, "");
 }
 
-// All that a cancel notice's answer says is its status, whatever the body is.
-TEST(WireFormat, TheAnswerToACancelNoticeIsItsStatus) {
+// Of the response to a cancellation broadcast only the status matters, whatever the body is.
+TEST(WireFormat, TheBodyOfACancellationResponseIsIgnored) {
     std::string body = wire::encode_response(TextBody{"taken in"});
     EXPECT_EQ(wire::decode_response(1, CancellationCall{}, 200, body).status, 200);
     EXPECT_EQ(wire::decode_response(1, CancellationCall{}, 503, body).status, 503);
 }
 
-// A refusal carries an error text, which is not read.
-TEST(WireFormat, ARefusalOfAPeerIsItsStatus) {
+// A peer's error response carries an error text, which is not decoded.
+TEST(WireFormat, TheBodyOfAPeersErrorResponseIsIgnored) {
     std::string body = wire::encode_response(TextBody{"a later owner has called"});
     OutboundResponse response = wire::decode_response(1, PeerSyncCall{}, 409, body);
     EXPECT_EQ(response.status, 409);
@@ -443,12 +462,12 @@
 
 } // namespace
 
-std::vector<WireForm> peer_forms() {
-    std::vector<WireForm> forms = exchange_forms();
-    for (const auto& group : {promise_forms(), notice_forms()}) {
-        forms.insert(forms.end(), group.begin(), group.end());
+std::vector<GoldenEncoding> peer_encodings() {
+    std::vector<GoldenEncoding> encodings = peer_sync_encodings();
+    for (const auto& group : {lease_extension_encodings(), cancellation_and_quota_encodings()}) {
+        encodings.insert(encodings.end(), group.begin(), group.end());
     }
-    return forms;
+    return encodings;
 }
 
 } // namespace scheduler::test
--- a/tests/wire_format_records_test.cpp
+++ b/tests/wire_format_records_test.cpp
@@ -1,4 +1,4 @@
-// Forms of the records in the store, by kind of key; see wire_format.h.
+// Golden encodings of the records in the key-value store, by kind of key; see wire_format.h.
 #include "wire_format.h"
 
 #include <gtest/gtest.h>
@@ -47,7 +47,7 @@
     job.kind = JobKind::service;
     job.priority = Priority::production;
     job.spread = true;
-    job.spot = true; // with the full job, no flag is set as another one is
+    job.spot = true; // together with the full job, no two flags have the same values
     job.types.emplace();
     return job;
 }
@@ -60,7 +60,7 @@
     return job;
 }
 
-// The fields that every version wrote, without those that may be missing.
+// Contains the fields that every version has written, without the optional ones.
 std::string job_without_optional_fields() {
     return packed_map({{"uid", packed("req-1")},
                        {"bloom", packed("c")},
@@ -125,13 +125,13 @@
     return {{type}};
 }
 
-// Each stage, each reason to exit, and each combination of the flags.
-InventoryRecord full_account() {
+// Contains each task stage, each exit reason and each combination of the flags.
+InventoryRecord full_inventory() {
     constexpr int kReasons = static_cast<int>(ExitReason::unknown) + 1;
     constexpr int kStages = static_cast<int>(TaskStage::exited) + 1;
-    InventoryRecord account{9, 8, 77, 3, {}, {}, {{1ULL << 40, 2}, {5, 0}}};
+    InventoryRecord inventory{9, 8, 77, 3, {}, {}, {{1ULL << 40, 2}, {5, 0}}};
     for (int flags = 0; flags < 4; ++flags) {
-        account.shards.push_back(
+        inventory.shards.push_back(
             {{flags + 1, 300 + flags}, (1ULL << 33) + flags, (flags & 1) != 0, (flags & 2) != 0});
     }
     for (int i = 0; i < kReasons; ++i) {
@@ -145,92 +145,95 @@
         remote_task.resources_unknown = (i & 1) != 0;
         remote_task.draining = (i & 2) != 0;
         remote_task.preemption_notice = (i & 4) != 0;
-        account.tasks.push_back(remote_task);
+        inventory.tasks.push_back(remote_task);
     }
-    return account;
+    return inventory;
 }
 
-// What is written is read back to a value that is written the same.
-WireForm record_form(const std::string& name, const std::string& key, const StoredRecord& record) {
+// A record that decodes to a value with the same encoding.
+GoldenEncoding record_encoding(const std::string& name, const std::string& key,
+                               const StoredRecord& record) {
     return {"record/" + name, [=] { return stored_bytes(key, record); },
-            [=](const std::string& pinned) {
-                StoredRecord read = read_record(key, pinned);
+            [=](const std::string& golden) {
+                StoredRecord read = read_record(key, golden);
                 EXPECT_EQ(read.index(), record.index());
-                expect_same_bytes(stored_bytes(key, read), pinned);
+                expect_same_bytes(stored_bytes(key, read), golden);
             }};
 }
 
-// Written by another version only: read to the value expected.
-WireForm foreign_record_form(const std::string& name, const std::string& key,
-                             const std::string& bytes, const StoredRecord& expected) {
+// A record that only another version writes: it decodes to the expected value.
+GoldenEncoding foreign_record_encoding(const std::string& name, const std::string& key,
+                                       const std::string& bytes, const StoredRecord& expected) {
     return {"record/" + name, [=] { return bytes; },
-            [=](const std::string& pinned) {
-                StoredRecord read = read_record(key, pinned);
+            [=](const std::string& golden) {
+                StoredRecord read = read_record(key, golden);
                 EXPECT_EQ(read.index(), expected.index());
                 expect_same_bytes(stored_bytes(key, read), stored_bytes(key, expected));
             }};
 }
 
-std::vector<WireForm> job_record_forms() {
+std::vector<GoldenEncoding> job_record_encodings() {
     const std::string key = "job/req-1";
     const std::string progress_key = "done/req-1/0";
     const std::vector<bool> bits{true,  false, false, true, true, false, true, true,
                                  false, false, false, true, true, true,  true, true};
     return {
-        record_form("job/open_minimal", key, JobRecord{Outcome::none, minimal_job()}),
-        record_form("job/open_full", key, JobRecord{Outcome::none, full_job()}),
-        record_form("job/open_service_production", key, JobRecord{Outcome::none, service_job()}),
-        record_form("job/open_array_normal", key, JobRecord{Outcome::none, normal_job()}),
-        record_form("job/done", key, JobRecord{Outcome::done, {}}),
-        record_form("job/cancelled", key, JobRecord{Outcome::cancelled, {}}),
-        record_form("job/cancelled_with_job", key, JobRecord{Outcome::cancelled, minimal_job()}),
-        foreign_record_form(
+        record_encoding("job/open_minimal", key, JobRecord{Outcome::none, minimal_job()}),
+        record_encoding("job/open_full", key, JobRecord{Outcome::none, full_job()}),
+        record_encoding("job/open_service_production", key,
+                        JobRecord{Outcome::none, service_job()}),
+        record_encoding("job/open_array_normal", key, JobRecord{Outcome::none, normal_job()}),
+        record_encoding("job/done", key, JobRecord{Outcome::done, {}}),
+        record_encoding("job/cancelled", key, JobRecord{Outcome::cancelled, {}}),
+        record_encoding("job/cancelled_with_job", key,
+                        JobRecord{Outcome::cancelled, minimal_job()}),
+        foreign_record_encoding(
             "job/open_without_optional_fields", key,
             packed_map({{"outcome", packed("none")}, {"job", job_without_optional_fields()}}),
             JobRecord{Outcome::none, minimal_job()}),
-        foreign_record_form("job/open_without_job", key, packed_map({{"outcome", packed("none")}}),
-                            UnreadableRecord{}),
-        record_form("progress/empty", progress_key, ProgressRecord{}),
-        record_form("progress/full", progress_key, ProgressRecord{bits}),
-        // Padded to a whole digit.
-        record_form("progress/five_tasks", progress_key,
-                    ProgressRecord{{false, true, false, false, true}}),
+        foreign_record_encoding("job/open_without_job", key,
+                                packed_map({{"outcome", packed("none")}}), UnreadableRecord{}),
+        record_encoding("progress/empty", progress_key, ProgressRecord{}),
+        record_encoding("progress/full", progress_key, ProgressRecord{bits}),
+        // The bits are padded to a whole hex digit.
+        record_encoding("progress/five_tasks", progress_key,
+                        ProgressRecord{{false, true, false, false, true}}),
     };
 }
 
-std::vector<WireForm> partition_record_forms() {
+std::vector<GoldenEncoding> partition_record_encodings() {
     return {
-        record_form("part/knows_shares", "part/1", PartitionRecord{"n1", true}),
-        record_form("part/knows_no_shares", "part/1", PartitionRecord{"n1", false}),
-        foreign_record_form("part/older", "part/1", packed_map({{"node", packed("n1")}}),
-                            PartitionRecord{"n1", false}),
-        foreign_record_form("part/newer", "part/1",
-                            packed_map({{"not_known", packed_list({packed(1)})},
-                                        {"knows_shares", packed(true)},
-                                        {"node", packed("n1")}}),
-                            PartitionRecord{"n1", true}),
-        record_form("part/home", "part/1/home", PartitionRecord{"n2", true}),
-        foreign_record_form("part/home_older", "part/1/home", packed_map({{"node", packed("n2")}}),
-                            PartitionRecord{"n2", false}),
-        record_form("part/shares", "part/1/shares", ShardHoldersRecord{{1, 0, 4, 127}}),
-        record_form("part/shares_empty", "part/1/shares", ShardHoldersRecord{}),
-        foreign_record_form("part/shares_holder_out_of_range", "part/1/shares",
-                            stored_bytes("part/1/shares", ShardHoldersRecord{{500}}),
-                            ShardHoldersRecord{{128}}),
-        foreign_record_form(
+        record_encoding("part/knows_shares", "part/1", PartitionRecord{"n1", true}),
+        record_encoding("part/knows_no_shares", "part/1", PartitionRecord{"n1", false}),
+        foreign_record_encoding("part/older", "part/1", packed_map({{"node", packed("n1")}}),
+                                PartitionRecord{"n1", false}),
+        foreign_record_encoding("part/newer", "part/1",
+                                packed_map({{"not_known", packed_list({packed(1)})},
+                                            {"knows_shares", packed(true)},
+                                            {"node", packed("n1")}}),
+                                PartitionRecord{"n1", true}),
+        record_encoding("part/home", "part/1/home", PartitionRecord{"n2", true}),
+        foreign_record_encoding("part/home_older", "part/1/home",
+                                packed_map({{"node", packed("n2")}}), PartitionRecord{"n2", false}),
+        record_encoding("part/shares", "part/1/shares", ShardHoldersRecord{{1, 0, 4, 127}}),
+        record_encoding("part/shares_empty", "part/1/shares", ShardHoldersRecord{}),
+        foreign_record_encoding("part/shares_holder_out_of_range", "part/1/shares",
+                                stored_bytes("part/1/shares", ShardHoldersRecord{{500}}),
+                                ShardHoldersRecord{{128}}),
+        foreign_record_encoding(
             "part/shares_of_unknown_format", "part/1/shares",
             packed_map({{"format", packed(2)}, {"holders", packed_list({packed(1)})}}),
             UnreadableRecord{}),
-        record_form("account/minimal", "account/1/2/0", InventoryRecord{}),
-        record_form("account/full", "account/1/2/0", full_account()),
+        record_encoding("account/minimal", "account/1/2/0", InventoryRecord{}),
+        record_encoding("account/full", "account/1/2/0", full_inventory()),
     };
 }
 
-// Nil where the data should be: the whole reply counts as none.
-WireForm unreadable_record_form() {
+// Has nil where the data should be: the whole response is unreadable, with status 0.
+GoldenEncoding unreadable_record_encoding() {
     return {"record/unreadable", [] { return stored_bytes("job/req-1", UnreadableRecord{}); },
-            [](const std::string& pinned) {
-                std::string body = packed_map({{"data", pinned}, {"graft", packed(7)}});
+            [](const std::string& golden) {
+                std::string body = packed_map({{"data", golden}, {"graft", packed(7)}});
                 OutboundResponse response =
                     wire::decode_response(1, StoreGet{"job/req-1"}, 200, body);
                 EXPECT_EQ(response.status, 0);
@@ -238,32 +241,32 @@
             }};
 }
 
-std::vector<WireForm> cluster_record_forms() {
+std::vector<GoldenEncoding> cluster_record_encodings() {
     const std::string team_key = std::string("config/team/") + "red";
     return {
-        record_form("machine/on_demand", "machine/0/i-1",
-                    MachineRecord{"10.0.0.9:9000", "g8", "east", false}),
-        record_form("machine/spot", "machine/0/i-1",
-                    MachineRecord{"10.0.0.9:9000", "g8", "east", true}),
-        record_form("catalog/empty", "catalog", CatalogRecord{}),
-        record_form("catalog/full", "catalog",
-                    CatalogRecord{{full_machine_type(), minimal_machine_type()}}),
-        foreign_record_form("catalog/without_spot_price", "catalog", catalog_without_spot_price(),
-                            catalog_with_spot_price_as_usual()),
-        record_form("team/minimal", team_key, QuotaRecord{}),
-        record_form("team/full", team_key, QuotaRecord{{"", 16, 24.5, 1, 2.5}}),
-        unreadable_record_form(),
+        record_encoding("machine/on_demand", "machine/0/i-1",
+                        MachineRecord{"10.0.0.9:9000", "g8", "east", false}),
+        record_encoding("machine/spot", "machine/0/i-1",
+                        MachineRecord{"10.0.0.9:9000", "g8", "east", true}),
+        record_encoding("catalog/empty", "catalog", CatalogRecord{}),
+        record_encoding("catalog/full", "catalog",
+                        CatalogRecord{{full_machine_type(), minimal_machine_type()}}),
+        foreign_record_encoding("catalog/without_spot_price", "catalog",
+                                catalog_without_spot_price(), catalog_with_spot_price_as_usual()),
+        record_encoding("team/minimal", team_key, QuotaRecord{}),
+        record_encoding("team/full", team_key, QuotaRecord{{"", 16, 24.5, 1, 2.5}}),
+        unreadable_record_encoding(),
     };
 }
 
 } // namespace
 
-std::vector<WireForm> record_forms() {
-    std::vector<WireForm> forms = job_record_forms();
-    for (const auto& group : {partition_record_forms(), cluster_record_forms()}) {
-        forms.insert(forms.end(), group.begin(), group.end());
+std::vector<GoldenEncoding> record_encodings() {
+    std::vector<GoldenEncoding> encodings = job_record_encodings();
+    for (const auto& group : {partition_record_encodings(), cluster_record_encodings()}) {
+        encodings.insert(encodings.end(), group.begin(), group.end());
     }
-    return forms;
+    return encodings;
 }
 
 } // namespace scheduler::test
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -1,4 +1,4 @@
-// Holds encoders and decoders to the pinned forms: see wire_format.h.
+// Checks encoders and decoders against the golden encodings; see wire_format.h.
 #include "wire_format.h"
 
 #include <gtest/gtest.h>
@@ -33,9 +33,9 @@
 std::string packed_nil() { return packed(msgpack::type::nil_t()); }
 
 namespace {
-constexpr char kWriteVariable[] = "WIRE_FORMAT_WRITE";
+constexpr char kWriteFileVariable[] = "WIRE_FORMAT_WRITE";
 
-std::string hex_of(const std::string& bytes) {
+std::string to_hex(const std::string& bytes) {
     static constexpr char kDigits[] = "0123456789abcdef";
     std::string hex;
     for (unsigned char byte : bytes) {
@@ -45,7 +45,7 @@
     return hex;
 }
 
-std::string bytes_of(const std::string& hex) {
+std::string from_hex(const std::string& hex) {
     std::string bytes;
     for (std::size_t i = 0; i + 1 < hex.size(); i += 2) {
         bytes.push_back(static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16)));
@@ -53,49 +53,49 @@
     return bytes;
 }
 
-std::vector<WireForm> all_forms() {
-    std::vector<WireForm> forms;
-    for (auto group :
-         {record_forms, peer_forms, user_forms, worker_forms, store_forms, cloud_forms}) {
-        for (auto& form : group()) {
-            forms.push_back(std::move(form));
+std::vector<GoldenEncoding> all_encodings() {
+    std::vector<GoldenEncoding> encodings;
+    for (auto group : {record_encodings, peer_encodings, user_encodings, worker_encodings,
+                       store_encodings, cloud_encodings}) {
+        for (auto& encoding : group()) {
+            encodings.push_back(std::move(encoding));
         }
     }
-    return forms;
+    return encodings;
 }
 
-// A line of the data file.
-struct PinnedForm {
+// A line of the golden file.
+struct GoldenLine {
     std::string name;
     std::string hex;
 };
 
-std::vector<PinnedForm> read_pinned_forms() {
+std::vector<GoldenLine> read_golden_file() {
     std::ifstream file(WIRE_FORMAT_FILE);
     EXPECT_TRUE(file) << "cannot be read: " << WIRE_FORMAT_FILE;
-    std::vector<PinnedForm> forms;
+    std::vector<GoldenLine> encodings;
     for (std::string line; std::getline(file, line);) {
         std::size_t tab = line.find('\t');
         EXPECT_NE(tab, std::string::npos) << line;
         if (tab != std::string::npos) {
-            forms.push_back({line.substr(0, tab), line.substr(tab + 1)});
+            encodings.push_back({line.substr(0, tab), line.substr(tab + 1)});
         }
     }
-    return forms;
+    return encodings;
 }
 
-std::map<std::string, std::string> pinned_hex_by_name() {
+std::map<std::string, std::string> golden_hex_by_name() {
     std::map<std::string, std::string> by_name;
-    for (const auto& form : read_pinned_forms()) {
-        by_name[form.name] = form.hex;
+    for (const auto& encoding : read_golden_file()) {
+        by_name[encoding.name] = encoding.hex;
     }
     return by_name;
 }
 
-void write_pinned_forms(const char* path) {
+void write_golden_file(const char* path) {
     std::map<std::string, std::string> lines;
-    for (const auto& form : all_forms()) {
-        lines[form.name] = hex_of(form.encode());
+    for (const auto& encoding : all_encodings()) {
+        lines[encoding.name] = to_hex(encoding.encode());
     }
     std::ofstream file(path);
     for (const auto& [name, hex] : lines) {
@@ -103,53 +103,56 @@
     }
 }
 
-TEST(WireFormat, TheFileHoldsEachFormOnceSortedByName) {
-    if (const char* path = std::getenv(kWriteVariable)) {
-        write_pinned_forms(path);
-        FAIL() << "written to " << path << ", nothing was checked; run without " << kWriteVariable;
+TEST(WireFormat, TheGoldenFileListsEachEncodingOnceSortedByName) {
+    if (const char* path = std::getenv(kWriteFileVariable)) {
+        write_golden_file(path);
+        FAIL() << "written to " << path << ", nothing was checked; run without "
+               << kWriteFileVariable;
     }
     std::vector<std::string> expected;
-    for (const auto& form : all_forms()) {
-        expected.push_back(form.name);
+    for (const auto& encoding : all_encodings()) {
+        expected.push_back(encoding.name);
     }
     std::sort(expected.begin(), expected.end());
-    std::vector<std::string> pinned;
-    for (const auto& form : read_pinned_forms()) {
-        pinned.push_back(form.name);
+    std::vector<std::string> golden;
+    for (const auto& encoding : read_golden_file()) {
+        golden.push_back(encoding.name);
     }
-    EXPECT_EQ(pinned, expected);
+    EXPECT_EQ(golden, expected);
 }
 
-TEST(WireFormat, EncodersWriteThePinnedBytes) {
-    const auto pinned = pinned_hex_by_name();
-    for (const auto& form : all_forms()) {
-        SCOPED_TRACE(form.name);
-        ASSERT_TRUE(pinned.contains(form.name));
-        EXPECT_EQ(hex_of(form.encode()), pinned.at(form.name));
+TEST(WireFormat, EncodersWriteTheGoldenBytes) {
+    const auto golden = golden_hex_by_name();
+    for (const auto& encoding : all_encodings()) {
+        SCOPED_TRACE(encoding.name);
+        ASSERT_TRUE(golden.contains(encoding.name));
+        EXPECT_EQ(to_hex(encoding.encode()), golden.at(encoding.name));
     }
 }
 
-TEST(WireFormat, DecodersReadThePinnedBytes) {
-    const auto pinned = pinned_hex_by_name();
-    for (const auto& form : all_forms()) {
-        SCOPED_TRACE(form.name);
-        ASSERT_TRUE(pinned.contains(form.name));
-        if (form.check_decoding) {
-            form.check_decoding(bytes_of(pinned.at(form.name)));
+TEST(WireFormat, DecodersReadTheGoldenBytes) {
+    const auto golden = golden_hex_by_name();
+    for (const auto& encoding : all_encodings()) {
+        SCOPED_TRACE(encoding.name);
+        ASSERT_TRUE(golden.contains(encoding.name));
+        if (encoding.check_decoding) {
+            encoding.check_decoding(from_hex(golden.at(encoding.name)));
         }
     }
 }
 } // namespace
 
-std::string request_bytes(const OutboundBody& call) {
-    wire::HttpRequest http = wire::encode_request(call);
+std::string request_bytes(const OutboundBody& request) {
+    wire::HttpRequest http = wire::encode_request(request);
     return http.method + " " + http.path + "\n" + http.body;
 }
 
-std::string body_of(const std::string& request) { return request.substr(request.find('\n') + 1); }
+std::string request_body(const std::string& request) {
+    return request.substr(request.find('\n') + 1);
+}
 
 void expect_same_bytes(const std::string& actual, const std::string& expected) {
-    EXPECT_EQ(hex_of(actual), hex_of(expected));
+    EXPECT_EQ(to_hex(actual), to_hex(expected));
 }
 
 std::string stored_bytes(const std::string& key, const StoredRecord& record) {
