--- a/bench/allocations.h
+++ b/bench/allocations.h
@@ -1,4 +1,4 @@
-// Counts every allocation of the process.
+// Replaces operator new to count every allocation of the process.
 #pragma once
 
 #include <atomic>
--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -1,7 +1,7 @@
-// What the core costs by itself, as the fleet grows: a report, a placement, a steal, a takeover, a
-// tick. Time, allocations, and bytes held for a machine and for a waiting task. Nothing here waits:
-// the calls that the core makes are answered on the spot by a stand-in that keeps the keys in a
-// map.
+// Measures the cost of the core alone as the fleet grows: heartbeats, placement, slot borrowing,
+// failover and timer ticks. Reports time, allocations, and the heap bytes per machine and per
+// waiting task. Nothing blocks: an in-memory key-value store responds to the core's requests at
+// once.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -16,9 +16,9 @@
 namespace scheduler {
 namespace {
 
-constexpr double kCpus = 32;
-constexpr double kReportS = 6;
-constexpr std::uint32_t kTasksOfJob = 10000;
+constexpr double kMachineCpus = 32;
+constexpr double kHeartbeatIntervalS = 6;
+constexpr std::uint32_t kTasksPerJob = 10000;
 
 ClusterSettings cluster_settings(const char* node, int home, int partitions) {
     ClusterSettings settings;
@@ -29,7 +29,7 @@
     }
     settings.zones = {"a"};
     settings.teams = {{"red", 1e9, 0, 0, 0}};
-    settings.heartbeat_interval_s = kReportS;
+    settings.heartbeat_interval_s = kHeartbeatIntervalS;
     settings.worker_lease_s = 31;
     settings.cancel_s = 56;
     settings.store_requests_per_s = 1e9;
@@ -41,7 +41,7 @@
     return settings;
 }
 
-InstanceType type() { return {"m32", kCpus, 0, 256, 35, 0.2, 2.3, 0.5, 50, {"a"}}; }
+InstanceType type() { return {"m32", kMachineCpus, 0, 256, 35, 0.2, 2.3, 0.5, 50, {"a"}}; }
 
 JobSpec job(int number, std::uint32_t tasks) {
     JobSpec spec;
@@ -58,40 +58,42 @@
     return spec;
 }
 
-// The state service as a map; nodes that call each other do so at once.
-class Region {
+// Controllers with an in-memory key-value store. Requests between controllers are delivered at
+// once.
+class FakeRegion {
   public:
-    explicit Region(int nodes) {
+    explicit FakeRegion(int nodes) {
         for (int n = 0; n < nodes; ++n) {
             std::string name = "n" + std::to_string(n);
             ClusterSettings settings = cluster_settings(name.c_str(), n, nodes);
-            cores_.push_back(std::make_unique<Controller>(settings, policy::defaults(settings)));
+            controllers_.push_back(
+                std::make_unique<Controller>(settings, policy::defaults(settings)));
         }
     }
     void put(const std::string& key, StoredRecord record) {
         kv_[key] = {key, std::move(record), ++revision_};
     }
     Outputs input(int node, Input in) {
-        Outputs out = cores_[node]->handle(now_, std::move(in));
-        for (auto& call : out.requests) {
-            requests_.emplace_back(node, std::move(call));
+        Outputs out = controllers_[node]->handle(now_, std::move(in));
+        for (auto& request : out.requests) {
+            requests_.emplace_back(node, std::move(request));
         }
         return out;
     }
-    // Answers calls until there are none left but watches.
+    // Responds to requests until only watches are left.
     void settle() {
         while (!requests_.empty()) {
-            auto [node, call] = std::move(requests_.front());
+            auto [node, request] = std::move(requests_.front());
             requests_.pop_front();
-            if (std::holds_alternative<StoreWatch>(call.body)) {
-                watches_.emplace_back(node, std::move(call));
+            if (std::holds_alternative<StoreWatch>(request.body)) {
+                watches_.emplace_back(node, std::move(request));
                 continue;
             }
-            if (const auto* peer = std::get_if<PeerSyncCall>(&call.body)) {
+            if (const auto* peer = std::get_if<PeerSyncCall>(&request.body)) {
                 int to = std::atoi(peer->node.c_str() + 1);
                 Outputs out = input(to, PeerSyncReceived{77, peer->sync});
                 OutboundResponse response;
-                response.request_id = call.id;
+                response.request_id = request.id;
                 for (auto& a : out.responses) {
                     if (auto* body = std::get_if<PeerSyncResponse>(&a.body)) {
                         response.status = a.status;
@@ -101,20 +103,20 @@
                 input(node, std::move(response));
                 continue;
             }
-            OutboundResponse response = serve(call);
-            response.request_id = call.id;
+            OutboundResponse response = serve(request);
+            response.request_id = request.id;
             input(node, std::move(response));
         }
     }
     void step(double seconds) {
         now_ += seconds;
-        for (std::size_t n = 0; n < cores_.size(); ++n) {
+        for (std::size_t n = 0; n < controllers_.size(); ++n) {
             input(static_cast<int>(n), TimerTick{});
         }
         settle();
     }
-    // New jobs come by the watch.
-    void tell(const std::vector<JobSpec>& specs) {
+    // Submits jobs: they reach the controllers through their watches.
+    void submit(const std::vector<JobSpec>& specs) {
         OutboundResponse response;
         response.status = 200;
         for (const auto& spec : specs) {
@@ -132,20 +134,21 @@
         }
         settle();
     }
-    // Until the parts are claimed and read.
-    void begin() {
+    // Runs until the partitions have leaders that have loaded them.
+    void elect_leaders() {
         for (int k = 0; k < 8; ++k) {
             step(0.5);
         }
     }
     void advance(double seconds) { now_ += seconds; }
-    std::vector<std::pair<int, WorkerCommands>> orders; // direct commands of late
+    // Commands sent directly to workers so far.
+    std::vector<std::pair<int, WorkerCommands>> direct_commands;
 
   private:
-    OutboundResponse serve(const OutboundRequest& call) {
+    OutboundResponse serve(const OutboundRequest& request) {
         OutboundResponse response;
         response.status = 200;
-        if (const auto* range = std::get_if<StoreRange>(&call.body)) {
+        if (const auto* range = std::get_if<StoreRange>(&request.body)) {
             response.revision = revision_;
             auto it = range->after.empty() ? kv_.lower_bound(range->prefix)
                                            : kv_.upper_bound(range->after);
@@ -156,7 +159,7 @@
                 }
                 response.entries.push_back(it->second);
             }
-        } else if (const auto* transaction = std::get_if<StoreTransaction>(&call.body)) {
+        } else if (const auto* transaction = std::get_if<StoreTransaction>(&request.body)) {
             for (const auto& c : transaction->writes) {
                 if (c.value) {
                     put(c.key, *c.value);
@@ -165,18 +168,18 @@
                 }
             }
             response.revision = revision_;
-        } else if (std::holds_alternative<StoreLeaseGrant>(call.body)) {
+        } else if (std::holds_alternative<StoreLeaseGrant>(request.body)) {
             response.lease = ++lease_;
-        } else if (std::holds_alternative<ListInstanceTypes>(call.body)) {
+        } else if (std::holds_alternative<ListInstanceTypes>(request.body)) {
             response.instance_types = {type()};
-        } else if (const auto* o = std::get_if<WorkerCommands>(&call.body)) {
+        } else if (const auto* commands = std::get_if<WorkerCommands>(&request.body)) {
             response.status = 0;
-            orders.emplace_back(0, *o);
+            direct_commands.emplace_back(0, *commands);
         }
         return response;
     }
 
-    std::vector<std::unique_ptr<Controller>> cores_;
+    std::vector<std::unique_ptr<Controller>> controllers_;
     std::map<std::string, KeyedRecord> kv_;
     std::uint64_t revision_ = 1;
     std::uint64_t lease_ = 0;
@@ -185,32 +188,32 @@
     std::vector<std::pair<int, OutboundRequest>> watches_;
 };
 
-std::string name_of(int machine) {
+std::string machine_name(int machine) {
     char name[16];
     std::snprintf(name, sizeof name, "i-%06d", machine);
     return name;
 }
 
-// Workers as far as the core sees them.
+// The workers as the core sees them: one heartbeat each.
 struct Workers {
-    explicit Workers(int count, int nodes) : reports(static_cast<std::size_t>(count)) {
+    explicit Workers(int count, int nodes) : heartbeats(static_cast<std::size_t>(count)) {
         ClusterSettings settings = cluster_settings("n0", 0, nodes);
         for (int i = 0; i < count; ++i) {
-            Heartbeat& heartbeat = reports[static_cast<std::size_t>(i)];
-            heartbeat.machine = name_of(i);
+            Heartbeat& heartbeat = heartbeats[static_cast<std::size_t>(i)];
+            heartbeat.machine = machine_name(i);
             heartbeat.endpoint = "10.0.0.1:9000";
             heartbeat.type = "m32";
             heartbeat.zone = "a";
             heartbeat.spot = true;
             heartbeat.agent_epoch = 1;
-            owner.push_back(partition_of_machine(settings, heartbeat.machine, heartbeat.zone));
+            partition.push_back(partition_of_machine(settings, heartbeat.machine, heartbeat.zone));
         }
     }
-    // One report to the machine's owner; its commands are carried out.
-    void report(Region& region, std::size_t i) {
-        Heartbeat& heartbeat = reports[i];
+    // Sends a heartbeat to the machine's partition leader and executes the returned commands.
+    void send_heartbeat(FakeRegion& region, std::size_t i) {
+        Heartbeat& heartbeat = heartbeats[i];
         ++heartbeat.sequence;
-        Outputs out = region.input(owner[i], HeartbeatReceived{1, heartbeat});
+        Outputs out = region.input(partition[i], HeartbeatReceived{1, heartbeat});
         for (const auto& a : out.responses) {
             const auto* body = std::get_if<HeartbeatBody>(&a.body);
             if (!body) {
@@ -230,17 +233,17 @@
             }
         }
     }
-    // Every machine says twice that it is there.
-    void come(Region& region) {
+    // Every machine sends two heartbeats, which registers it.
+    void register_all(FakeRegion& region) {
         for (int round = 0; round < 2; ++round) {
-            for (std::size_t i = 0; i < reports.size(); ++i) {
-                report(region, i);
+            for (std::size_t i = 0; i < heartbeats.size(); ++i) {
+                send_heartbeat(region, i);
                 region.settle();
             }
         }
     }
-    std::vector<Heartbeat> reports;
-    std::vector<int> owner;
+    std::vector<Heartbeat> heartbeats;
+    std::vector<int> partition;
     std::uint64_t starts = 0;
 };
 
@@ -248,51 +251,53 @@
     std::vector<JobSpec> out;
     for (int n = from; tasks > 0; ++n) {
         out.push_back(
-            job(n, static_cast<std::uint32_t>(std::min<std::int64_t>(tasks, kTasksOfJob))));
-        tasks -= kTasksOfJob;
+            job(n, static_cast<std::uint32_t>(std::min<std::int64_t>(tasks, kTasksPerJob))));
+        tasks -= kTasksPerJob;
     }
     return out;
 }
 
-std::size_t held() { return mallinfo2().uordblks; }
+std::size_t heap_bytes() { return mallinfo2().uordblks; }
 
 void count_allocations(benchmark::State& state, std::uint64_t before) {
     state.counters["allocations"] = benchmark::Counter(static_cast<double>(allocations - before),
                                                        benchmark::Counter::kAvgIterations);
 }
 
-// A machine whose slots are all taken reports one task ended; the slot is filled again at once.
+// A fully loaded machine heartbeats that one task has ended; the slot is filled again at once.
 void report_and_placement(benchmark::State& state) {
     auto machines = static_cast<int>(state.range(0));
-    Region region(1);
+    FakeRegion region(1);
     Workers workers(machines, 1);
-    region.begin();
-    std::size_t empty = held();
-    workers.come(region);
-    double machine_bytes = static_cast<double>(held() - empty) / machines;
+    region.elect_leaders();
+    std::size_t empty = heap_bytes();
+    workers.register_all(region);
+    double machine_bytes = static_cast<double>(heap_bytes() - empty) / machines;
     std::int64_t waiting = std::max<std::int64_t>(state.range(1), machines * 10);
-    std::size_t before_jobs = held();
-    region.tell(jobs(waiting));
-    double task_bytes = static_cast<double>(held() - before_jobs) / static_cast<double>(waiting);
-    for (std::size_t i = 0; i < workers.reports.size(); ++i) { // takes what waits for it
-        workers.report(region, i);
-        workers.report(region, i);
+    std::size_t before_jobs = heap_bytes();
+    region.submit(jobs(waiting));
+    double task_bytes =
+        static_cast<double>(heap_bytes() - before_jobs) / static_cast<double>(waiting);
+    for (std::size_t i = 0; i < workers.heartbeats.size();
+         ++i) { // starts the tasks that wait for a slot
+        workers.send_heartbeat(region, i);
+        workers.send_heartbeat(region, i);
     }
     region.settle();
     std::size_t next = 0;
     std::uint64_t before_starts = workers.starts;
     std::uint64_t before = allocations;
     for (auto _ : state) {
-        std::size_t i = next++ % workers.reports.size();
-        for (auto& t : workers.reports[i].tasks) {
+        std::size_t i = next++ % workers.heartbeats.size();
+        for (auto& t : workers.heartbeats[i].tasks) {
             if (t.stage == TaskStage::running) {
                 t.stage = TaskStage::exited;
                 t.exit_reason = ExitReason::done;
                 break;
             }
         }
-        region.advance(kReportS / machines);
-        workers.report(region, i);
+        region.advance(kHeartbeatIntervalS / machines);
+        workers.send_heartbeat(region, i);
     }
     count_allocations(state, before);
     state.counters["starts"] = benchmark::Counter(
@@ -309,17 +314,18 @@
     ->Iterations(2000)
     ->Unit(benchmark::kMicrosecond);
 
-// A job of one task comes while most slots are idle: placed from the lists.
+// A job of one task is submitted while most slots are idle: it is placed from the lists of idle
+// machines.
 void placement_from_the_lists(benchmark::State& state) {
     auto machines = static_cast<int>(state.range(0));
-    Region region(1);
+    FakeRegion region(1);
     Workers workers(machines, 1);
-    region.begin();
-    workers.come(region);
+    region.elect_leaders();
+    workers.register_all(region);
     int number = 0;
     std::uint64_t before = allocations;
     for (auto _ : state) {
-        region.tell({job(number++, 1)});
+        region.submit({job(number++, 1)});
     }
     count_allocations(state, before);
 }
@@ -331,16 +337,16 @@
     ->Iterations(100)
     ->Unit(benchmark::kMicrosecond);
 
-// The timer of an owner with all slots taken.
+// The timer of a partition leader whose slots are all taken.
 void tick(benchmark::State& state) {
     auto machines = static_cast<int>(state.range(0));
-    Region region(1);
+    FakeRegion region(1);
     Workers workers(machines, 1);
-    region.begin();
-    workers.come(region);
-    region.tell(jobs(machines * 10));
-    for (std::size_t i = 0; i < workers.reports.size(); ++i) {
-        workers.report(region, i);
+    region.elect_leaders();
+    workers.register_all(region);
+    region.submit(jobs(machines * 10));
+    for (std::size_t i = 0; i < workers.heartbeats.size(); ++i) {
+        workers.send_heartbeat(region, i);
     }
     std::uint64_t before = allocations;
     for (auto _ : state) {
@@ -351,45 +357,48 @@
 BENCHMARK(tick)->Arg(100)->Arg(1000)->Arg(10000)->Arg(100000)->Iterations(20)->Unit(
     benchmark::kMicrosecond);
 
-// The team's owner has work and two parts have machines: one exchange, with its grants and starts.
+// One partition has a job and both have machines: measures a peer sync with its slot grants and
+// starts.
 void steal(benchmark::State& state) {
     auto machines = static_cast<int>(state.range(0));
-    Region region(2);
+    FakeRegion region(2);
     Workers workers(machines, 2);
-    region.begin();
-    workers.come(region);
+    region.elect_leaders();
+    workers.register_all(region);
     region.step(1);
     int number = 0;
     std::uint64_t before = allocations;
-    std::size_t sent = region.orders.size();
+    std::size_t sent = region.direct_commands.size();
     for (auto _ : state) {
-        region.tell({job(number++, 64)});
+        region.submit({job(number++, 64)});
         region.step(1);
     }
     count_allocations(state, before);
-    state.counters["direct_starts"] = benchmark::Counter(
-        static_cast<double>(region.orders.size() - sent), benchmark::Counter::kAvgIterations);
+    state.counters["direct_starts"] =
+        benchmark::Counter(static_cast<double>(region.direct_commands.size() - sent),
+                           benchmark::Counter::kAvgIterations);
 }
 BENCHMARK(steal)->Arg(100)->Arg(1000)->Arg(10000)->Arg(100000)->Iterations(20)->Unit(
     benchmark::kMicrosecond);
 
-// A new owner reads jobs and roster and hears every machine, each with its tasks.
+// A new partition leader loads jobs and the machine registry and receives heartbeats from all
+// machines, each with its tasks.
 void takeover(benchmark::State& state) {
     auto machines = static_cast<int>(state.range(0));
     std::uint64_t before = allocations;
     for (auto _ : state) {
         state.PauseTiming();
-        auto region = std::make_unique<Region>(1);
+        auto region = std::make_unique<FakeRegion>(1);
         Workers workers(machines, 1);
         std::vector<JobSpec> specs = jobs(machines * 10);
         for (const auto& s : specs) {
             region->put("job/" + s.id, JobRecord{Outcome::none, s});
         }
         std::uint32_t task = 0;
-        for (auto& r : workers.reports) {
+        for (auto& r : workers.heartbeats) {
             region->put("machine/0/" + r.machine, MachineRecord{r.endpoint, "m32", "a", true});
             for (int k = 0; k < 8; ++k, ++task) {
-                r.tasks.push_back({{specs[task / kTasksOfJob].id, task % kTasksOfJob},
+                r.tasks.push_back({{specs[task / kTasksPerJob].id, task % kTasksPerJob},
                                    make_attempt(1, task + 1, 0),
                                    TaskStage::running,
                                    ExitReason::none});
@@ -400,8 +409,8 @@
         region->step(1);
         region->step(0.5);
         for (int round = 0; round < 2; ++round) {
-            for (std::size_t i = 0; i < workers.reports.size(); ++i) {
-                workers.report(*region, i);
+            for (std::size_t i = 0; i < workers.heartbeats.size(); ++i) {
+                workers.send_heartbeat(*region, i);
             }
             region->settle();
         }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,6 @@
-// The parts of the scale run: for each rule a synthetic history that breaks it, which the checker
-// has to find, and the protocol that the models of worker, key-value store and cloud keep.
+// Tests of the components of the scale test: the checker must find the violation in a synthetic
+// history for each rule, and the models of worker, key-value store and cloud must follow their
+// protocols.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -47,35 +48,35 @@
     }
     void task_event(Kind kind, Time time, std::uint32_t task, const char* name,
                     const char* zone = "a", bool spot = false) {
-        Event e;
-        e.kind = kind;
-        e.time = time;
-        e.machine = name;
-        e.zone = zone;
-        e.spot = spot;
-        e.task = {kJob, task};
-        checker->on_event(e);
+        Event event;
+        event.kind = kind;
+        event.time = time;
+        event.machine = name;
+        event.zone = zone;
+        event.spot = spot;
+        event.task = {kJob, task};
+        checker->on_event(event);
     }
     void request(Kind kind, Time time, int status, const char* stage, const char* job = kJob) {
-        Event e;
-        e.kind = kind;
-        e.time = time;
-        e.task.job = job;
-        e.request = ++last_request;
-        checker->on_event(e);
-        e.kind = Kind::response;
-        e.time += 0.1;
-        e.status = status;
-        e.stage = stage;
-        checker->on_event(e);
+        Event event;
+        event.kind = kind;
+        event.time = time;
+        event.task.job = job;
+        event.request = ++last_request;
+        checker->on_event(event);
+        event.kind = Kind::response;
+        event.time += 0.1;
+        event.status = status;
+        event.stage = stage;
+        checker->on_event(event);
     }
     void write_quota(Time time, double cpus_max) {
-        Event e;
-        e.kind = Kind::quota_written;
-        e.time = time;
-        e.stage = "red";
-        e.amount = cpus_max;
-        checker->on_event(e);
+        Event event;
+        event.kind = Kind::quota_written;
+        event.time = time;
+        event.stage = "red";
+        event.amount = cpus_max;
+        checker->on_event(event);
     }
     void accept() { request(Kind::submit, 1, 201, "pending"); }
     bool only_violation_is(const std::string& rule) const {
@@ -86,11 +87,12 @@
     std::uint64_t last_request = 0;
 };
 
-TEST_F(CheckerTest, AHistoryThatKeepsAllRules) {
+TEST_F(CheckerTest, AHistoryThatKeepsAllRulesHasNoViolations) {
     accept();
     task_event(Kind::task_started, 2, 0, "x");
     task_event(Kind::task_started, 2, 1, "x");
-    task_event(Kind::task_stopped, 3, 1, "x"); // lost with its slot, and started again elsewhere
+    task_event(Kind::task_stopped, 3, 1,
+               "x"); // its slot was lost; it is restarted on another machine
     task_event(Kind::task_started, 4, 1, "y");
     task_event(Kind::task_completed, 5, 0, "x");
     task_event(Kind::task_started, 5, 2, "x");
@@ -103,14 +105,14 @@
     EXPECT_TRUE(checker->violations().empty()) << checker->violations().front();
 }
 
-TEST_F(CheckerTest, RanTwice) {
+TEST_F(CheckerTest, ATaskRunningOnTwoMachinesViolatesRanTwice) {
     accept();
     task_event(Kind::task_started, 2, 0, "x");
     task_event(Kind::task_started, 3, 0, "y");
     EXPECT_TRUE(only_violation_is("ran_twice"));
 }
 
-TEST_F(CheckerTest, Quota) {
+TEST_F(CheckerTest, UsageAboveTheLimitViolatesQuota) {
     accept();
     task_event(Kind::task_started, 2, 0, "x");
     task_event(Kind::task_started, 2, 1, "x");
@@ -118,17 +120,17 @@
     EXPECT_TRUE(only_violation_is("quota"));
 }
 
-TEST_F(CheckerTest, ALoweredLimitCountsFromTheEndOfItsTime) {
+TEST_F(CheckerTest, ALoweredLimitIsEnforcedAfterItsGracePeriod) {
     accept();
     task_event(Kind::task_started, 2, 0, "x");
     task_event(Kind::task_started, 2, 1, "x");
     write_quota(10, 2);
-    task_event(Kind::task_stopped, 29.9, 1, "x"); // in time
-    task_event(Kind::task_started, 31, 1, "x");   // above what holds now
+    task_event(Kind::task_stopped, 29.9, 1, "x"); // within the grace period
+    task_event(Kind::task_started, 31, 1, "x");   // above the lowered limit
     EXPECT_TRUE(only_violation_is("quota"));
 }
 
-TEST_F(CheckerTest, AboveALoweredLimitUntilTheEnd) {
+TEST_F(CheckerTest, UsageAboveALoweredLimitAtTheEndViolatesQuota) {
     accept();
     task_event(Kind::task_started, 2, 0, "x");
     task_event(Kind::task_started, 2, 1, "x");
@@ -137,7 +139,7 @@
     EXPECT_TRUE(only_violation_is("quota"));
 }
 
-TEST_F(CheckerTest, ALimitLoweredTwiceAllowsTheHighestOfItsTime) {
+TEST_F(CheckerTest, ALimitLoweredTwiceAllowsTheHighestLimitOfTheGracePeriod) {
     accept();
     task_event(Kind::task_started, 2, 0, "x");
     task_event(Kind::task_started, 2, 1, "x");
@@ -147,19 +149,19 @@
     EXPECT_TRUE(checker->violations().empty());
 }
 
-TEST_F(CheckerTest, WrongPlaceByZone) {
+TEST_F(CheckerTest, ATaskInAnotherZoneViolatesWrongPlace) {
     accept();
     task_event(Kind::task_started, 2, 0, "x", "b");
     EXPECT_TRUE(only_violation_is("wrong_place"));
 }
 
-TEST_F(CheckerTest, WrongPlaceByKind) {
+TEST_F(CheckerTest, AnOnDemandTaskOnASpotMachineViolatesWrongPlace) {
     accept();
     task_event(Kind::task_started, 2, 0, "x", "a", true);
     EXPECT_TRUE(only_violation_is("wrong_place"));
 }
 
-TEST_F(CheckerTest, RanCancelledOnAMachineTooLong) {
+TEST_F(CheckerTest, ACancelledTaskThatKeepsRunningViolatesRanCancelled) {
     accept();
     task_event(Kind::task_started, 2, 0, "x");
     request(Kind::cancel, 3, 200, "cancelled");
@@ -167,14 +169,14 @@
     EXPECT_TRUE(only_violation_is("ran_cancelled"));
 }
 
-TEST_F(CheckerTest, RanCancelledByALateStart) {
+TEST_F(CheckerTest, ATaskStartedLongAfterItsCancellationViolatesRanCancelled) {
     accept();
     request(Kind::cancel, 3, 200, "cancelled");
     task_event(Kind::task_started, 3 + kCancel_s + 1, 0, "x");
     EXPECT_TRUE(only_violation_is("ran_cancelled"));
 }
 
-TEST_F(CheckerTest, NotDone) {
+TEST_F(CheckerTest, AJobReportedDoneWithUnfinishedTasksViolatesNotDone) {
     accept();
     task_event(Kind::task_started, 2, 0, "x");
     task_event(Kind::task_completed, 3, 0, "x");
@@ -182,49 +184,49 @@
     EXPECT_TRUE(only_violation_is("not_done"));
 }
 
-TEST_F(CheckerTest, WentBack) {
+TEST_F(CheckerTest, ACancelledJobReportedPendingViolatesWentBack) {
     accept();
     request(Kind::cancel, 3, 200, "cancelled");
     request(Kind::poll, 5, 200, "pending");
     EXPECT_TRUE(only_violation_is("went_back"));
 }
 
-TEST_F(CheckerTest, Forgotten) {
+TEST_F(CheckerTest, AnAcceptedJobReportedUnknownViolatesForgotten) {
     accept();
     request(Kind::poll, 5, 404, "");
     EXPECT_TRUE(only_violation_is("forgotten"));
 }
 
-TEST_F(CheckerTest, InventedToAUser) {
+TEST_F(CheckerTest, AStatusForAJobNeverSubmittedViolatesInvented) {
     request(Kind::poll, 5, 200, "pending", "req-9");
     EXPECT_TRUE(only_violation_is("invented"));
 }
 
-TEST_F(CheckerTest, InventedOnAMachine) {
+TEST_F(CheckerTest, ARunningTaskOfAJobNeverSubmittedViolatesInvented) {
     task_event(Kind::task_started, 2, 0, "x");
     EXPECT_TRUE(only_violation_is("invented"));
 }
 
-TEST(ScaleHistory, IsReadAsItWasWritten) {
+TEST(ScaleHistory, AWrittenEventIsReadBackUnchanged) {
     std::string file = testing::TempDir() + "scale-history";
-    Event e;
-    e.kind = Kind::response;
-    e.time = 12.5;
-    e.task = {kJob, 7};
-    e.request = 3;
-    e.status = 200;
-    e.stage = "pending";
-    e.spot = true;
-    HistoryWriter(file).write(e);
-    auto read = read_history(file);
-    ASSERT_EQ(read.size(), 1U);
-    EXPECT_EQ(read[0].kind, e.kind);
-    EXPECT_EQ(read[0].time, e.time);
-    EXPECT_EQ(read[0].task, e.task);
-    EXPECT_EQ(read[0].request, e.request);
-    EXPECT_EQ(read[0].stage, e.stage);
-    EXPECT_EQ(read[0].machine, "");
-    EXPECT_TRUE(read[0].spot);
+    Event event;
+    event.kind = Kind::response;
+    event.time = 12.5;
+    event.task = {kJob, 7};
+    event.request = 3;
+    event.status = 200;
+    event.stage = "pending";
+    event.spot = true;
+    HistoryWriter(file).write(event);
+    auto events = read_history(file);
+    ASSERT_EQ(events.size(), 1U);
+    EXPECT_EQ(events[0].kind, event.kind);
+    EXPECT_EQ(events[0].time, event.time);
+    EXPECT_EQ(events[0].task, event.task);
+    EXPECT_EQ(events[0].request, event.request);
+    EXPECT_EQ(events[0].stage, event.stage);
+    EXPECT_EQ(events[0].machine, "");
+    EXPECT_TRUE(events[0].spot);
     std::filesystem::remove(file);
 }
 
@@ -235,14 +237,14 @@
             return spec_of(id);
         };
         environment.task_duration_s = [](const TaskId&) { return 10.0; };
-        environment.completed = [this](const TaskId& t) { return completed.contains(t); };
-        environment.task_started = [this](Time, const std::string&, const TaskId& t) {
-            running.insert(t);
+        environment.completed = [this](const TaskId& task) { return completed.contains(task); };
+        environment.task_started = [this](Time, const std::string&, const TaskId& task) {
+            running.insert(task);
         };
-        environment.task_stopped = [this](Time, const std::string&, const TaskId& t, bool done) {
-            running.erase(t);
+        environment.task_stopped = [this](Time, const std::string&, const TaskId& task, bool done) {
+            running.erase(task);
             if (done) {
-                completed.insert(t);
+                completed.insert(task);
             }
         };
     }
@@ -255,13 +257,13 @@
     HollowWorker worker{0, {"i-1", "127.0.0.1:1", "a", false}, machine_type(), 17, environment};
 };
 
-TEST_F(HollowWorkerTest, ATaskFetchesRunsExitsAndIsCleared) {
+TEST_F(HollowWorkerTest, ATaskIsFetchedRunsExitsAndIsCleared) {
     EXPECT_EQ(worker.on_direct_commands(1, {5, 1, {start(0, 9)}}), 200);
     Heartbeat heartbeat = worker.report(1.5, true);
     ASSERT_EQ(heartbeat.tasks.size(), 1U);
     EXPECT_EQ(heartbeat.tasks[0].stage, TaskStage::fetching);
     EXPECT_EQ(heartbeat.fencing_token, 5U);
-    worker.advance(2.1); // one GB at one a second
+    worker.advance(2.1); // an image of 1 GB at 1 GB/s
     EXPECT_TRUE(running.contains({kJob, 0}));
     worker.on_report_reply(10, 1, 9, {5, {}});
     worker.advance(12.2);
@@ -272,7 +274,7 @@
     EXPECT_TRUE(worker.report(12.5, true).tasks.empty());
 }
 
-TEST_F(HollowWorkerTest, LowerTokensAndOtherSessionsAreRefused) {
+TEST_F(HollowWorkerTest, CommandsWithALowerTokenOrAnotherAgentEpochAreRejected) {
     EXPECT_EQ(worker.on_direct_commands(1, {5, 1, {}}), 200);
     EXPECT_EQ(worker.on_direct_commands(1, {4, 1, {start(0, 9)}}), 409);
     EXPECT_EQ(worker.on_direct_commands(1, {6, 2, {start(0, 9)}}), 409);
@@ -281,7 +283,7 @@
     EXPECT_TRUE(worker.report(1, true).tasks.empty());
 }
 
-TEST_F(HollowWorkerTest, TheLeaseRunsFromTheSendingOfTheLastAnsweredReport) {
+TEST_F(HollowWorkerTest, TheLeaseStartsWhenTheLastAcknowledgedHeartbeatWasSent) {
     worker.on_direct_commands(1, {5, 1, {start(0, 9)}});
     worker.on_report_reply(6, 1, 4, {5, {}});
     worker.advance(20.9);
@@ -289,27 +291,28 @@
     worker.advance(21.1);
     EXPECT_EQ(worker.session(), 2U);
     EXPECT_TRUE(running.empty());
-    EXPECT_FALSE(worker.on_report_reply(22, 1, 20, {5, {start(1, 9)}})); // of the session before
+    EXPECT_FALSE(
+        worker.on_report_reply(22, 1, 20, {5, {start(1, 9)}})); // from the previous agent epoch
 }
 
-TEST_F(HollowWorkerTest, RefusesWhatHasNoRoomOrRunsAlready) {
+TEST_F(HollowWorkerTest, StartsWithoutFreeCapacityOrOfARunningTaskExitAtOnce) {
     worker.on_direct_commands(1, {5, 1, {start(0, 9), start(0, 10), start(1, 9), start(2, 9)}});
     Heartbeat heartbeat = worker.report(1, true);
     ASSERT_EQ(heartbeat.tasks.size(), 4U);
     EXPECT_EQ(heartbeat.tasks[1].exit_reason, ExitReason::busy);
-    for (std::uint32_t i = 0; i < 3; ++i) { // four places, three of them taken
+    for (std::uint32_t i = 0; i < 3; ++i) { // four slots, three of them taken
         worker.on_direct_commands(1, {5, 1, {{CommandType::start, {"req-2", i}, 9, 0}}});
     }
     EXPECT_EQ(worker.report(1, true).tasks.back().exit_reason, ExitReason::insufficient_capacity);
 }
 
-class StateStoreTest : public testing::Test {
+class StoreModelTest : public testing::Test {
   protected:
     static Json set(const char* key, int value) { return {{"set", key}, {"data", value}}; }
     StoreModel store;
 };
 
-TEST_F(StateStoreTest, TransactionsAreAtomicAndConditional) {
+TEST_F(StoreModelTest, TransactionsAreAtomicAndConditional) {
     EXPECT_EQ(store
                   .transact(0, {{"when", {{{"key", "a"}, {"graft", 0}}}},
                                 {"then", {set("a", 1), set("b", 2)}}})
@@ -324,7 +327,7 @@
     EXPECT_EQ(store.range("", "a", 10).body["pairs"].size(), 1U);
 }
 
-TEST_F(StateStoreTest, LeasesTakeTheirKeysAlong) {
+TEST_F(StoreModelTest, AnExpiredLeaseDeletesItsKeys) {
     std::uint64_t lease = store.grant(0, 5).body["lease"];
     store.transact(0, {{"then", {{{"set", "a"}, {"data", 1}, {"lease", lease}}}}});
     EXPECT_EQ(store.renew(4, lease).status, 200);
@@ -340,14 +343,14 @@
     EXPECT_EQ(watch->body["events"][0]["drop"], "a");
 }
 
-TEST_F(StateStoreTest, WatchesSeeWhatComesAfterAndAreTooOldInTheEnd) {
+TEST_F(StoreModelTest, AWatchReturnsLaterChangesAndFailsOnceItsRevisionIsTooOld) {
     std::uint64_t since = store.revision();
     EXPECT_FALSE(store.watch("a", since));
     store.transact(0, {{"then", {set("a/1", 1)}}});
     store.transact(0, {{"then", {set("b/1", 1)}}});
-    auto news = store.watch("a", since);
-    ASSERT_TRUE(news);
-    EXPECT_EQ(news->body["events"].size(), 1U);
+    auto changes = store.watch("a", since);
+    ASSERT_TRUE(changes);
+    EXPECT_EQ(changes->body["events"].size(), 1U);
     EXPECT_FALSE(store.watch("a", store.revision()));
     for (std::size_t i = 0; i < StoreModel::kChangesKept; ++i) {
         store.transact(0, {{"then", {set("b/1", 1)}}});
@@ -355,17 +358,17 @@
     EXPECT_EQ(store.watch("a", since)->status, 410);
 }
 
-TEST(ScaleCloud, RentsWhatWasReleasedAndNoMore) {
-    Options o;
-    o.workers = 6;
-    o.tasks = 6;
-    Plan plan(o, 0);
+TEST(ScaleCloud, ProvisionsOnlyMachinesThatWereReleased) {
+    Options options;
+    options.workers = 6;
+    options.tasks = 6;
+    Plan plan(options, 0);
     CloudModel cloud(plan, 0);
     EXPECT_TRUE(cloud.rent(1, "r-1", plan.zone(0), false, 2).empty());
     cloud.release({plan.machine_name(0)});
     auto names = cloud.rent(1, "r-1", plan.zone(0), false, 2);
     ASSERT_EQ(names.size(), 1U);
-    EXPECT_EQ(cloud.rent(2, "r-1", plan.zone(0), false, 2), names); // the same order again
+    EXPECT_EQ(cloud.rent(2, "r-1", plan.zone(0), false, 2), names); // the same request again
     EXPECT_TRUE(cloud.take_booted(2).empty());
     EXPECT_EQ(cloud.take_booted(1 + plan.machine_type().boot_s), names);
     cloud.terminate(60, names[0]);
@@ -373,25 +376,26 @@
     EXPECT_EQ(cloud.list(91, "", 500).hosts.back().state, InstanceState::failed);
 }
 
-TEST(ScaleOptions, ARunThatWouldTakeTooMuchIsRefusedBeforeItBegins) {
-    Options o;
-    o.daemon = "/bin/sh";
-    EXPECT_NO_THROW(validate(o, 24e9));
-    auto refused = [&](auto change, const std::string& key) {
-        Options bad = o;
+TEST(ScaleOptions, OptionsBeyondTheMachinesLimitsAreRejected) {
+    Options options;
+    options.daemon = "/bin/sh";
+    EXPECT_NO_THROW(validate(options, 24e9));
+    auto rejected = [&](auto change, const std::string& key) {
+        Options bad = options;
         change(bad);
         try {
             validate(bad, 24e9);
-        } catch (const ScaleTestError& why) {
-            return std::string(why.what()).starts_with(key);
+        } catch (const ScaleTestError& error) {
+            return std::string(error.what()).starts_with(key);
         }
         return false;
     };
-    EXPECT_TRUE(refused([](Options& b) { b.workers = 200000, b.regions = 6; }, "--workers"));
-    EXPECT_TRUE(refused([](Options& b) { b.regions = 40, b.controllers = 8; }, "--controllers"));
-    EXPECT_TRUE(refused([](Options& b) { b.daemon = "/nowhere"; }, "--daemon"));
-    EXPECT_TRUE(refused([](Options& b) { b.start_rate = 0; }, "--starts"));
-    EXPECT_TRUE(refused([](Options& b) { b.replace = 1000; }, "--replace"));
+    EXPECT_TRUE(rejected([](Options& bad) { bad.workers = 200000, bad.regions = 6; }, "--workers"));
+    EXPECT_TRUE(
+        rejected([](Options& bad) { bad.regions = 40, bad.controllers = 8; }, "--controllers"));
+    EXPECT_TRUE(rejected([](Options& bad) { bad.daemon = "/nowhere"; }, "--daemon"));
+    EXPECT_TRUE(rejected([](Options& bad) { bad.start_rate = 0; }, "--starts"));
+    EXPECT_TRUE(rejected([](Options& bad) { bad.replace = 1000; }, "--replace"));
 }
 
 } // namespace
