--- a/src/scale/checker.cpp
+++ b/src/scale/checker.cpp
@@ -44,13 +44,13 @@
 }
 
 void Checker::response(const Event& event) {
-    Response answer;
-    answer.request_id = event.request;
-    answer.status = event.status;
+    Response response;
+    response.request_id = event.request;
+    response.status = event.status;
     if (!event.stage.empty()) {
-        answer.body = JobStatusBody{event.task.job, event.stage, {}, {}};
+        response.body = JobStatusBody{event.task.job, event.stage, {}, {}};
     }
-    history_checker_.answered(event.time, answer);
+    history_checker_.answered(event.time, response);
 }
 
 // The limits before it may be used for a while.
@@ -77,8 +77,8 @@
         return;
     }
     auto& zones = zones_[event.task.job];
-    bool elsewhere = std::any_of(zones.begin(), zones.end(), [&](const auto& z) {
-        return z.first != event.zone && z.second > 0;
+    bool elsewhere = std::any_of(zones.begin(), zones.end(), [&](const auto& zone_tasks) {
+        return zone_tasks.first != event.zone && zone_tasks.second > 0;
     });
     std::uint32_t in_zone = ++zones[event.zone];
     if ((event.spot && !spec->spot) || (spec->zone && *spec->zone != event.zone) ||
@@ -110,10 +110,10 @@
 
 // What a team uses, when a task comes and as the last moment at which it was as much.
 void Checker::check_quota(Time now, const std::string& team, const std::string& when) {
-    double most = limits_[team].allowed(now);
-    if (most > 0 && used_[team] > most + kRounding) {
+    double limit_cpus = limits_[team].allowed(now);
+    if (limit_cpus > 0 && used_[team] > limit_cpus + kRounding) {
         add_violation("quota " + team + " uses " + std::to_string(used_[team]) + " of " +
-                      std::to_string(most) + " (" + when + ")");
+                      std::to_string(limit_cpus) + " (" + when + ")");
     }
 }
 
--- a/src/scale/cloud_model.cpp
+++ b/src/scale/cloud_model.cpp
@@ -16,8 +16,8 @@
     }
 }
 
-std::vector<std::string> CloudModel::rent(Time now, const std::string& order,
-                                          const std::string& zone, bool spot, int count) {
+std::vector<std::string> CloudModel::provision(Time now, const std::string& order,
+                                               const std::string& zone, bool spot, int count) {
     if (auto before = orders_.find(order); before != orders_.end()) {
         return before->second;
     }
--- a/src/scale/cloud_model.h
+++ b/src/scale/cloud_model.h
@@ -17,8 +17,8 @@
     CloudModel(const Plan& plan, Time now);
 
     // Names of the machines rented; none: no capacity. The same order again gives the same names.
-    std::vector<std::string> rent(Time now, const std::string& order, const std::string& zone,
-                                  bool spot, int count);
+    std::vector<std::string> provision(Time now, const std::string& order, const std::string& zone,
+                                       bool spot, int count);
     // They are gone at once; others can be rented in their place.
     void release(const std::vector<std::string>& machines);
     // The machine has died. It is listed as running for a while, then as failed; another can be
--- a/src/scale/cloud_server.cpp
+++ b/src/scale/cloud_server.cpp
@@ -68,12 +68,12 @@
 
 void CloudServer::route(const HttpServerRequest& request, Responder to) {
     if (request.method == "GET" && request.path == "/catalog") {
-        Json types = Json::array({json_of(plan_.machine_type())});
+        Json types = Json::array({to_json_value(plan_.machine_type())});
         to.send(kHttpOk, pack({{"benches", std::move(types)}}));
     } else if (request.method == "GET" && request.path == "/hosts") {
         list(request, to);
     } else if (request.path == "/hosts") {
-        rent(request, to);
+        provision(request, to);
     } else if (request.path == "/hosts/release") {
         release(request, to);
     } else {
@@ -87,17 +87,17 @@
     CloudModel::Page page = model_.list(now(), after, kMostListed);
     Json hosts = Json::array();
     for (const auto& host : page.hosts) {
-        hosts.push_back(json_of(host));
+        hosts.push_back(to_json_value(host));
     }
     to.send(kHttpOk, pack({{"pots", std::move(hosts)}, {"more", page.more}}));
 }
 
-void CloudServer::rent(const HttpServerRequest& request, Responder to) {
+void CloudServer::provision(const HttpServerRequest& request, Responder to) {
     Json body = unpack(request.body);
     int count = std::min(kMostRented, body.at("count").get<int>());
-    auto machines =
-        model_.rent(now(), body.at("order").get<std::string>(), body.at("house").get<std::string>(),
-                    body.at("cuttings").get<bool>(), count);
+    auto machines = model_.provision(now(), body.at("order").get<std::string>(),
+                                     body.at("house").get<std::string>(),
+                                     body.at("cuttings").get<bool>(), count);
     counters_.rented += machines.size();
     if (machines.empty()) {
         to.send(kHttpUnavailable, pack({{"error", "no capacity"}}));
--- a/src/scale/cloud_server.h
+++ b/src/scale/cloud_server.h
@@ -28,7 +28,7 @@
     void serve(const HttpServerRequest& request, Responder to);
     void route(const HttpServerRequest& request, Responder to);
     void list(const HttpServerRequest& request, Responder to);
-    void rent(const HttpServerRequest& request, Responder to);
+    void provision(const HttpServerRequest& request, Responder to);
     void release(const HttpServerRequest& request, Responder to);
 
     EventLoop& loop_;
--- a/src/scale/history.cpp
+++ b/src/scale/history.cpp
@@ -8,10 +8,10 @@
 namespace scheduler::scale {
 
 namespace {
-constexpr char kNothing[] = "-"; // fields are separated by blanks and never empty
-std::string written(const std::string& text) { return text.empty() ? kNothing : text; }
-void read_into(std::string& text) {
-    if (text == kNothing) {
+constexpr char kEmptyField[] = "-"; // fields are separated by blanks and never empty
+std::string to_field(const std::string& text) { return text.empty() ? kEmptyField : text; }
+void from_field(std::string& text) {
+    if (text == kEmptyField) {
         text.clear();
     }
 }
@@ -27,10 +27,10 @@
 
 void HistoryWriter::write(const Event& event) {
     std::fprintf(file_, "%d %.6f %s %s %d %s %u %llu %d %s %.6f\n", static_cast<int>(event.kind),
-                 event.time, written(event.machine).c_str(), written(event.zone).c_str(),
-                 event.spot ? 1 : 0, written(event.task.job).c_str(), event.task.index,
+                 event.time, to_field(event.machine).c_str(), to_field(event.zone).c_str(),
+                 event.spot ? 1 : 0, to_field(event.task.job).c_str(), event.task.index,
                  static_cast<unsigned long long>(event.request), event.status,
-                 written(event.stage).c_str(), event.amount);
+                 to_field(event.stage).c_str(), event.amount);
 }
 
 std::vector<Event> read_history(const std::string& file) {
@@ -54,7 +54,7 @@
         event.kind = static_cast<Event::Kind>(kind);
         event.spot = spot != 0;
         for (std::string* text : {&event.machine, &event.zone, &event.task.job, &event.stage}) {
-            read_into(*text);
+            from_field(*text);
         }
         out.push_back(std::move(event));
     }
--- a/src/scale/history.h
+++ b/src/scale/history.h
@@ -1,4 +1,4 @@
-// What workers and users saw, a line an event, written by their processes and read by the checker.
+// What workers and users saw, a line an event, to_field by their processes and read by the checker.
 #pragma once
 
 #include <cstdio>
@@ -19,7 +19,7 @@
         poll,           // as submit
         cancel,         // as submit
         response,       // to the request of that number
-        quota_written,  // a team's limit was written, `amount`, at the revision `request`
+        quota_written,  // a team's limit was to_field, `amount`, at the revision `request`
         quota_applied,  // a controller says that it applies all changes up to that revision
     };
     Kind kind = Kind::task_started;
--- a/src/scale/history_analysis.cpp
+++ b/src/scale/history_analysis.cpp
@@ -24,8 +24,9 @@
     Checker::Settings settings;
     settings.teams = plan.teams();
     settings.type = plan.machine_type();
-    settings.cancel_s = Plan::kCancel_s;
-    settings.lowering_grace_s = Plan::kCancel_s; // docs/configuration.md, "Stated time"
+    settings.cancel_s = Plan::kCancellationTimeout_s;
+    settings.lowering_grace_s =
+        Plan::kCancellationTimeout_s; // docs/configuration.md, "Stated time"
     settings.job = [&plan](const std::string& id) { return plan.job(id); };
     return settings;
 }
--- a/src/scale/hollow_worker.cpp
+++ b/src/scale/hollow_worker.cpp
@@ -10,9 +10,9 @@
 HollowWorker::HollowWorker(Time now, Identity identity, const InstanceType& type, double lease_s,
                            const Environment& environment)
     : identity_(std::move(identity)), type_(type), lease_s_(lease_s), environment_(environment),
-      lease_from_(now) {}
+      lease_start_(now) {}
 
-Heartbeat HollowWorker::report(Time now, bool sent) {
+Heartbeat HollowWorker::heartbeat(Time now, bool sent) {
     advance(now);
     if (sent) {
         changed_ = false;
@@ -23,43 +23,44 @@
     heartbeat.type = type_.name;
     heartbeat.zone = identity_.zone;
     heartbeat.spot = identity_.spot;
-    heartbeat.agent_epoch = session_;
-    heartbeat.sequence = ++tick_;
-    heartbeat.fencing_token = token_;
+    heartbeat.agent_epoch = agent_epoch_;
+    heartbeat.sequence = ++sequence_;
+    heartbeat.fencing_token = fencing_token_;
     for (const auto& [key, task] : tasks_) {
-        heartbeat.tasks.push_back({key.task, key.attempt, task.stage, task.why});
+        heartbeat.tasks.push_back({key.task, key.attempt, task.stage, task.exit_reason});
     }
     return heartbeat;
 }
 
-bool HollowWorker::on_report_reply(Time now, std::uint64_t session, Time sent,
-                                   const ReportReply& reply) {
+bool HollowWorker::on_heartbeat_response(Time now, std::uint64_t agent_epoch, Time sent,
+                                         const HeartbeatResponse& reply) {
     advance(now);
-    if (session != session_ || reply.token == 0 || reply.token < token_) {
+    if (agent_epoch != agent_epoch_ || reply.fencing_token == 0 ||
+        reply.fencing_token < fencing_token_) {
         return false;
     }
-    if (reply.token > token_) {
-        token_ = reply.token;
-        if (now - token_change_counted_ >= lease_s_ / 2) {
-            token_change_counted_ = now;
+    if (reply.fencing_token > fencing_token_) {
+        fencing_token_ = reply.fencing_token;
+        if (now - token_change_reported_at_ >= lease_s_ / 2) {
+            token_change_reported_at_ = now;
             changed_ = true;
         }
     }
-    lease_from_ = std::max(lease_from_, sent);
+    lease_start_ = std::max(lease_start_, sent);
     execute(now, reply.commands);
     return true;
 }
 
 int HollowWorker::on_direct_commands(Time now, const DirectCommands& direct) {
     advance(now);
-    if (direct.token < token_ || direct.session != session_) {
+    if (direct.fencing_token < fencing_token_ || direct.agent_epoch != agent_epoch_) {
         return kHttpConflict;
     }
-    if (direct.token > token_ && now - token_change_counted_ >= lease_s_ / 2) {
-        token_change_counted_ = now;
+    if (direct.fencing_token > fencing_token_ && now - token_change_reported_at_ >= lease_s_ / 2) {
+        token_change_reported_at_ = now;
         changed_ = true;
     }
-    token_ = direct.token;
+    fencing_token_ = direct.fencing_token;
     execute(now, direct.commands);
     return kHttpOk;
 }
@@ -97,11 +98,11 @@
     Task task;
     auto spec = environment_.job(command.task.job);
     if (!spec || command.task.index >= spec->tasks) {
-        task.why = ExitReason::unknown;
+        task.exit_reason = ExitReason::unknown;
     } else if (occupied(command.task)) {
-        task.why = ExitReason::busy;
+        task.exit_reason = ExitReason::busy;
     } else if (cpus_ + spec->cpus > type_.cpus || ram_gb_ + spec->ram_gb > type_.ram_gb) {
-        task.why = ExitReason::insufficient_capacity;
+        task.exit_reason = ExitReason::insufficient_capacity;
     } else {
         task.cpus = spec->cpus;
         task.ram_gb = spec->ram_gb;
@@ -111,7 +112,7 @@
         task.until =
             now + (images_.contains(task.image) ? 0 : spec->image_gb / type_.fetch_gb_per_s);
     }
-    if (task.why != ExitReason::none) {
+    if (task.exit_reason != ExitReason::none) {
         task.stage = TaskStage::exited;
     }
     tasks_[{command.task, command.attempt}] = std::move(task);
@@ -119,43 +120,43 @@
     advance(now);
 }
 
-void HollowWorker::exit(Time now, const TaskId& ref, Task& task, ExitReason why) {
+void HollowWorker::exit(Time now, const TaskId& task_id, Task& task, ExitReason exit_reason) {
     if (task.stage == TaskStage::running) {
-        environment_.task_stopped(now, identity_.name, ref, why == ExitReason::done);
+        environment_.task_stopped(now, identity_.name, task_id, exit_reason == ExitReason::done);
     }
     task.stage = TaskStage::exited;
-    task.why = why;
+    task.exit_reason = exit_reason;
     cpus_ -= task.cpus;
     ram_gb_ -= task.ram_gb;
     changed_ = true;
 }
 
 void HollowWorker::advance(Time now) {
-    if (now > lease_from_ + lease_s_) {
+    if (now > lease_start_ + lease_s_) {
         drop_all_tasks(now);
-        ++session_;
-        lease_from_ = now;
+        ++agent_epoch_;
+        lease_start_ = now;
         changed_ = true;
         return;
     }
     for (auto& [key, task] : tasks_) {
-        const TaskId& ref = key.task;
+        const TaskId& task_id = key.task;
         if (task.stage == TaskStage::fetching && now >= task.until) {
             images_.insert(task.image);
             task.stage = TaskStage::running;
             changed_ = true;
-            environment_.task_started(now, identity_.name, ref);
+            environment_.task_started(now, identity_.name, task_id);
             task.until =
-                environment_.completed(ref) ? now : now + environment_.task_duration_s(ref);
+                environment_.completed(task_id) ? now : now + environment_.task_duration_s(task_id);
         }
         if (task.stage == TaskStage::running && now >= task.until) {
-            exit(now, ref, task, ExitReason::done);
+            exit(now, task_id, task, ExitReason::done);
         }
     }
 }
 
 Time HollowWorker::next_event_time() const {
-    Time first = lease_from_ + lease_s_;
+    Time first = lease_start_ + lease_s_;
     for (const auto& [key, task] : tasks_) {
         if (task.stage != TaskStage::exited) {
             first = std::min(first, task.until);
--- a/src/scale/hollow_worker.h
+++ b/src/scale/hollow_worker.h
@@ -35,17 +35,19 @@
 
     const std::string& name() const { return identity_.name; }
     const std::string& endpoint() const { return identity_.endpoint; }
-    std::uint64_t session() const { return session_; }
-    // Since the last report.
+    std::uint64_t agent_epoch() const { return agent_epoch_; }
+    // Since the last heartbeat.
     bool changed() const { return changed_; }
     std::size_t tasks() const { return tasks_.size(); }
 
-    // For the next report, or the answer to a direct command. `sent`: it counts as a report.
-    Heartbeat report(Time now, bool sent);
-    // The reply to a report that was sent at `sent` in `session`. False: dropped, for a lower token
-    // or another session.
-    bool on_report_reply(Time now, std::uint64_t session, Time sent, const ReportReply& reply);
-    // Returns the status of the response. 409: refused, for a lower token or another session.
+    // For the next heartbeat, or the answer to a direct command. `sent`: it counts as a heartbeat.
+    Heartbeat heartbeat(Time now, bool sent);
+    // The reply to a heartbeat that was sent at `sent` in `agent_epoch`. False: dropped, for a
+    // lower fencing_token or another agent_epoch.
+    bool on_heartbeat_response(Time now, std::uint64_t agent_epoch, Time sent,
+                               const HeartbeatResponse& reply);
+    // Returns the status of the response. 409: refused, for a lower fencing_token or another
+    // agent_epoch.
     int on_direct_commands(Time now, const DirectCommands& direct);
     // Images that arrived and tasks that ended by now; a lease that is over.
     void advance(Time now);
@@ -63,7 +65,7 @@
     };
     struct Task {
         TaskStage stage = TaskStage::fetching;
-        ExitReason why = ExitReason::none;
+        ExitReason exit_reason = ExitReason::none;
         Time until = 0; // of the fetch, then of the run
         double cpus = 0;
         double ram_gb = 0;
@@ -72,7 +74,7 @@
     void execute(Time now, const std::vector<WorkerCommand>& commands);
     void start(Time now, const WorkerCommand& command);
     bool occupied(const TaskId& task) const;
-    void exit(Time now, const TaskId& ref, Task& task, ExitReason why);
+    void exit(Time now, const TaskId& task_id, Task& task, ExitReason exit_reason);
     void drop_all_tasks(Time now);
 
     Identity identity_;
@@ -83,11 +85,11 @@
     std::set<std::string> images_;
     double cpus_ = 0;
     double ram_gb_ = 0;
-    std::uint64_t session_ = 1;
-    std::uint64_t tick_ = 0;
-    std::uint64_t token_ = 0;
-    Time lease_from_;                  // the sending of the last report that was answered
-    Time token_change_counted_ = -1e9; // when a higher token last counted as a change
+    std::uint64_t agent_epoch_ = 1;
+    std::uint64_t sequence_ = 0;
+    std::uint64_t fencing_token_ = 0;
+    Time lease_start_;                     // the sending of the last heartbeat that was answered
+    Time token_change_reported_at_ = -1e9; // when a higher fencing_token last counted as a change
     bool changed_ = true;
 };
 
--- a/src/scale/latency_collector.cpp
+++ b/src/scale/latency_collector.cpp
@@ -91,7 +91,7 @@
     int count = 0;
     for (const auto& [controller, changes] : not_applied_) {
         for (const auto& [revision, written] : changes) {
-            count += window_.history_end - written > Plan::kReport_s ? 1 : 0;
+            count += window_.history_end - written > Plan::kHeartbeatInterval_s ? 1 : 0;
         }
     }
     return count;
--- a/src/scale/messages.cpp
+++ b/src/scale/messages.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 constexpr std::array<const char*, 5> kStages{"pulling", "waiting", "running", "flushing", "exited"};
-constexpr std::array<const char*, 9> kWhys{"none",  "done",    "halted", "mates_gone", "incomplete",
-                                           "error", "no_room", "busy",   "unknown"};
+constexpr std::array<const char*, 9> kExitReasons{
+    "none", "done", "halted", "mates_gone", "incomplete", "error", "no_room", "busy", "unknown"};
 constexpr std::array<const char*, 3> kKinds{"batch", "ensemble", "standing"};
 constexpr std::array<const char*, 4> kPriorities{"prod", "high", "standard", "idle"};
-constexpr std::array<const char*, 3> kHostStages{"booting", "running", "failed"};
+constexpr std::array<const char*, 3> kInstanceStates{"booting", "running", "failed"};
 
 std::vector<WorkerCommand> commands_of(const Json& list) {
     std::vector<WorkerCommand> out;
@@ -43,14 +43,14 @@
     return out;
 }
 
-std::string pack_report(const Heartbeat& heartbeat) {
+std::string pack_heartbeat(const Heartbeat& heartbeat) {
     Json tasks = Json::array();
     for (const auto& status : heartbeat.tasks) {
         Json item{{"petal", status.task.job + "/" + std::to_string(status.task.index)},
                   {"sowing", status.attempt},
                   {"stage", kStages[std::size_t(status.stage)]}};
         if (status.stage == TaskStage::exited) {
-            item["wilt"] = kWhys[std::size_t(status.exit_reason)];
+            item["wilt"] = kExitReasons[std::size_t(status.exit_reason)];
         }
         tasks.push_back(std::move(item));
     }
@@ -66,10 +66,10 @@
                  {"petals", std::move(tasks)}});
 }
 
-ReportReply parse_report_reply(const std::string& body) {
+HeartbeatResponse parse_heartbeat_response(const std::string& body) {
     Json j = unpack(body);
-    ReportReply out;
-    out.token = j.value("warrant", std::uint64_t(0));
+    HeartbeatResponse out;
+    out.fencing_token = j.value("warrant", std::uint64_t(0));
     out.commands = commands_of(j.at("tending"));
     return out;
 }
@@ -134,7 +134,7 @@
     return unpack(body).at("ring").get<std::uint64_t>();
 }
 
-Json json_of(const InstanceType& type) {
+Json to_json_value(const InstanceType& type) {
     return {{"sku", type.name},          {"cpus", type.cpus},
             {"cards", type.gpus},        {"ram_gb", type.ram_gb},
             {"cache_gb", type.cache_gb}, {"pull_gb_per_s", type.fetch_gb_per_s},
@@ -142,10 +142,10 @@
             {"startup_s", type.boot_s},  {"houses", type.zones}};
 }
 
-Json json_of(const Instance& instance) {
+Json to_json_value(const Instance& instance) {
     return {{"uid", instance.name},      {"endpoint", instance.endpoint},
             {"bench", instance.type},    {"house", instance.zone},
-            {"cuttings", instance.spot}, {"stage", kHostStages[std::size_t(instance.state)]},
+            {"cuttings", instance.spot}, {"stage", kInstanceStates[std::size_t(instance.state)]},
             {"held_s", instance.age_s}};
 }
 
--- a/src/scale/messages.h
+++ b/src/scale/messages.h
@@ -16,21 +16,21 @@
 std::string pack(const Json& value);
 
 // A worker's report.
-std::string pack_report(const Heartbeat& heartbeat);
+std::string pack_heartbeat(const Heartbeat& heartbeat);
 
 // A controller's response to a report.
-struct ReportReply {
-    std::uint64_t token = 0; // 0: none
+struct HeartbeatResponse {
+    std::uint64_t fencing_token = 0; // 0: none
     std::vector<WorkerCommand> commands;
 };
-ReportReply parse_report_reply(const std::string& body);
+HeartbeatResponse parse_heartbeat_response(const std::string& body);
 // The controller that a report is to go to; empty: not said.
 std::string parse_redirect(const std::string& body);
 
 // Commands that a controller sends to a worker by itself.
 struct DirectCommands {
-    std::uint64_t token = 0;
-    std::uint64_t session = 0;
+    std::uint64_t fencing_token = 0;
+    std::uint64_t agent_epoch = 0;
     std::vector<WorkerCommand> commands;
 };
 DirectCommands parse_direct_commands(const std::string& body);
@@ -50,7 +50,7 @@
 std::uint64_t parse_revision(const std::string& body);
 
 // As the cloud lists them.
-Json json_of(const InstanceType& type);
-Json json_of(const Instance& instance);
+Json to_json_value(const InstanceType& type);
+Json to_json_value(const Instance& instance);
 
 } // namespace scheduler::scale
--- a/src/scale/plan.cpp
+++ b/src/scale/plan.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 constexpr char kMachineType[] = "hollow";
-constexpr char kQueueTeam[] = "queue"; // its jobs wait
-constexpr double kSlotsPerTask = 1.1;  // slots over tasks
+constexpr char kQueueTeam[] = "queue";          // its jobs wait
+constexpr double kSlotsPerConcurrentTask = 1.1; // slots over tasks
 constexpr int kUrgentTasks = 4;
-constexpr std::uint64_t kKinds = 5;
+constexpr std::uint64_t kJobKinds = 5;
 constexpr double kTaskCpus = 1;
 constexpr double kTaskRamGb = 2;
 constexpr int kImages = 4;
@@ -22,7 +22,7 @@
 constexpr double kBoot_s = 40;
 constexpr double kRamGbPerCpu = 4;
 constexpr double kWaitingJobDuration_s = 1000;
-constexpr int kLargestJob = 100000; // tasks
+constexpr int kMaxJobTasks = 100000; // tasks
 // Second bytes of the loopback addresses: of the workers, and of controllers and services.
 constexpr int kWorkersNetwork = 100;
 constexpr int kControllersNetwork = 200;
@@ -82,7 +82,7 @@
 InstanceType Plan::machine_type() const {
     InstanceType type;
     type.name = kMachineType;
-    type.cpus = std::max(1.0, std::ceil(kSlotsPerTask * tasks() / workers()));
+    type.cpus = std::max(1.0, std::ceil(kSlotsPerConcurrentTask * tasks() / workers()));
     type.ram_gb = kRamGbPerCpu * type.cpus;
     type.cache_gb = 50;
     type.fetch_gb_per_s = 1;
@@ -113,7 +113,7 @@
     std::ostringstream out;
     out << std::fixed;
     write_addresses(out, controller);
-    write_facts(out);
+    write_cluster_settings(out);
     return out.str();
 }
 
@@ -131,10 +131,10 @@
     }
     std::string services = services_host() + ":";
     out << "[external]\ncloud = \"" << services << cloud_port() << "\"\nstate = \"" << services
-        << state_port() << "\"\n";
+        << store_port() << "\"\n";
 }
 
-void Plan::write_facts(std::ostream& out) const {
+void Plan::write_cluster_settings(std::ostream& out) const {
     out << "[facts]\nzones = [";
     for (int z = 0; z < kZones; ++z) {
         out << (z > 0 ? ", " : "") << "\"" << zone(z) << "\"";
@@ -144,8 +144,9 @@
         out << "[[facts.teams]]\nname = \"" << team.name << "\"\ncpus = " << team.guaranteed_cpus
             << "\ncpus_max = " << team.max_cpus << "\ngpus = 0.0\ngpus_max = 0.0\n";
     }
-    out << "[facts.workers]\nreport_s = " << kReport_s << "\nlease_s = " << kLease_s
-        << "\ncancel_s = " << kCancel_s << "\ngang_wait_s = 30.0\ngang_peer_s = 5.0\n"
+    out << "[facts.workers]\nreport_s = " << kHeartbeatInterval_s
+        << "\nlease_s = " << kWorkerLease_s << "\ncancel_s = " << kCancellationTimeout_s
+        << "\ngang_wait_s = 30.0\ngang_peer_s = 5.0\n"
         << "[facts.state]\nrps = " << options_.state_rps
         << "\nwrite_rps = " << options_.state_write_rps << "\nvalue_kb = 4.0\ntxn_ops = 12\n"
         << "[facts.cloud]\nrps = " << options_.cloud_rps << "\nlist_lag_s = 8.0\n"
@@ -166,20 +167,20 @@
 
 int Plan::job_tasks() const {
     int chosen = options_.job_tasks > 0 ? options_.job_tasks : int(std::lround(2 * starts()));
-    return std::clamp(chosen, 1, kLargestJob);
+    return std::clamp(chosen, 1, kMaxJobTasks);
 }
 
 int Plan::fill_jobs() const { return int(std::ceil(tasks() / job_tasks())); }
 
 std::string Plan::job_id(JobKind kind, int number) const {
     std::uint64_t n =
-        (std::uint64_t(number) * kKinds + std::uint64_t(kind)) * kJobRegions + region_;
+        (std::uint64_t(number) * kJobKinds + std::uint64_t(kind)) * kJobRegions + region_;
     return std::string(kJobPrefix) + padded(n, kJobDigits);
 }
 
 Plan::JobNumber Plan::parse_job_id(const std::string& id) {
     std::uint64_t n = std::strtoull(id.c_str() + kJobPrefix.size(), nullptr, 10) / kJobRegions;
-    return {static_cast<JobKind>(n % kKinds), static_cast<int>(n / kKinds)};
+    return {static_cast<JobKind>(n % kJobKinds), static_cast<int>(n / kJobKinds)};
 }
 
 std::optional<JobSpec> Plan::job(const std::string& id) const {
--- a/src/scale/plan.h
+++ b/src/scale/plan.h
@@ -27,7 +27,7 @@
     // Of a controller, for users and workers; for its peers.
     int client_port() const { return options_.port; }
     int peer_port() const { return options_.port + 1; }
-    int state_port() const { return options_.port + 2; }
+    int store_port() const { return options_.port + 2; }
     int cloud_port() const { return options_.port + 3; }
     int worker_port() const { return options_.port + 4; }
     // Of the cloud, for the workers' process; of the workers' process, for the cloud.
@@ -35,9 +35,9 @@
     int workers_control_port() const { return options_.port + 6; }
 
     // The settings' figures, those of the large sites.
-    static constexpr double kReport_s = 3;
-    static constexpr double kLease_s = 17;
-    static constexpr double kCancel_s = 42;
+    static constexpr double kHeartbeatInterval_s = 3;
+    static constexpr double kWorkerLease_s = 17;
+    static constexpr double kCancellationTimeout_s = 42;
     static constexpr int kZones = 3;
     std::vector<TeamQuota> teams() const;
     InstanceType machine_type() const;
@@ -74,14 +74,14 @@
     static JobNumber parse_job_id(const std::string& id);
     int fill_jobs() const;
     int job_tasks() const;
-    double job_every_s() const { return job_tasks() / starts(); }
+    double ordinary_job_interval_s() const { return job_tasks() / starts(); }
     // A task's run time, seconds.
     double task_duration_s(const TaskId& task) const;
 
   private:
     JobSpec ordinary_job(const std::string& id, int number) const;
     void write_addresses(std::ostream& out, int controller) const;
-    void write_facts(std::ostream& out) const;
+    void write_cluster_settings(std::ostream& out) const;
     double mean_task_duration_s() const { return tasks() / starts(); }
 
     Options options_;
--- a/src/scale/quota_changer.cpp
+++ b/src/scale/quota_changer.cpp
@@ -48,7 +48,7 @@
     quota.max_cpus = change.cpus_max;
     HttpClientRequest request;
     request.host = plan_.services_host();
-    request.port = plan_.state_port();
+    request.port = plan_.store_port();
     request.path = "/txn";
     request.body = pack_team_change(quota);
     send_request(loop_, request,
--- a/src/scale/store_model.cpp
+++ b/src/scale/store_model.cpp
@@ -13,7 +13,7 @@
     return out;
 }
 
-StoreModel::Answer StoreModel::get(const std::string& key) const {
+StoreModel::Response StoreModel::get(const std::string& key) const {
     auto it = entries_.find(key);
     if (it == entries_.end()) {
         return {kHttpNotFound, {{"ring", revision_}}};
@@ -21,8 +21,8 @@
     return {kHttpOk, item(key, it->second)};
 }
 
-StoreModel::Answer StoreModel::range(const std::string& prefix, const std::string& after,
-                                     std::size_t limit) const {
+StoreModel::Response StoreModel::range(const std::string& prefix, const std::string& after,
+                                       std::size_t limit) const {
     Json pairs = Json::array();
     auto it = after.empty() ? entries_.lower_bound(prefix)
                             : entries_.upper_bound(std::max(after, prefix));
@@ -38,7 +38,7 @@
     return then == transaction.end() ? 0 : then->size();
 }
 
-StoreModel::Answer StoreModel::transact(Time now, const Json& transaction) {
+StoreModel::Response StoreModel::transact(Time now, const Json& transaction) {
     expire(now);
     Json failed = failed_conditions(transaction);
     if (!failed.empty()) {
@@ -92,19 +92,19 @@
 
 void StoreModel::record_change(Change change) {
     changes_.push_back(std::move(change));
-    while (changes_.size() > kChangesKept) {
-        dropped_to_ = changes_.front().revision;
+    while (changes_.size() > kMaxChanges) {
+        compacted_revision_ = changes_.front().revision;
         changes_.pop_front();
     }
 }
 
-StoreModel::Answer StoreModel::grant(Time now, double ttl_s) {
+StoreModel::Response StoreModel::grant(Time now, double ttl_s) {
     std::uint64_t lease = next_lease_++;
     leases_[lease] = {now + ttl_s, ttl_s};
     return {kHttpOk, {{"lease", lease}}};
 }
 
-StoreModel::Answer StoreModel::renew(Time now, std::uint64_t lease) {
+StoreModel::Response StoreModel::renew(Time now, std::uint64_t lease) {
     expire(now);
     auto it = leases_.find(lease);
     if (it == leases_.end()) {
@@ -114,9 +114,9 @@
     return {kHttpOk, Json::object()};
 }
 
-StoreModel::Answer StoreModel::revoke(std::uint64_t lease) {
+StoreModel::Response StoreModel::revoke(std::uint64_t lease) {
     if (leases_.erase(lease) > 0) {
-        drop_keys_of(lease);
+        delete_keys_of(lease);
     }
     return {kHttpOk, Json::object()};
 }
@@ -128,14 +128,14 @@
             ++it;
             continue;
         }
-        drop_keys_of(it->first);
+        delete_keys_of(it->first);
         it = leases_.erase(it);
         any = true;
     }
     return any;
 }
 
-void StoreModel::drop_keys_of(std::uint64_t lease) {
+void StoreModel::delete_keys_of(std::uint64_t lease) {
     std::uint64_t revision = revision_ + 1;
     for (auto it = entries_.begin(); it != entries_.end();) {
         if (it->second.lease != lease) {
@@ -148,14 +148,14 @@
     }
 }
 
-std::optional<StoreModel::Answer> StoreModel::watch(const std::string& prefix,
-                                                    std::uint64_t since) const {
-    if (since < dropped_to_) {
-        return Answer{kHttpGone, {{"ring", revision_}}};
+std::optional<StoreModel::Response> StoreModel::watch(const std::string& prefix,
+                                                      std::uint64_t since) const {
+    if (since < compacted_revision_) {
+        return Response{kHttpGone, {{"ring", revision_}}};
     }
     auto from = std::upper_bound(
         changes_.begin(), changes_.end(), since,
-        [](std::uint64_t revision, const Change& c) { return revision < c.revision; });
+        [](std::uint64_t revision, const Change& change) { return revision < change.revision; });
     Json events = Json::array();
     for (auto it = from; it != changes_.end(); ++it) {
         if (!it->key.starts_with(prefix)) {
@@ -170,7 +170,7 @@
     if (events.empty()) {
         return std::nullopt;
     }
-    return Answer{kHttpOk, {{"ring", revision_}, {"events", std::move(events)}}};
+    return Response{kHttpOk, {{"ring", revision_}, {"events", std::move(events)}}};
 }
 
 } // namespace scheduler::scale
--- a/src/scale/store_model.h
+++ b/src/scale/store_model.h
@@ -16,31 +16,31 @@
 class StoreModel {
   public:
     // Watches from before the oldest of these changes are told that they are too old.
-    static constexpr std::size_t kChangesKept = 10000;
-    struct Answer {
+    static constexpr std::size_t kMaxChanges = 10000;
+    struct Response {
         int status = kHttpOk;
         Json body;
     };
 
-    Answer get(const std::string& key) const;
+    Response get(const std::string& key) const;
     // The first `limit` keys with the prefix after the key `after`; empty: from the first.
-    Answer range(const std::string& prefix, const std::string& after, std::size_t limit) const;
+    Response range(const std::string& prefix, const std::string& after, std::size_t limit) const;
     // The number of changes, which counts against the limit of changes, also when the conditions
     // fail.
     static std::size_t changes(const Json& transaction);
     // Atomic. Status 409: some key has another version than the transaction asks for.
-    Answer transact(Time now, const Json& transaction);
+    Response transact(Time now, const Json& transaction);
     // Leases.
-    Answer grant(Time now, double ttl_s);
-    Answer renew(Time now, std::uint64_t lease);
-    Answer revoke(std::uint64_t lease);
+    Response grant(Time now, double ttl_s);
+    Response renew(Time now, std::uint64_t lease);
+    Response revoke(std::uint64_t lease);
     // Removes the keys of leases that are over. True: some lease was.
     bool expire(Time now);
     // The changes under the prefix after the revision; none: there is none yet. Status 410: changes
     // after that revision are not kept any more.
-    std::optional<Answer> watch(const std::string& prefix, std::uint64_t since) const;
+    std::optional<Response> watch(const std::string& prefix, std::uint64_t since) const;
     // The answer to a watch whose time is over.
-    Answer nothing_changed() const {
+    Response empty_watch_response() const {
         return {kHttpOk, {{"ring", revision_}, {"events", Json::array()}}};
     }
     std::uint64_t revision() const { return revision_; }
@@ -64,14 +64,14 @@
     Json failed_conditions(const Json& transaction) const;
     void apply(const Json& change);
     static Json item(const std::string& key, const Entry& entry);
-    void drop_keys_of(std::uint64_t lease);
+    void delete_keys_of(std::uint64_t lease);
     void record_change(Change change);
 
     std::map<std::string, Entry> entries_;
     std::map<std::uint64_t, Lease> leases_;
     std::deque<Change> changes_;
     std::uint64_t revision_ = 1;
-    std::uint64_t dropped_to_ = 0; // changes up to this revision are not kept any more
+    std::uint64_t compacted_revision_ = 0; // changes up to this revision are not kept any more
     std::uint64_t next_lease_ = 1;
 };
 
--- a/src/scale/store_server.cpp
+++ b/src/scale/store_server.cpp
@@ -28,18 +28,18 @@
       changes_(plan.options().state_write_rps, kLimitBurst_s),
       server_(loop,
               [this](const HttpServerRequest& request, Responder to) { serve(request, to); }) {
-    server_.listen(plan.services_host(), plan.state_port());
+    server_.listen(plan.services_host(), plan.store_port());
     loop.every(kLeaseCheckInterval_s, [this] { expire_leases(); });
 }
 
 void StoreServer::expire_leases() {
     Time at = now();
     store_.expire(at);
-    answer_watches(at);
+    respond_to_watches(at);
     counters_.state_keys = store_.keys();
 }
 
-void StoreServer::respond(Responder to, const StoreModel::Answer& answer) {
+void StoreServer::respond(Responder to, const StoreModel::Response& answer) {
     counters_.state_sent += to.send(answer.status, pack(answer.body));
 }
 
@@ -57,7 +57,7 @@
     } catch (const std::exception& bad) {
         respond(to, {kHttpBadRequest, {{"error", bad.what()}}});
     }
-    answer_watches(at);
+    respond_to_watches(at);
 }
 
 void StoreServer::route(Time at, const HttpServerRequest& request, Responder to) {
@@ -97,7 +97,7 @@
         respond(to, {kHttpTooManyRequests, {{"error", "too many changes"}}});
         return;
     }
-    StoreModel::Answer answer = store_.transact(at, transaction);
+    StoreModel::Response answer = store_.transact(at, transaction);
     if (answer.status == kHttpOk) {
         counters_.state_changes += changes;
     } else {
@@ -119,7 +119,7 @@
 }
 
 // When the store has changed, or some deadline may have passed.
-void StoreServer::answer_watches(Time at) {
+void StoreServer::respond_to_watches(Time at) {
     if (store_.revision() == watched_revision_ && at < next_watch_check_) {
         return;
     }
@@ -128,7 +128,7 @@
     for (auto watch = watches_.begin(); watch != watches_.end();) {
         auto changes = store_.watch(watch->prefix, watch->since);
         if (!changes && at >= watch->deadline) {
-            changes = store_.nothing_changed();
+            changes = store_.empty_watch_response();
         }
         if (!changes) {
             ++watch;
--- a/src/scale/store_server.h
+++ b/src/scale/store_server.h
@@ -27,7 +27,7 @@
         std::uint64_t since = 0; // revision
         Time deadline = 0;
     };
-    void respond(Responder to, const StoreModel::Answer& answer);
+    void respond(Responder to, const StoreModel::Response& answer);
     void serve(const HttpServerRequest& request, Responder to);
     void route(Time at, const HttpServerRequest& request, Responder to);
     void range(const HttpServerRequest& request, Responder to);
@@ -35,7 +35,7 @@
     void change_lease(Time at, const HttpServerRequest& request, Responder to);
     void watch(Time at, const HttpServerRequest& request, Responder to);
     void expire_leases();
-    void answer_watches(Time at);
+    void respond_to_watches(Time at);
 
     Counters& counters_;
     StoreModel store_;
--- a/src/scale/supervisor.cpp
+++ b/src/scale/supervisor.cpp
@@ -16,7 +16,7 @@
 namespace scheduler::scale {
 
 namespace {
-constexpr double kStep_s = 0.05;
+constexpr double kStepInterval_s = 0.05;
 constexpr double kStartTimeout_s = 20; // for a simulator to serve
 constexpr int kCannotExecute = 127;    // exit status, as a shell's
 constexpr int kLogMode = 0644;
@@ -110,7 +110,7 @@
 }
 
 void Supervisor::step() {
-    pause_for(kStep_s);
+    pause_for(kStepInterval_s);
     if (interrupted()) {
         throw ScaleTestError("interrupted");
     }
--- a/src/scale/user_load.cpp
+++ b/src/scale/user_load.cpp
@@ -11,7 +11,7 @@
 namespace {
 constexpr double kStepInterval_s = 0.02;
 constexpr double kPollInterval_s = 5;
-constexpr double kPatience_s = 60; // of a user, from the first attempt
+constexpr double kRequestTimeout_s = 60; // of a user, from the first attempt
 constexpr double kShortestRetry_s = 1;
 constexpr double kLongestRetry_s = 30;
 constexpr double kUrgentInterval_s = 1;
@@ -44,8 +44,8 @@
     loop_.every(kStepInterval_s, [this] { step(); });
     quota_changer_.start();
     balancer_.probe();
-    began_ = now();
-    never_submitted_.next = began_ + kNeverSubmittedInterval_s;
+    started_at_ = now();
+    never_submitted_.next = started_at_ + kNeverSubmittedInterval_s;
     loop_.run();
 }
 
@@ -58,8 +58,8 @@
         initial_jobs_submitted_ = true;
         submit_initial_jobs();
     }
-    begin_arrivals_when_filled(at);
-    if (arrivals_begun_) {
+    start_arrivals_when_filled(at);
+    if (arrivals_started_) {
         submit_arrivals(at);
     }
     poll_never_submitted(at);
@@ -74,11 +74,11 @@
     }
 }
 
-void UserLoad::begin_arrivals_when_filled(Time at) {
+void UserLoad::start_arrivals_when_filled(Time at) {
     bool filled = double(counters_.running) >= kFilledFraction * plan_.tasks();
-    bool waited_enough = at - began_ > plan_.options().fill_s;
-    if (!arrivals_begun_ && (filled || waited_enough)) {
-        arrivals_begun_ = true;
+    bool waited_enough = at - started_at_ > plan_.options().fill_s;
+    if (!arrivals_started_ && (filled || waited_enough)) {
+        arrivals_started_ = true;
         quota_changer_.enable();
         ordinary_.next = at;
         urgent_.next = at;
@@ -87,7 +87,7 @@
 
 void UserLoad::submit_arrivals(Time at) {
     if (at >= ordinary_.next) {
-        ordinary_.next += plan_.job_every_s();
+        ordinary_.next += plan_.ordinary_job_interval_s();
         submit(Plan::JobKind::ordinary, ordinary_.submitted++);
     }
     if (at >= urgent_.next) {
@@ -138,8 +138,8 @@
         return;
     }
     double wait_s = std::clamp(response.retry_after_s, kShortestRetry_s, kLongestRetry_s);
-    bool patience_over = now() + wait_s > first_sent + kPatience_s;
-    if (rejected_status(response.status) || patience_over) {
+    bool timed_out = now() + wait_s > first_sent + kRequestTimeout_s;
+    if (rejected_status(response.status) || timed_out) {
         give_up(kind, id);
         return;
     }
--- a/src/scale/user_load.h
+++ b/src/scale/user_load.h
@@ -40,7 +40,7 @@
 
     void step();
     void submit_initial_jobs();
-    void begin_arrivals_when_filled(Time at);
+    void start_arrivals_when_filled(Time at);
     void submit_arrivals(Time at);
     void poll_never_submitted(Time at);
     void submit(Plan::JobKind kind, int number);
@@ -61,9 +61,9 @@
     JobClient client_;
     QuotaChanger quota_changer_;
     std::map<std::string, Job> jobs_; // by id
-    Time began_ = 0;
+    Time started_at_ = 0;
     bool initial_jobs_submitted_ = false;
-    bool arrivals_begun_ = false;
+    bool arrivals_started_ = false;
     Arrivals ordinary_;
     Arrivals urgent_;
     Arrivals never_submitted_; // of polls for jobs that nobody submitted
--- a/src/scale/worker_fleet.cpp
+++ b/src/scale/worker_fleet.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 constexpr double kStepInterval_s = 0.01;
-constexpr double kShortestReportInterval_s = 0.5;
-constexpr double kNextController_s = 1; // until the next controller is tried
-constexpr double kReportTimeout_s = 4;
-constexpr double kReportJitter = 0.25; // of the time between reports
+constexpr double kMinHeartbeatInterval_s = 0.5;
+constexpr double kNextControllerDelay_s = 1; // until the next controller is tried
+constexpr double kHeartbeatTimeout_s = 4;
+constexpr double kHeartbeatJitter = 0.25; // of the time between reports
 } // namespace
 
 WorkerFleet::WorkerFleet(const Plan& plan, Counters& counters, const std::string& history)
@@ -54,7 +54,7 @@
 
 void WorkerFleet::run() {
     for (int worker = 0; worker < plan_.workers(); ++worker) {
-        boot(worker, random_between(0, Plan::kReport_s));
+        boot(worker, random_between(0, Plan::kHeartbeatInterval_s));
     }
     loop_.every(kStepInterval_s, [this] { step(); });
     counters_.workers_ready = 1;
@@ -78,13 +78,13 @@
     history_.write(event);
 }
 
-void WorkerFleet::boot(int worker, double first_report_s) {
+void WorkerFleet::boot(int worker, double first_heartbeat_s) {
     Time at = now();
     std::string host = plan_.worker_host(worker);
     HollowWorker::Identity identity{plan_.machine_name(worker),
                                     host + ":" + std::to_string(plan_.worker_port()),
                                     plan_.worker_zone(worker), plan_.worker_spot(worker)};
-    HollowWorker booted(at, identity, type_, Plan::kLease_s, environment_);
+    HollowWorker booted(at, identity, type_, Plan::kWorkerLease_s, environment_);
     auto [it, is_new] = machines_.try_emplace(worker, Machine{std::move(booted)});
     if (!is_new) {
         return;
@@ -92,7 +92,7 @@
     Machine& machine = it->second;
     machine.socket = command_server_.listen(host, plan_.worker_port());
     machine.controller = worker % plan_.options().controllers;
-    machine.report_due = at + first_report_s;
+    machine.heartbeat_due = at + first_heartbeat_s;
     by_host_[host] = worker;
     ++counters_.up;
     queue_wakeup(worker, machine);
@@ -111,7 +111,7 @@
 }
 
 // Machines that die without a word, as many as the supervisor asks for. The cloud is told.
-void WorkerFleet::terminate_at_random() {
+void WorkerFleet::terminate_random_workers() {
     std::uint64_t asked_for = counters_.to_replace.exchange(0);
     std::uint64_t count = std::min<std::uint64_t>(asked_for, machines_.size());
     if (count == 0) {
@@ -134,18 +134,18 @@
     send_request(loop_, request, [](const HttpResponse&) {});
 }
 
-Time WorkerFleet::next_report_at(const Machine& machine) const {
-    Time at = machine.report_due;
+Time WorkerFleet::next_heartbeat_time(const Machine& machine) const {
+    Time at = machine.heartbeat_due;
     if (machine.worker.changed()) {
-        at = std::min(at, machine.last_sent + kShortestReportInterval_s);
+        at = std::min(at, machine.last_sent + kMinHeartbeatInterval_s);
     }
-    return std::max(at, machine.report_not_before);
+    return std::max(at, machine.heartbeat_not_before);
 }
 
 void WorkerFleet::queue_wakeup(int worker, Machine& machine) {
     Time at = machine.worker.next_event_time();
-    if (!machine.report_in_flight) {
-        at = std::min(at, next_report_at(machine));
+    if (!machine.heartbeat_in_flight) {
+        at = std::min(at, next_heartbeat_time(machine));
     }
     if (machine.queued < 0 || at < machine.queued) {
         machine.queued = at;
@@ -160,7 +160,7 @@
         wakeups_.pop();
         wake(at, wakeup);
     }
-    terminate_at_random();
+    terminate_random_workers();
 }
 
 void WorkerFleet::wake(Time at, const Wakeup& wakeup) {
@@ -171,33 +171,33 @@
     Machine& machine = it->second;
     machine.queued = kNotQueued;
     machine.worker.advance(at);
-    if (!machine.report_in_flight && at >= next_report_at(machine)) {
-        send_report(at, wakeup.worker, machine);
+    if (!machine.heartbeat_in_flight && at >= next_heartbeat_time(machine)) {
+        send_heartbeat(at, wakeup.worker, machine);
     }
     queue_wakeup(wakeup.worker, machine);
 }
 
-void WorkerFleet::send_report(Time at, int worker, Machine& machine) {
+void WorkerFleet::send_heartbeat(Time at, int worker, Machine& machine) {
     HttpClientRequest request;
-    request.body = pack_report(machine.worker.report(at, true));
+    request.body = pack_heartbeat(machine.worker.heartbeat(at, true));
     request.from = plan_.worker_host(worker);
     request.host = plan_.controller_host(machine.controller);
     request.port = plan_.client_port();
     request.path = "/v1/report";
-    request.timeout_s = kReportTimeout_s;
-    machine.report_in_flight = true;
+    request.timeout_s = kHeartbeatTimeout_s;
+    machine.heartbeat_in_flight = true;
     machine.last_sent = at;
-    machine.report_due =
-        at + Plan::kReport_s * random_between(1 - kReportJitter, 1 + kReportJitter);
+    machine.heartbeat_due = at + Plan::kHeartbeatInterval_s *
+                                     random_between(1 - kHeartbeatJitter, 1 + kHeartbeatJitter);
     ++counters_.reports;
-    std::uint64_t session = machine.worker.session();
-    send_request(loop_, request, [this, worker, at, session](const HttpResponse& response) {
-        on_report_response(worker, session, at, response);
+    std::uint64_t agent_epoch = machine.worker.agent_epoch();
+    send_request(loop_, request, [this, worker, at, agent_epoch](const HttpResponse& response) {
+        on_heartbeat_response(worker, agent_epoch, at, response);
     });
 }
 
-void WorkerFleet::on_report_response(int worker, std::uint64_t session, Time sent,
-                                     const HttpResponse& response) {
+void WorkerFleet::on_heartbeat_response(int worker, std::uint64_t agent_epoch, Time sent,
+                                        const HttpResponse& response) {
     counters_.report_sent += response.sent;
     counters_.report_received += response.received;
     auto it = machines_.find(worker);
@@ -205,13 +205,13 @@
         return;
     }
     Machine& machine = it->second;
-    machine.report_in_flight = false;
+    machine.heartbeat_in_flight = false;
     Time at = now();
     try {
         if (response.status == kHttpOk) {
-            on_report_accepted(at, machine, session, sent, response.body);
+            on_heartbeat_accepted(at, machine, agent_epoch, sent, response.body);
         } else {
-            on_report_refused(at, machine, response);
+            on_heartbeat_rejected(at, machine, response);
         }
     } catch (const std::exception&) { // cannot be read: as no response
         ++counters_.reports_refused;
@@ -220,15 +220,16 @@
     queue_wakeup(worker, machine);
 }
 
-void WorkerFleet::on_report_accepted(Time at, Machine& machine, std::uint64_t session, Time sent,
-                                     const std::string& body) {
+void WorkerFleet::on_heartbeat_accepted(Time at, Machine& machine, std::uint64_t agent_epoch,
+                                        Time sent, const std::string& body) {
     ++counters_.reports_answered;
-    if (!machine.worker.on_report_reply(at, session, sent, parse_report_reply(body))) {
+    if (!machine.worker.on_heartbeat_response(at, agent_epoch, sent,
+                                              parse_heartbeat_response(body))) {
         ++counters_.reports_dropped;
     }
 }
 
-void WorkerFleet::on_report_refused(Time at, Machine& machine, const HttpResponse& response) {
+void WorkerFleet::on_heartbeat_rejected(Time at, Machine& machine, const HttpResponse& response) {
     if (response.status != kHttpMisdirected) {
         ++counters_.reports_refused;
         try_next_controller(at, machine);
@@ -241,14 +242,14 @@
         return;
     }
     machine.controller = named;
-    machine.report_not_before = at + random_between(0, kShortestReportInterval_s);
-    machine.report_due = machine.report_not_before;
+    machine.heartbeat_not_before = at + random_between(0, kMinHeartbeatInterval_s);
+    machine.heartbeat_due = machine.heartbeat_not_before;
 }
 
 void WorkerFleet::try_next_controller(Time at, Machine& machine) {
     machine.controller = (machine.controller + 1) % plan_.options().controllers;
-    machine.report_not_before = at + kNextController_s;
-    machine.report_due = machine.report_not_before;
+    machine.heartbeat_not_before = at + kNextControllerDelay_s;
+    machine.heartbeat_due = machine.heartbeat_not_before;
 }
 
 int WorkerFleet::controller_number(const std::string& name) const {
@@ -281,7 +282,7 @@
             return;
         }
     }
-    counters_.orders_sent += to.send(status, pack_report(machine.worker.report(at, false)));
+    counters_.orders_sent += to.send(status, pack_heartbeat(machine.worker.heartbeat(at, false)));
     queue_wakeup(worker, machine);
 }
 
@@ -290,7 +291,7 @@
     for (const auto& name : unpack(request.body)) {
         int worker = plan_.worker_number(name.get<std::string>());
         if (request.path == "/boot") {
-            boot(worker, random_between(0, kShortestReportInterval_s));
+            boot(worker, random_between(0, kMinHeartbeatInterval_s));
         } else {
             terminate(worker);
         }
--- a/src/scale/worker_fleet.h
+++ b/src/scale/worker_fleet.h
@@ -33,11 +33,11 @@
         HollowWorker worker;
         evhttp_bound_socket* socket = nullptr;
         int controller = 0; // that the next report goes to
-        bool report_in_flight = false;
+        bool heartbeat_in_flight = false;
         Time last_sent = kLongAgo;
-        Time report_due = 0;        // the next report by the timer
-        Time report_not_before = 0; // any report
-        Time queued = kNotQueued;   // the time that stands in the queue for it
+        Time heartbeat_due = 0;        // the next report by the timer
+        Time heartbeat_not_before = 0; // any report
+        Time queued = kNotQueued;      // the time that stands in the queue for it
     };
     // An entry of the queue. Outdated if the machine's `queued` is another time.
     struct Wakeup {
@@ -52,21 +52,21 @@
     double random_between(double from, double to);
     void record(Time at, Event::Kind kind, const std::string& machine, const TaskId& task);
 
-    void boot(int worker, double first_report_s);
+    void boot(int worker, double first_heartbeat_s);
     void terminate(int worker);
-    void terminate_at_random();
+    void terminate_random_workers();
 
-    Time next_report_at(const Machine& machine) const;
+    Time next_heartbeat_time(const Machine& machine) const;
     void queue_wakeup(int worker, Machine& machine);
     void step();
     void wake(Time at, const Wakeup& wakeup);
 
-    void send_report(Time at, int worker, Machine& machine);
-    void on_report_response(int worker, std::uint64_t session, Time sent,
-                            const HttpResponse& response);
-    void on_report_accepted(Time at, Machine& machine, std::uint64_t session, Time sent,
-                            const std::string& body);
-    void on_report_refused(Time at, Machine& machine, const HttpResponse& response);
+    void send_heartbeat(Time at, int worker, Machine& machine);
+    void on_heartbeat_response(int worker, std::uint64_t agent_epoch, Time sent,
+                               const HttpResponse& response);
+    void on_heartbeat_accepted(Time at, Machine& machine, std::uint64_t agent_epoch, Time sent,
+                               const std::string& body);
+    void on_heartbeat_rejected(Time at, Machine& machine, const HttpResponse& response);
     void try_next_controller(Time at, Machine& machine);
     // -1: no controller has this name.
     int controller_number(const std::string& name) const;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -15,7 +15,7 @@
 
 using Kind = Event::Kind;
 constexpr char kJob[] = "req-1";
-constexpr double kCancel_s = 42;
+constexpr double kCancellationTimeout_s = 42;
 
 InstanceType machine_type() { return {"m8", 8, 0, 32, 20, 1, 1.0, 0.4, 10, {"a", "b"}}; }
 
@@ -39,7 +39,7 @@
         Checker::Settings settings;
         settings.teams = {{"red", 4, 4, 0, 0}};
         settings.type = machine_type();
-        settings.cancel_s = kCancel_s;
+        settings.cancel_s = kCancellationTimeout_s;
         settings.lowering_grace_s = 20;
         settings.job = [](const std::string& id) -> std::optional<JobSpec> {
             return id == kJob ? std::optional(spec_of(id)) : std::nullopt;
@@ -165,14 +165,14 @@
     accept();
     task_event(Kind::task_started, 2, 0, "x");
     request(Kind::cancel, 3, 200, "cancelled");
-    checker->finish(3 + kCancel_s + 1);
+    checker->finish(3 + kCancellationTimeout_s + 1);
     EXPECT_TRUE(only_violation_is("ran_cancelled"));
 }
 
 TEST_F(CheckerTest, ATaskStartedLongAfterItsCancellationViolatesRanCancelled) {
     accept();
     request(Kind::cancel, 3, 200, "cancelled");
-    task_event(Kind::task_started, 3 + kCancel_s + 1, 0, "x");
+    task_event(Kind::task_started, 3 + kCancellationTimeout_s + 1, 0, "x");
     EXPECT_TRUE(only_violation_is("ran_cancelled"));
 }
 
@@ -259,51 +259,52 @@
 
 TEST_F(HollowWorkerTest, ATaskIsFetchedRunsExitsAndIsCleared) {
     EXPECT_EQ(worker.on_direct_commands(1, {5, 1, {start(0, 9)}}), 200);
-    Heartbeat heartbeat = worker.report(1.5, true);
+    Heartbeat heartbeat = worker.heartbeat(1.5, true);
     ASSERT_EQ(heartbeat.tasks.size(), 1U);
     EXPECT_EQ(heartbeat.tasks[0].stage, TaskStage::fetching);
     EXPECT_EQ(heartbeat.fencing_token, 5U);
     worker.advance(2.1); // an image of 1 GB at 1 GB/s
     EXPECT_TRUE(running.contains({kJob, 0}));
-    worker.on_report_reply(10, 1, 9, {5, {}});
+    worker.on_heartbeat_response(10, 1, 9, {5, {}});
     worker.advance(12.2);
     EXPECT_TRUE(completed.contains({kJob, 0}));
-    EXPECT_EQ(worker.report(12.3, true).tasks[0].exit_reason, ExitReason::done);
+    EXPECT_EQ(worker.heartbeat(12.3, true).tasks[0].exit_reason, ExitReason::done);
     EXPECT_EQ(worker.on_direct_commands(12.4, {5, 1, {{CommandType::clear, {kJob, 0}, 9, 0}}}),
               200);
-    EXPECT_TRUE(worker.report(12.5, true).tasks.empty());
+    EXPECT_TRUE(worker.heartbeat(12.5, true).tasks.empty());
 }
 
 TEST_F(HollowWorkerTest, CommandsWithALowerTokenOrAnotherAgentEpochAreRejected) {
     EXPECT_EQ(worker.on_direct_commands(1, {5, 1, {}}), 200);
     EXPECT_EQ(worker.on_direct_commands(1, {4, 1, {start(0, 9)}}), 409);
     EXPECT_EQ(worker.on_direct_commands(1, {6, 2, {start(0, 9)}}), 409);
-    EXPECT_FALSE(worker.on_report_reply(1, 1, 1, {4, {start(0, 9)}}));
-    EXPECT_FALSE(worker.on_report_reply(1, 1, 1, {0, {start(0, 9)}}));
-    EXPECT_TRUE(worker.report(1, true).tasks.empty());
+    EXPECT_FALSE(worker.on_heartbeat_response(1, 1, 1, {4, {start(0, 9)}}));
+    EXPECT_FALSE(worker.on_heartbeat_response(1, 1, 1, {0, {start(0, 9)}}));
+    EXPECT_TRUE(worker.heartbeat(1, true).tasks.empty());
 }
 
 TEST_F(HollowWorkerTest, TheLeaseStartsWhenTheLastAcknowledgedHeartbeatWasSent) {
     worker.on_direct_commands(1, {5, 1, {start(0, 9)}});
-    worker.on_report_reply(6, 1, 4, {5, {}});
+    worker.on_heartbeat_response(6, 1, 4, {5, {}});
     worker.advance(20.9);
-    EXPECT_EQ(worker.session(), 1U);
+    EXPECT_EQ(worker.agent_epoch(), 1U);
     worker.advance(21.1);
-    EXPECT_EQ(worker.session(), 2U);
+    EXPECT_EQ(worker.agent_epoch(), 2U);
     EXPECT_TRUE(running.empty());
-    EXPECT_FALSE(
-        worker.on_report_reply(22, 1, 20, {5, {start(1, 9)}})); // from the previous agent epoch
+    EXPECT_FALSE(worker.on_heartbeat_response(22, 1, 20,
+                                              {5, {start(1, 9)}})); // from the previous agent epoch
 }
 
 TEST_F(HollowWorkerTest, StartsWithoutFreeCapacityOrOfARunningTaskExitAtOnce) {
     worker.on_direct_commands(1, {5, 1, {start(0, 9), start(0, 10), start(1, 9), start(2, 9)}});
-    Heartbeat heartbeat = worker.report(1, true);
+    Heartbeat heartbeat = worker.heartbeat(1, true);
     ASSERT_EQ(heartbeat.tasks.size(), 4U);
     EXPECT_EQ(heartbeat.tasks[1].exit_reason, ExitReason::busy);
     for (std::uint32_t i = 0; i < 3; ++i) { // four slots, three of them taken
         worker.on_direct_commands(1, {5, 1, {{CommandType::start, {"req-2", i}, 9, 0}}});
     }
-    EXPECT_EQ(worker.report(1, true).tasks.back().exit_reason, ExitReason::insufficient_capacity);
+    EXPECT_EQ(worker.heartbeat(1, true).tasks.back().exit_reason,
+              ExitReason::insufficient_capacity);
 }
 
 class StoreModelTest : public testing::Test {
@@ -352,7 +353,7 @@
     ASSERT_TRUE(changes);
     EXPECT_EQ(changes->body["events"].size(), 1U);
     EXPECT_FALSE(store.watch("a", store.revision()));
-    for (std::size_t i = 0; i < StoreModel::kChangesKept; ++i) {
+    for (std::size_t i = 0; i < StoreModel::kMaxChanges; ++i) {
         store.transact(0, {{"then", {set("b/1", 1)}}});
     }
     EXPECT_EQ(store.watch("a", since)->status, 410);
@@ -364,11 +365,11 @@
     options.tasks = 6;
     Plan plan(options, 0);
     CloudModel cloud(plan, 0);
-    EXPECT_TRUE(cloud.rent(1, "r-1", plan.zone(0), false, 2).empty());
+    EXPECT_TRUE(cloud.provision(1, "r-1", plan.zone(0), false, 2).empty());
     cloud.release({plan.machine_name(0)});
-    auto names = cloud.rent(1, "r-1", plan.zone(0), false, 2);
+    auto names = cloud.provision(1, "r-1", plan.zone(0), false, 2);
     ASSERT_EQ(names.size(), 1U);
-    EXPECT_EQ(cloud.rent(2, "r-1", plan.zone(0), false, 2), names); // the same request again
+    EXPECT_EQ(cloud.provision(2, "r-1", plan.zone(0), false, 2), names); // the same request again
     EXPECT_TRUE(cloud.take_booted(2).empty());
     EXPECT_EQ(cloud.take_booted(1 + plan.machine_type().boot_s), names);
     cloud.terminate(60, names[0]);
