--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -264,7 +264,7 @@
                                                        benchmark::Counter::kAvgIterations);
 }
 
-// A fully loaded machine heartbeats that one task has ended; the slot is filled again at once.
+// A fully loaded machine reports that one task has ended; the slot is filled again at once.
 void report_and_placement(benchmark::State& state) {
     auto machines = static_cast<int>(state.range(0));
     FakeRegion region(1);
--- a/src/scale/checker.cpp
+++ b/src/scale/checker.cpp
@@ -11,8 +11,7 @@
 Checker::Checker(Settings settings)
     : settings_(std::move(settings)),
       history_checker_(settings_.cancel_s, settings_.teams, {settings_.type}) {
-    history_checker_.faults_ended(
-        0); // it judges from the first moment how long a job is unanswered
+    history_checker_.faults_ended(0); // checks from the beginning how long a job stays unanswered
     for (const auto& team : settings_.teams) {
         limits_[team.name] = {team.max_cpus, team.max_cpus, 0};
     }
@@ -53,7 +52,7 @@
     history_checker_.answered(event.time, response);
 }
 
-// The limits before it may be used for a while.
+// The earlier limits may still be used during the grace period.
 void Checker::quota_written(const Event& event) {
     Limit& limit = limits_[event.stage];
     limit = {event.amount, limit.allowed(event.time), event.time + settings_.lowering_grace_s};
@@ -95,7 +94,7 @@
 void Checker::task_stopped(const Event& event) {
     auto it = placements_.find(event.task);
     if (it == placements_.end() || it->second.machine != event.machine) {
-        return; // the second of two, named before
+        return; // the second placement of this task, reported already
     }
     history_checker_.task_on_machine(event.time, event.task);
     auto spec = settings_.job(event.task.job);
@@ -108,7 +107,8 @@
     }
 }
 
-// What a team uses, when a task comes and as the last moment at which it was as much.
+// Checks a team's usage. Called when a task starts, and before one stops, because usage was still
+// that high up to that moment.
 void Checker::check_quota(Time now, const std::string& team, const std::string& when) {
     double limit_cpus = limits_[team].allowed(now);
     if (limit_cpus > 0 && used_[team] > limit_cpus + kRounding) {
--- a/src/scale/checker.h
+++ b/src/scale/checker.h
@@ -1,6 +1,6 @@
-// Checks the rules against the history of a region: `test::HistoryChecker`
-// (tests/simulation/history_checker.h, the same that the tests use) what users were told, `Checker`
-// what ran where.
+// Checks the history of a region against the scheduler's rules. `test::HistoryChecker`
+// (tests/simulation/history_checker.h, shared with the tests) checks the responses to users;
+// `Checker` checks which tasks ran on which machines.
 #pragma once
 
 #include <functional>
@@ -12,33 +12,34 @@
 
 namespace scheduler::scale {
 
-// Takes the events of a region in the order of their times.
+// Consumes the events of one region in order of time.
 class Checker {
   public:
-    // What holds in the region.
+    // The configuration of the region.
     struct Settings {
         std::vector<TeamQuota> teams;
         InstanceType type;
-        double cancel_s = 0; // until no task of a cancelled job may run
-        // Seconds from the writing of a lower limit during which the one before may still be used.
+        double cancel_s = 0; // after this long no task of a cancelled job may run
+        // Seconds after a lower limit was written during which the previous limit may still be
+        // used.
         double lowering_grace_s = 0;
-        // None: no such job can have been submitted.
+        // Returns the job with this id, or nothing if no such job can have been submitted.
         std::function<std::optional<JobSpec>(const std::string& id)> job;
     };
     explicit Checker(Settings settings);
 
     void on_event(const Event& event);
-    // The history is over at this time: checks what runs then.
+    // Ends the history at this time and checks the tasks that still run.
     void finish(Time now);
-    // Broken rules, in words.
+    // Descriptions of the violations, each beginning with the name of the rule.
     const std::vector<std::string>& violations() const { return history_checker_.broken; }
-    // The rules on what users were told.
+    // The checker of the responses to users.
     const test::HistoryChecker& history_checker() const { return history_checker_; }
-    // Tasks on machines.
+    // The number of tasks that are running.
     std::size_t running() const { return placements_.size(); }
 
   private:
-    // Where a task runs.
+    // The machine on which a task runs.
     struct Placement {
         std::string machine;
         std::string zone;
@@ -46,7 +47,7 @@
     // A team's limit, in CPUs.
     struct Limit {
         double cpus_max = 0;
-        double before = 0; // the highest before it, allowed until `until`
+        double before = 0; // the highest earlier limit, still allowed until `until`
         Time until = 0;
 
         double allowed(Time now) const;
--- a/src/scale/fault_injector.h
+++ b/src/scale/fault_injector.h
@@ -1,4 +1,5 @@
-// The faults of a run: a controller of each region is killed and restarted, workers die.
+// Injects the faults of a run: kills and restarts a controller of each region, and replaces
+// workers.
 #pragma once
 
 #include "scale/counters.h"
@@ -8,13 +9,13 @@
 
 namespace scheduler::scale {
 
-// Each fault happens once, at its time in the window. What is handed in outlives the injector.
+// Injects each fault once, at its time in the window. All arguments must outlive the injector.
 class FaultInjector {
   public:
     FaultInjector(const Options& options, Supervisor& supervisor, SharedCounters& counters,
                   WindowSampler& sampler);
 
-    // Injects the faults that are due. `elapsed_s`: seconds since the beginning of the window.
+    // Injects the faults that are due. `elapsed_s` is the time since the beginning of the window.
     void step(double elapsed_s);
 
   private:
--- a/src/scale/history.cpp
+++ b/src/scale/history.cpp
@@ -8,7 +8,8 @@
 namespace scheduler::scale {
 
 namespace {
-constexpr char kEmptyField[] = "-"; // fields are separated by blanks and never empty
+constexpr char kEmptyField[] =
+    "-"; // stands for an empty field, since fields are separated by blanks
 std::string to_field(const std::string& text) { return text.empty() ? kEmptyField : text; }
 void from_field(std::string& text) {
     if (text == kEmptyField) {
--- a/src/scale/history.h
+++ b/src/scale/history.h
@@ -1,4 +1,5 @@
-// What workers and users saw, a line an event, to_field by their processes and read by the checker.
+// The history of a run: the events that workers and users observed, one per line. Written by their
+// processes and read by the checker.
 #pragma once
 
 #include <cstdio>
@@ -9,35 +10,36 @@
 
 namespace scheduler::scale {
 
-// What was seen at one moment. Which fields are set depends on the kind.
+// One observed event. The kind decides which fields are set.
 struct Event {
     enum class Kind {
-        task_started,   // a task has its image: it is on the machine from now on
-        task_stopped,   // it is not any more, without having completed
-        task_completed, // it is not any more and has completed
-        submit,         // a user's request, with its number
+        task_started,   // a task has its image and runs on the machine from now on
+        task_stopped,   // it stopped running without having completed
+        task_completed, // it stopped running and has completed
+        submit,         // a user's request, numbered `request`
         poll,           // as submit
         cancel,         // as submit
-        response,       // to the request of that number
-        quota_written,  // a team's limit was to_field, `amount`, at the revision `request`
-        quota_applied,  // a controller says that it applies all changes up to that revision
+        response,       // the response to the request numbered `request`
+        quota_written,  // a team's limit was set to `amount`, at the revision `request`
+        quota_applied,  // a controller reported that it applies all changes up to the revision
+                        // `request`
     };
     Kind kind = Kind::task_started;
-    Time time = 0; // as now() gives it
+    Time time = 0; // as returned by now()
     std::string machine;
     std::string zone;
     bool spot = false;
     TaskId task;
     std::uint64_t request = 0;
     int status = 0;
-    std::string stage; // of a response; quota_written: the team
+    std::string stage; // the stage in a response; for quota_written, the team
     double amount = 0;
 };
 
-// Appends events to a file, a line each. Used by one process.
+// Writes events to a file, one per line. Used by one process.
 class HistoryWriter {
   public:
-    // Throws ScaleTestError.
+    // Throws ScaleTestError if the file cannot be opened.
     explicit HistoryWriter(const std::string& file);
     ~HistoryWriter();
     HistoryWriter(const HistoryWriter&) = delete;
@@ -48,7 +50,7 @@
     std::FILE* file_;
 };
 
-// In the order of the file. Throws ScaleTestError if it cannot be read.
+// Returns the events in the order of the file. Throws ScaleTestError if it cannot be read.
 std::vector<Event> read_history(const std::string& file);
 
 } // namespace scheduler::scale
--- a/src/scale/history_analysis.cpp
+++ b/src/scale/history_analysis.cpp
@@ -8,7 +8,7 @@
 namespace scheduler::scale {
 
 namespace {
-// All events of the region up to the end of the history, in the order of their times.
+// Returns all events of the region up to the end of the history, in order of time.
 std::vector<Event> read_events(const RunFolder& folder, int region, Time history_end) {
     std::vector<Event> events = read_history(folder.workers_history(region));
     std::vector<Event> of_users = read_history(folder.users_history(region));
--- a/src/scale/history_analysis.h
+++ b/src/scale/history_analysis.h
@@ -1,4 +1,4 @@
-// What the histories of a run say: broken rules and latencies.
+// Derives rule violations and latencies from the histories of a run.
 #pragma once
 
 #include <string>
@@ -10,15 +10,15 @@
 namespace scheduler::scale {
 
 struct HistoryFindings {
-    std::vector<std::string> violations; // of rules, in words
+    std::vector<std::string> violations; // descriptions, with the region
     int changes_never_applied = 0;       // see LatencyCollector
-    double longest_unanswered_s = 0;     // see test::HistoryChecker, as the next one
+    double longest_unanswered_s = 0;     // this and the next: see test::HistoryChecker
     double longest_cancelled_s = 0;
     Latencies latencies;
 };
 
-// Reads the histories of a region, checks them against the rules and adds what it finds. Throws
-// ScaleTestError if one cannot be read.
+// Reads the histories of a region, checks them against the rules and adds the results to the
+// findings. Throws ScaleTestError if a history cannot be read.
 void analyze_region(const Plan& plan, const RunFolder& folder, const WindowTimes& window,
                     HistoryFindings& findings);
 
--- a/src/scale/hollow_worker.h
+++ b/src/scale/hollow_worker.h
@@ -1,5 +1,5 @@
-// A hollow worker: the state that a worker keeps for the controllers, by the protocol, without a
-// machine under it. Its tasks are timers. On a clock that is handed in, without sockets.
+// A hollow worker: it keeps a worker's protocol state without a real machine. Its tasks are timers.
+// It has no sockets, and the caller passes in the time.
 #pragma once
 
 #include <functional>
@@ -9,21 +9,23 @@
 
 namespace scheduler::scale {
 
-// Keeps a reference to the environment. Times handed in do not decrease.
+// Keeps a reference to the environment. The times passed in must not decrease.
 class HollowWorker {
   public:
-    // What the worker is told of the jobs, and whom it tells of its tasks.
+    // Provides the jobs, and is notified about the tasks.
     struct Environment {
-        std::function<std::optional<JobSpec>(const std::string& id)> job; // none: no such job
+        std::function<std::optional<JobSpec>(const std::string& id)>
+            job; // nothing if there is no such job
         std::function<double(const TaskId&)> task_duration_s;
-        std::function<bool(const TaskId&)> completed; // on whatever machine, before
-        // The task has its image: it is on the machine from now on.
+        std::function<bool(const TaskId&)>
+            completed; // whether the task has completed on any machine
+        // Called when the task has its image and starts to run on the machine.
         std::function<void(Time, const std::string& machine, const TaskId&)> task_started;
-        // It is not any more. `done`: it ran to its end.
+        // Called when the task stops running. `done`: it completed.
         std::function<void(Time, const std::string& machine, const TaskId&, bool done)>
             task_stopped;
     };
-    // What does not change while the machine is up.
+    // Properties that stay the same while the machine is up.
     struct Identity {
         std::string name;
         std::string endpoint;
@@ -36,24 +38,24 @@
     const std::string& name() const { return identity_.name; }
     const std::string& endpoint() const { return identity_.endpoint; }
     std::uint64_t agent_epoch() const { return agent_epoch_; }
-    // Since the last heartbeat.
+    // Whether the tasks changed since the last heartbeat.
     bool changed() const { return changed_; }
     std::size_t tasks() const { return tasks_.size(); }
 
     // For the next heartbeat, or the answer to a direct command. `sent`: it counts as a heartbeat.
     Heartbeat heartbeat(Time now, bool sent);
     // The reply to a heartbeat that was sent at `sent` in `agent_epoch`. False: dropped, for a
-    // lower fencing_token or another agent_epoch.
+    // lower fencing token or another agent epoch.
     bool on_heartbeat_response(Time now, std::uint64_t agent_epoch, Time sent,
                                const HeartbeatResponse& reply);
-    // Returns the status of the response. 409: refused, for a lower fencing_token or another
-    // agent_epoch.
+    // Returns the status of the response. 409: refused, for a lower fencing token or another
+    // agent epoch.
     int on_direct_commands(Time now, const DirectCommands& direct);
-    // Images that arrived and tasks that ended by now; a lease that is over.
+    // Processes image fetches and tasks that have finished by now, and the expiry of the lease.
     void advance(Time now);
-    // When `advance` has something to do next.
+    // Returns the time at which `advance` has something to do next.
     Time next_event_time() const;
-    // The machine and all on it is gone.
+    // Ends the machine and all its tasks.
     void terminate(Time now);
 
   private:
@@ -66,7 +68,7 @@
     struct Task {
         TaskStage stage = TaskStage::fetching;
         ExitReason exit_reason = ExitReason::none;
-        Time until = 0; // of the fetch, then of the run
+        Time until = 0; // when the fetch ends, then when the run ends
         double cpus = 0;
         double ram_gb = 0;
         std::string image;
@@ -89,7 +91,7 @@
     std::uint64_t sequence_ = 0;
     std::uint64_t fencing_token_ = 0;
     Time lease_start_;                     // the sending of the last heartbeat that was answered
-    Time token_change_reported_at_ = -1e9; // when a higher fencing_token last counted as a change
+    Time token_change_reported_at_ = -1e9; // when a higher fencing token last counted as a change
     bool changed_ = true;
 };
 
--- a/src/scale/plan.cpp
+++ b/src/scale/plan.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 constexpr char kMachineType[] = "hollow";
-constexpr char kQueueTeam[] = "queue";          // its jobs wait
-constexpr double kSlotsPerConcurrentTask = 1.1; // slots over tasks
+constexpr char kQueueTeam[] = "queue";          // the team of the jobs that always wait
+constexpr double kSlotsPerConcurrentTask = 1.1; // ratio of slots to concurrent tasks
 constexpr int kUrgentTasks = 4;
 constexpr std::uint64_t kJobKinds = 5;
 constexpr double kTaskCpus = 1;
@@ -23,7 +23,7 @@
 constexpr double kRamGbPerCpu = 4;
 constexpr double kWaitingJobDuration_s = 1000;
 constexpr int kMaxJobTasks = 100000; // tasks
-// Second bytes of the loopback addresses: of the workers, and of controllers and services.
+// Second bytes of the loopback addresses of the workers, and of the controllers and services.
 constexpr int kWorkersNetwork = 100;
 constexpr int kControllersNetwork = 200;
 constexpr int kWorkersPerSubnet = 250;
@@ -32,14 +32,14 @@
 constexpr std::size_t kJobDigits = 9;
 constexpr std::string_view kMachinePrefix = "i-";
 constexpr std::string_view kJobPrefix = "req-";
-constexpr std::uint64_t kJobRegions = 100; // the last two digits of a job's id say its region
+constexpr std::uint64_t kJobRegions = 100; // the last two digits of a job id are the region
 
 std::string padded(std::uint64_t number, std::size_t digits) {
     std::string text = std::to_string(number);
     return std::string(digits - std::min(digits, text.size()), '0') + text;
 }
 
-// Small, and startable anywhere.
+// Makes the job small and able to run on any machine.
 void make_urgent(JobSpec& spec) {
     spec.job_class = "urgent";
     spec.priority = Priority::high;
@@ -48,7 +48,7 @@
     spec.zone.reset();
 }
 
-// One task of a team whose limit allows one.
+// Makes the job a single task of the team whose limit allows one task.
 void make_waiting(JobSpec& spec) {
     spec.job_class = "waiting";
     spec.team = kQueueTeam;
@@ -95,7 +95,8 @@
     return type;
 }
 
-// Each has an even part; its limit is above it, and lets the largest job run.
+// Each team is guaranteed an equal part of the slots. Its limit is higher, so that the largest job
+// can run.
 std::vector<TeamQuota> Plan::teams() const {
     double slots = machine_type().cpus * workers();
     std::vector<TeamQuota> out;
@@ -201,7 +202,7 @@
     return spec;
 }
 
-// Some are spot jobs, some ask for a zone.
+// Some jobs allow spot machines, some require a zone.
 JobSpec Plan::ordinary_job(const std::string& id, int number) const {
     JobSpec spec;
     spec.id = id;
@@ -220,7 +221,8 @@
     return spec;
 }
 
-// Tasks of the first jobs end evenly over a run time, so that from then on as many end as start.
+// The run times of the fill tasks are spread evenly from 0 to the mean, so that afterwards tasks
+// end at the same rate as they start.
 double Plan::task_duration_s(const TaskId& task) const {
     auto [kind, number] = parse_job_id(task.job);
     if (kind == JobKind::waiting) {
--- a/src/scale/plan.h
+++ b/src/scale/plan.h
@@ -1,5 +1,5 @@
-// What is where in a run, and which jobs there are: functions of the options alone, so that the
-// processes of a run need not tell each other.
+// The addresses, machines, settings and jobs of a run. All are functions of the options alone, so
+// that the processes of a run need not exchange them.
 #pragma once
 
 #include <iosfwd>
@@ -19,22 +19,22 @@
     const Options& options() const { return options_; }
     int region() const { return region_; }
 
-    // Addresses, all of the loopback range.
+    // Addresses, all in the loopback range.
     std::string controller_name(int controller) const;
     std::string controller_host(int controller) const;
     std::string services_host() const;
     std::string worker_host(int worker) const;
-    // Of a controller, for users and workers; for its peers.
+    // Ports of a controller: for users and workers, and for its peers.
     int client_port() const { return options_.port; }
     int peer_port() const { return options_.port + 1; }
     int store_port() const { return options_.port + 2; }
     int cloud_port() const { return options_.port + 3; }
     int worker_port() const { return options_.port + 4; }
-    // Of the cloud, for the workers' process; of the workers' process, for the cloud.
+    // Control ports between the workers' process and the cloud: the cloud's, and the workers'.
     int cloud_control_port() const { return options_.port + 5; }
     int workers_control_port() const { return options_.port + 6; }
 
-    // The settings' figures, those of the large sites.
+    // Values of the settings, the same as at the large sites.
     static constexpr double kHeartbeatInterval_s = 3;
     static constexpr double kWorkerLease_s = 17;
     static constexpr double kCancellationTimeout_s = 42;
@@ -42,40 +42,40 @@
     std::vector<TeamQuota> teams() const;
     InstanceType machine_type() const;
     std::string zone(int number) const;
-    // A controller's settings file.
+    // Returns the contents of a controller's settings file.
     std::string settings(int controller) const;
 
-    // Workers of this region; a replaced one has a new number, above all of the first.
+    // The number of workers of this region. A replacement gets a new number above all initial ones.
     int workers() const { return options_.workers_of(region_); }
-    // Tasks of this region that run at once; tasks that start a second.
+    // The number of concurrent tasks of this region, and its task starts per second.
     double tasks() const { return double(options_.tasks) * workers() / options_.workers; }
     double starts() const { return options_.start_rate * workers() / options_.workers; }
     std::string machine_name(int worker) const;
-    // -1: none of ours.
+    // Returns the worker's number, or -1 if the name is not one of this plan.
     int worker_number(const std::string& machine) const;
     std::string worker_zone(int worker) const { return zone(worker % kZones); }
     bool worker_spot(int worker) const { return worker % 5 == 4; }
 
-    // Jobs by kind and number; the id says both.
+    // Jobs are identified by kind and number; the id encodes both.
     enum class JobKind {
-        fill,            // submitted at the beginning, so that the region is full
+        fill,            // submitted at the beginning to fill the region
         ordinary,        // submitted at the plan's rate
         urgent,          // small ones with a high priority
-        waiting,         // at their team's limit, all the time
-        never_submitted, // only asked for
+        waiting,         // always waiting, because their team is at its limit
+        never_submitted, // only polled
     };
     struct JobNumber {
         JobKind kind = JobKind::fill;
         int number = 0;
     };
     std::string job_id(JobKind kind, int number) const;
-    // No job of the plan: none.
+    // Returns the job with this id, or nothing if the plan has no such job.
     std::optional<JobSpec> job(const std::string& id) const;
     static JobNumber parse_job_id(const std::string& id);
     int fill_jobs() const;
     int job_tasks() const;
     double ordinary_job_interval_s() const { return job_tasks() / starts(); }
-    // A task's run time, seconds.
+    // Returns a task's run time in seconds.
     double task_duration_s(const TaskId& task) const;
 
   private:
--- a/src/scale/run.cpp
+++ b/src/scale/run.cpp
@@ -12,10 +12,10 @@
 namespace scheduler::scale {
 
 namespace {
-constexpr double kFilledFraction = 0.9; // of the tasks run: then the window may begin
+constexpr double kFilledFraction = 0.9; // of the tasks run before the window begins
 constexpr double kSettle_s = 3;         // of steady arrivals before the window
 
-// Carries one run out, phase by phase, in one thread.
+// Executes the phases of one run in one thread.
 class ScaleRun {
   public:
     explicit ScaleRun(const Options& options)
@@ -39,8 +39,7 @@
         return counters_.sum(&Counters::running) >= kFilledFraction * options_.tasks;
     }
 
-    // Waits until enough tasks run, or for the longest time allowed, then until arrivals are
-    // steady.
+    // Waits until enough tasks run or the fill timeout expires, then until arrivals are steady.
     void fill() {
         Time began = now();
         for (Time deadline = began + options_.fill_s; now() < deadline && !filled();) {
@@ -80,7 +79,8 @@
     RunResults results_;
 };
 
-// Each hollow worker listens on a socket of its own.
+// Each hollow worker listens on a socket of its own, so the open file limit is raised to its
+// maximum.
 void raise_open_file_limit() {
     rlimit files{};
     ::getrlimit(RLIMIT_NOFILE, &files);
--- a/src/scale/run.h
+++ b/src/scale/run.h
@@ -8,8 +8,8 @@
 // The values are the exit statuses of the program.
 enum class Verdict { passed = 0, failed = 1 };
 
-// Runs what the options ask for. `failed`: a rule was broken. Throws ScaleTestError if the options
-// are refused or the run could not be carried out.
+// Runs the scale test with these options. Returns `failed` if a rule was violated. Throws
+// ScaleTestError if the options are invalid or the run could not be completed.
 Verdict run(const Options& options);
 
 } // namespace scheduler::scale
--- a/src/scale/supervisor.cpp
+++ b/src/scale/supervisor.cpp
@@ -18,10 +18,10 @@
 namespace {
 constexpr double kStepInterval_s = 0.05;
 constexpr double kStartTimeout_s = 20; // for a simulator to serve
-constexpr int kCannotExecute = 127;    // exit status, as a shell's
+constexpr int kCannotExecute = 127;    // exit status, the same as a shell uses
 constexpr int kLogMode = 0644;
 
-// In the child: becomes the controller, with its log in a file.
+// Runs in the child process: executes the controller with its log redirected to a file.
 void execute_controller(const std::string& program, const std::string& settings,
                         const std::string& log, const char* log_level) {
     int file = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, kLogMode);
--- a/src/scale/supervisor.h
+++ b/src/scale/supervisor.h
@@ -1,5 +1,5 @@
-// Starts, watches and stops the processes of a run: per region the controllers and the simulators
-// of services, workers and users.
+// Starts, monitors and stops the processes of a run: for each region the controllers and the
+// simulators of services, workers and users.
 #pragma once
 
 #include <sys/types.h>
@@ -22,24 +22,25 @@
     pid_t pid = 0;
 };
 
-// Used by one thread. The folder and the counters outlive it.
+// Not thread-safe. The options, folder and counters must outlive it.
 class Supervisor {
   public:
     Supervisor(const Options& options, const RunFolder& folder, SharedCounters& counters);
 
-    // Starts all processes and waits until the simulators serve. Throws ScaleTestError.
+    // Starts all processes and waits until the simulators are ready. Throws ScaleTestError if one
+    // does not become ready in time.
     void start();
-    // Waits for a moment. Throws ScaleTestError if a process has exited by itself or the run was
-    // interrupted.
+    // Sleeps for one step. Throws ScaleTestError if a process has exited unexpectedly or the run
+    // was interrupted.
     void step();
     // Kills a running controller.
     void kill_controller(int region, int controller);
     void restart_controller(int region, int controller);
-    // Stops all processes. The users stop first, then the workers: no request of theirs is left
-    // without a process that records what came of it.
+    // Stops all processes. The users stop first, then the workers, so that the outcome of each of
+    // their requests is still recorded.
     void stop();
 
-    // The processes that are running, by region.
+    // Returns the running processes, region by region.
     std::vector<SupervisedProcess> processes() const;
     SupervisedProcess controller(int region, int number) const;
     const Plan& plan(int region) const { return regions_[std::size_t(region)].plan; }
--- a/src/scale/worker_fleet.cpp
+++ b/src/scale/worker_fleet.cpp
@@ -13,9 +13,9 @@
 namespace {
 constexpr double kStepInterval_s = 0.01;
 constexpr double kMinHeartbeatInterval_s = 0.5;
-constexpr double kNextControllerDelay_s = 1; // until the next controller is tried
+constexpr double kNextControllerDelay_s = 1; // delay before trying the next controller
 constexpr double kHeartbeatTimeout_s = 4;
-constexpr double kHeartbeatJitter = 0.25; // of the time between reports
+constexpr double kHeartbeatJitter = 0.25; // fraction of the heartbeat interval
 } // namespace
 
 WorkerFleet::WorkerFleet(const Plan& plan, Counters& counters, const std::string& history)
@@ -110,7 +110,8 @@
     --counters_.up;
 }
 
-// Machines that die without a word, as many as the supervisor asks for. The cloud is told.
+// Terminates as many random workers without notice as the supervisor requested. The cloud is
+// informed.
 void WorkerFleet::terminate_random_workers() {
     std::uint64_t asked_for = counters_.to_replace.exchange(0);
     std::uint64_t count = std::min<std::uint64_t>(asked_for, machines_.size());
@@ -213,7 +214,7 @@
         } else {
             on_heartbeat_rejected(at, machine, response);
         }
-    } catch (const std::exception&) { // cannot be read: as no response
+    } catch (const std::exception&) { // an unreadable response counts as none
         ++counters_.reports_refused;
         try_next_controller(at, machine);
     }
@@ -261,7 +262,7 @@
     return -1;
 }
 
-// /orders and /inspect, at the address of a worker.
+// Serves /orders and /inspect at the address of a worker.
 void WorkerFleet::on_direct_command(const HttpServerRequest& request, Responder to) {
     auto known = by_host_.find(request.local_host);
     if (known == by_host_.end()) {
@@ -286,7 +287,7 @@
     queue_wakeup(worker, machine);
 }
 
-// Machines that have booted or were released.
+// Serves notifications of machines that have booted or were released.
 void WorkerFleet::on_cloud_command(const HttpServerRequest& request, Responder to) {
     for (const auto& name : unpack(request.body)) {
         int worker = plan_.worker_number(name.get<std::string>());
--- a/src/scale/worker_fleet.h
+++ b/src/scale/worker_fleet.h
@@ -18,28 +18,29 @@
 
 namespace scheduler::scale {
 
-// Boots the workers of the plan, sends their reports, hands them the controllers' commands, and
-// boots and ends workers as the cloud says. Runs an event loop in the calling thread.
+// Boots the workers of the plan, sends their heartbeats, passes the controllers' commands to them,
+// and boots and terminates workers at the cloud's request. Runs an event loop in the calling
+// thread.
 class WorkerFleet {
   public:
     // Throws ScaleTestError if the history cannot be written or an address cannot be listened on.
     WorkerFleet(const Plan& plan, Counters& counters, const std::string& history);
 
-    // Until SIGTERM.
+    // Runs until SIGTERM.
     void run();
 
   private:
-    struct Machine { // that is up
+    struct Machine { // one that is up
         HollowWorker worker;
         evhttp_bound_socket* socket = nullptr;
-        int controller = 0; // that the next report goes to
+        int controller = 0; // receives the next heartbeat
         bool heartbeat_in_flight = false;
         Time last_sent = kLongAgo;
-        Time heartbeat_due = 0;        // the next report by the timer
-        Time heartbeat_not_before = 0; // any report
-        Time queued = kNotQueued;      // the time that stands in the queue for it
+        Time heartbeat_due = 0;        // when the next periodic heartbeat is due
+        Time heartbeat_not_before = 0; // earliest time of any heartbeat
+        Time queued = kNotQueued;      // the time of its valid entry in the queue
     };
-    // An entry of the queue. Outdated if the machine's `queued` is another time.
+    // An entry of the queue. Stale if its time differs from the machine's `queued`.
     struct Wakeup {
         Time time = 0;
         int worker = 0;
@@ -68,7 +69,7 @@
                                const std::string& body);
     void on_heartbeat_rejected(Time at, Machine& machine, const HttpResponse& response);
     void try_next_controller(Time at, Machine& machine);
-    // -1: no controller has this name.
+    // Returns the controller's number, or -1 if no controller has this name.
     int controller_number(const std::string& name) const;
 
     void on_direct_command(const HttpServerRequest& request, Responder to);
