--- a/src/scale/hollow_worker.cpp
+++ b/src/scale/hollow_worker.cpp
@@ -74,7 +74,8 @@
             }
         } else if (it != tasks_.end() && command.type == CommandType::stop) {
             if (it->second.stage != TaskStage::exited) {
-                exit(now, command.task, it->second, ExitReason::stopped); // none of them saves
+                exit(now, command.task, it->second,
+                     ExitReason::stopped); // no task saves before it stops
             }
         } else if (it != tasks_.end() && it->second.stage == TaskStage::exited) {
             tasks_.erase(it);
@@ -83,7 +84,7 @@
     }
 }
 
-// With another attempt, and not exited.
+// Returns whether some attempt of this task has not exited.
 bool HollowWorker::occupied(const TaskId& task) const {
     for (auto it = tasks_.lower_bound({task, 0}); it != tasks_.end() && it->first.task == task;
          ++it) {
--- a/src/scale/hollow_worker.h
+++ b/src/scale/hollow_worker.h
@@ -38,17 +38,18 @@
     const std::string& name() const { return identity_.name; }
     const std::string& endpoint() const { return identity_.endpoint; }
     std::uint64_t agent_epoch() const { return agent_epoch_; }
-    // Whether the tasks changed since the last heartbeat.
+    // Whether the state changed since the last heartbeat, so that the next one is sent early.
     bool changed() const { return changed_; }
     std::size_t tasks() const { return tasks_.size(); }
 
-    // For the next heartbeat, or the answer to a direct command. `sent`: it counts as a heartbeat.
+    // Returns the heartbeat to send, or the response to direct commands. `sent`: it is sent as a
+    // heartbeat.
     Heartbeat heartbeat(Time now, bool sent);
-    // The reply to a heartbeat that was sent at `sent` in `agent_epoch`. False: dropped, for a
-    // lower fencing token or another agent epoch.
+    // Processes the response to a heartbeat that was sent at `sent` in `agent_epoch`. Returns false
+    // if the response was dropped because of a lower fencing token or another agent epoch.
     bool on_heartbeat_response(Time now, std::uint64_t agent_epoch, Time sent,
                                const HeartbeatResponse& reply);
-    // Returns the status of the response. 409: refused, for a lower fencing token or another
+    // Returns the status of the response. 409: rejected because of a lower fencing token or another
     // agent epoch.
     int on_direct_commands(Time now, const DirectCommands& direct);
     // Processes image fetches and tasks that have finished by now, and the expiry of the lease.
@@ -90,7 +91,7 @@
     std::uint64_t agent_epoch_ = 1;
     std::uint64_t sequence_ = 0;
     std::uint64_t fencing_token_ = 0;
-    Time lease_start_;                     // the sending of the last heartbeat that was answered
+    Time lease_start_;                     // when the last acknowledged heartbeat was sent
     Time token_change_reported_at_ = -1e9; // when a higher fencing token last counted as a change
     bool changed_ = true;
 };
--- a/src/scale/quota_changer.cpp
+++ b/src/scale/quota_changer.cpp
@@ -11,7 +11,7 @@
 constexpr double kQueryInterval_s = 0.1;
 constexpr double kQueryTimeout_s = 1;
 constexpr double kLowerBy = 2;
-// Every so many teams the limit falls far below what the team runs.
+// The limit of every fourth team falls far below its usage.
 constexpr std::size_t kTeamsPerLargeCut = 4;
 constexpr double kLowerByInLargeCut = 8;
 } // namespace
@@ -30,7 +30,7 @@
     loop_.every(kQueryInterval_s, [this] { query_applied_revisions(); });
 }
 
-// Lowers a team's limit, or raises it to what it was at first when it is lowered already.
+// Lowers a team's limit, or restores the original limit if it is already lowered.
 QuotaChanger::Change QuotaChanger::plan_change(std::size_t team) const {
     double original = original_[team].max_cpus;
     bool lowers = written_[team].max_cpus == original;
@@ -57,8 +57,8 @@
 
 void QuotaChanger::on_written(const Change& change, const HttpResponse& response) {
     TeamQuota& quota = written_[change.team];
-    if (response.status != kHttpOk) { // not written, as far as is known
-        if (change.lowers) {          // it is tried again
+    if (response.status != kHttpOk) { // treated as not written
+        if (change.lowers) {          // so that the next change lowers it again
             quota.max_cpus = original_[change.team].max_cpus;
         }
         return;
--- a/src/scale/quota_changer.h
+++ b/src/scale/quota_changer.h
@@ -1,4 +1,4 @@
-// An operator who changes the limits of teams while the service runs.
+// Simulates an operator who changes the limits of teams while the service runs.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,15 @@
 
 namespace scheduler::scale {
 
-// Writes changes to the key-value store, and asks each controller which of them it applies. On the
-// event loop's thread; what is handed in outlives it.
+// Writes changes to the key-value store, and polls each controller for the revision that it
+// applies. Runs on the event loop's thread. All arguments must outlive it.
 class QuotaChanger {
   public:
     QuotaChanger(EventLoop& loop, const Plan& plan, Counters& counters, HistoryWriter& history);
 
-    // Sets the timers, if the options want changes at all.
+    // Starts the timers, if the options ask for changes.
     void start();
-    // No change is written before.
+    // Allows changes to be written; none is written before.
     void enable() { enabled_ = true; }
 
   private:
--- a/src/scale/store_model.cpp
+++ b/src/scale/store_model.cpp
@@ -60,7 +60,8 @@
     return {kHttpOk, {{"ring", revision_}}};
 }
 
-// The keys whose versions are not those that the transaction asks for; 0 asks for no such key.
+// Returns the keys whose versions differ from those of the conditions; version 0 requires that the
+// key does not exist.
 Json StoreModel::failed_conditions(const Json& transaction) const {
     Json failed = Json::array();
     auto conditions = transaction.find("when");
--- a/src/scale/store_model.h
+++ b/src/scale/store_model.h
@@ -1,6 +1,6 @@
-// The key-value store of a region, on a clock that is handed in: keys with versions, leases,
-// changes. Sockets and limits are StoreServer's. It holds what it is given as it is and knows
-// nothing of the controllers' records (the model in tests/ holds these and no bytes).
+// The key-value store of a region: versioned keys, leases and watches. The caller passes in the
+// time; StoreServer adds sockets and rate limits. Values are opaque, whereas the store model in
+// tests/ holds decoded records.
 #pragma once
 
 #include <deque>
@@ -12,10 +12,10 @@
 
 namespace scheduler::scale {
 
-// Each call answers as the store's protocol has it: a status and a body.
+// Each function returns the status and body of the store's protocol.
 class StoreModel {
   public:
-    // Watches from before the oldest of these changes are told that they are too old.
+    // Watches from before the oldest kept change fail with status 410.
     static constexpr std::size_t kMaxChanges = 10000;
     struct Response {
         int status = kHttpOk;
@@ -23,9 +23,9 @@
     };
 
     Response get(const std::string& key) const;
-    // The first `limit` keys with the prefix after the key `after`; empty: from the first.
+    // Returns the first `limit` keys with the prefix after the key `after`; empty: from the first.
     Response range(const std::string& prefix, const std::string& after, std::size_t limit) const;
-    // The number of changes, which counts against the limit of changes, also when the conditions
+    // Returns the number of changes. They count against the write rate limit even if the conditions
     // fail.
     static std::size_t changes(const Json& transaction);
     // Atomic. Status 409: some key has another version than the transaction asks for.
@@ -34,12 +34,12 @@
     Response grant(Time now, double ttl_s);
     Response renew(Time now, std::uint64_t lease);
     Response revoke(std::uint64_t lease);
-    // Removes the keys of leases that are over. True: some lease was.
+    // Removes the keys of expired leases. Returns whether a lease had expired.
     bool expire(Time now);
-    // The changes under the prefix after the revision; none: there is none yet. Status 410: changes
-    // after that revision are not kept any more.
+    // Returns the changes under the prefix after the revision, or nothing if there are none yet.
+    // Status 410: some changes after that revision are no longer kept.
     std::optional<Response> watch(const std::string& prefix, std::uint64_t since) const;
-    // The answer to a watch whose time is over.
+    // Returns the response to a watch whose wait time is over.
     Response empty_watch_response() const {
         return {kHttpOk, {{"ring", revision_}, {"events", Json::array()}}};
     }
--- a/src/scale/user_load.cpp
+++ b/src/scale/user_load.cpp
@@ -11,12 +11,13 @@
 namespace {
 constexpr double kStepInterval_s = 0.02;
 constexpr double kPollInterval_s = 5;
-constexpr double kRequestTimeout_s = 60; // of a user, from the first attempt
+constexpr double kRequestTimeout_s = 60; // counted from the first attempt
 constexpr double kShortestRetry_s = 1;
 constexpr double kLongestRetry_s = 30;
 constexpr double kUrgentInterval_s = 1;
 constexpr double kNeverSubmittedInterval_s = 7;
-constexpr double kFilledFraction = 0.5; // of the tasks run: from then on as many come as end
+constexpr double kFilledFraction =
+    0.5; // of the tasks run before arrivals start at the rate at which tasks end
 constexpr double kRepeatAfter_s = 4;
 constexpr double kCancelAfter_s = 3;
 
@@ -28,7 +29,7 @@
 
 bool accepted_status(int status) { return status == kHttpOk || status == kHttpCreated; }
 
-// The request is wrong: it is not tried again.
+// Returns whether the request is invalid, so that it is not retried.
 bool rejected_status(int status) {
     return status == kHttpBadRequest || status == kHttpUnprocessable || status == kHttpNotFound;
 }
@@ -96,7 +97,7 @@
     }
 }
 
-// Nobody may be told of such a job.
+// No controller may report such a job as known.
 void UserLoad::poll_never_submitted(Time at) {
     if (at < never_submitted_.next) {
         return;
@@ -125,7 +126,7 @@
                  });
 }
 
-// Until there is a response about this job, or the user's patience is over.
+// Retries until there is a response about this job or the request has timed out.
 void UserLoad::send_with_retries(Event::Kind kind, const std::string& id, Time first_sent) {
     send(kind, id, [this, kind, id, first_sent](const JobResponse& response) {
         on_retried_response(kind, id, first_sent, response);
@@ -180,7 +181,7 @@
     }
 }
 
-// At intervals until the job is over, and once more after: it has to stay so.
+// Polls at intervals until the job is over, and once more to check that it stays over.
 void UserLoad::poll(const std::string& id) {
     bool last = jobs_[id].over;
     send(Event::Kind::poll, id, [](const JobResponse&) {});
--- a/src/scale/user_load.h
+++ b/src/scale/user_load.h
@@ -22,14 +22,14 @@
     // Throws ScaleTestError if the history cannot be written.
     UserLoad(const Plan& plan, Counters& counters, const std::string& history);
 
-    // Until SIGTERM.
+    // Runs until SIGTERM.
     void run();
 
   private:
     struct Job {
         bool accepted = false;
         bool over = false;
-        bool submitted_twice = false; // its submission is sent once more, later
+        bool submitted_twice = false; // its submission is repeated later
         bool cancelled = false;       // by its user, some time after it was accepted
     };
     // Arrivals of one kind at a constant rate.
@@ -66,7 +66,7 @@
     bool arrivals_started_ = false;
     Arrivals ordinary_;
     Arrivals urgent_;
-    Arrivals never_submitted_; // of polls for jobs that nobody submitted
+    Arrivals never_submitted_; // polls for jobs that were never submitted
 };
 
 } // namespace scheduler::scale
