--- a/src/scale/quota_changer.cpp
+++ b/src/scale/quota_changer.cpp
@@ -11,7 +11,7 @@
 constexpr double kQueryInterval_s = 0.1;
 constexpr double kQueryTimeout_s = 1;
 constexpr double kLowerBy = 2;
-// The limit of every fourth team falls far below its usage.
+// One in this many teams has its limit lowered far below its usage.
 constexpr std::size_t kTeamsPerLargeCut = 4;
 constexpr double kLowerByInLargeCut = 8;
 } // namespace
