--- a/src/cli/config_command.h
+++ b/src/cli/config_command.h
@@ -23,7 +23,7 @@
 // These run a subcommand and return its exit status: 0 on success; 1 if the store did not respond
 // or the change was not made; 2 for bad usage. Errors go to standard error.
 int config_put(const Settings& settings, const QuotaChanges& changes);
-int config_get(const Settings& settings, const std::string& team);
+int config_get(const Settings& settings, const std::string& name);
 int config_list(const Settings& settings);
 
 } // namespace scheduler::cli
--- a/src/core/quotas/quota_config.h
+++ b/src/core/quotas/quota_config.h
@@ -36,7 +36,7 @@
     // Applies a change received from a peer. Ignores it if it is not newer than the known one.
     void apply(Time now, const QuotaChange& change);
     // Applies a record under config/team/ as the store returned it.
-    void apply(Time now, const KeyedRecord& item);
+    void apply(Time now, const KeyedRecord& entry);
     // Records that every change written up to the time `to` is known here.
     void advance(Time to) { known_until_ = std::max(known_until_, to); }
     // Returns whether a leader whose leadership began at `leader_since` may start tasks under the
